--- a/tests/test_module_streams.py
+++ b/tests/test_module_streams.py
@@ -1,8 +1,9 @@
 """Decisions event by event on seeded streams, against digests that the module gave before a change to it.
 
 A stream is made by what the module does: its attempts end, its counts are answered and its timers fire, so
-one decision that differs changes all that follows. Recorded by `python tests/test_module_streams.py FILE
-[SEEDS]` from the module that is first on PYTHONPATH.
+one decision that differs changes all that follows. The digests are of the text that `repr` gave for the
+actions when they were recorded, so that text is written here by names of its own. Recorded by
+`python tests/test_module_streams.py FILE [SEEDS]` from the module that is first on PYTHONPATH.
 """
 
 import dataclasses
@@ -13,6 +14,7 @@
 import random
 import sys
 import time
+import typing
 from pathlib import Path
 
 import pytest
@@ -24,6 +26,22 @@
 RECORDED = Path(__file__).resolve().parent / "module_streams.json"
 STREAM = api.ServiceClass("stream", 1.0, 6.0, "safe", "all", 5.0, 1.0, 0.5, True, 0.0)
 CLASSES = (READ, WRITE, CELL, NOTE, STREAM)
+# The recorded text of each action: its class and its fields, in the order in which it holds their values.
+TEXTS = {
+    api.Send: "Send(id={!r}, host={!r}, timeout={!r}, within={!r})",
+    api.Refuse: "Refuse(id={!r}, retry_after={!r}, pressed={!r})",
+    api.Fail: "Fail(id={!r})",
+    api.Cancel: "Cancel(id={!r}, attempt={!r})",
+    api.Count: "Count(name={!r}, amount={!r}, lifetime={!r})",
+    api.SetTimer: "SetTimer(delay={!r}, label={!r})",
+    api.Probe: "Probe(host={!r})",
+    api.Close: "Close(host={!r})",
+    api.Fetch: "Fetch()",
+    api.Watch: "Watch(on={!r})",
+    api.Widen: "Widen(hosts={!r})",
+    api.Synchronizing: "Synchronizing(on={!r})",
+    api.Log: "Log(text={!r})",
+}
 KEEPS = 30.0  # s after which a host that left returns no more
 RESULTS = ("error", "full", "timeout", "connect_failed", "reset")
 # name: gateways, hosts, requests a second, seconds, zones, discovery, reports, share of hosts that start cold
@@ -41,6 +59,18 @@
 }
 
 
+def encode(actions):
+    """The bytes that are hashed for the actions of one event."""
+    return "[{}]\n".format(", ".join(map(text_of, actions))).encode()
+
+
+def text_of(action):
+    values = [getattr(action, field.name) for field in dataclasses.fields(action)]
+    text = TEXTS[type(action)]
+    assert text.count("{!r}") == len(values), action
+    return text.format(*values)
+
+
 class Stream:
     def __init__(self, shape, seed):
         self.gateways, count, self.rate, self.length, zones, self.discovery, self.reports, cold = shape
@@ -86,7 +116,7 @@
         name = type(event).__name__
         self.kinds[name] = self.kinds.get(name, 0) + 1
         actions = self.gw.handle(self.now, event)
-        self.digest.update(repr(actions).encode() + b"\n")
+        self.digest.update(encode(actions))
         for action in actions:
             self.act(action)
 
@@ -309,6 +339,44 @@
     assert Stream(shape, seed).run() == json.loads(RECORDED.read_text())[name]
 
 
+# One action of each kind, made by position, and its recorded text; further ones with defaults.
+ENCODED = [
+    (
+        api.Send("r1", "h'2", 0.25, 1.5e-07),
+        """Send(id='r1', host="h'2", timeout=0.25, within=1.5e-07)""",
+    ),
+    (api.Send("r1", "h2"), "Send(id='r1', host='h2', timeout=0, within=inf)"),
+    (api.Refuse("r1", 0.1, True), "Refuse(id='r1', retry_after=0.1, pressed=True)"),
+    (api.Refuse("r1"), "Refuse(id='r1', retry_after=0, pressed=False)"),
+    (api.Fail("r1"), "Fail(id='r1')"),
+    (api.Cancel("r1", 2), "Cancel(id='r1', attempt=2)"),
+    (api.Count(7, 1.0, 60.0), "Count(name=7, amount=1.0, lifetime=60.0)"),
+    (api.SetTimer(0.30000000000000004, 3), "SetTimer(delay=0.30000000000000004, label=3)"),
+    (api.Probe("h2"), "Probe(host='h2')"),
+    (api.Close("h2"), "Close(host='h2')"),
+    (api.Fetch(), "Fetch()"),
+    (api.Watch(False), "Watch(on=False)"),
+    (api.Widen(40), "Widen(hosts=40)"),
+    (api.Synchronizing(True), "Synchronizing(on=True)"),
+    (api.Log("a {b} \u00e4\n"), "Log(text='a {b} \u00e4\\n')"),
+]
+
+
+@pytest.mark.parametrize("action, text", ENCODED, ids=[text for _, text in ENCODED])
+def test_text_of_an_action_is_the_recorded_one(action, text):
+    assert encode([action]) == f"[{text}]\n".encode()
+
+
+def test_texts_of_actions_stand_one_after_the_other():
+    assert encode([]) == b"[]\n"
+    assert encode([api.Fail("r1"), api.Fetch()]) == b"[Fail(id='r1'), Fetch()]\n"
+
+
+def test_each_kind_of_action_has_a_text():
+    kinds = set(typing.get_args(api.Action))
+    assert set(TEXTS) == kinds == {type(action) for action, _ in ENCODED}
+
+
 if __name__ == "__main__":
     told, kinds = {}, {}
     for name, shape, seed in names(int(sys.argv[2]) if len(sys.argv) > 2 else 1):
