--- a/calicomast/adapter.py
+++ b/calicomast/adapter.py
@@ -8,6 +8,7 @@
 import math
 import sys
 import traceback
+from collections.abc import Callable
 from typing import Any, TextIO
 
 from calicomast import interface as api
@@ -98,7 +99,7 @@
     return api.Message(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
 
 
-READERS = {
+READERS: dict[str, Callable[[dict[str, str]], api.Event]] = {
     "WORK_ITEM": _work_item,
     "REPORT_BACK": _outcome,
     "ADDED": lambda f: api.Counted(
--- a/calicomast/lab/scale/hollow.py
+++ b/calicomast/lab/scale/hollow.py
@@ -68,7 +68,7 @@
         self.out = self.back = self.calls = self.idle = self.idle_back = 0
         self.body = self.entries = 0  # bytes of answers that brought news, without HTTP's head; their hosts
 
-    async def call(self, line: Line, target: str) -> bytes:
+    async def call(self, line: Line, target: str) -> bytearray:
         if not isinstance(line.reader, Reads):
             line.reader = Reads(line.reader, self)  # type: ignore[assignment]
             line.writer = Writes(line.writer, self)  # type: ignore[assignment]
@@ -159,7 +159,7 @@
         self.clients.listen = self.nowhere  # type: ignore[method-assign]
         self.version, self.at = 0, 0.0
 
-    async def nowhere(self, *_: object) -> int:
+    async def nowhere(self, host: str, port: int, inherited: int | None = None, edge: Any = None) -> int:
         """No socket; looks after clients go on, though there are none."""
         self.clients.sweep()
         return 0
--- a/calicomast/lab/scale/rig.py
+++ b/calicomast/lab/scale/rig.py
@@ -54,7 +54,8 @@
         self.host, _, port = place.rpartition(":")
         self.port, self.out, self.back, self.calls = int(port), 0, 0, 0
         self.idle, self.idle_back = 0, 0
-        self.place, self.server = "", None
+        self.place = ""
+        self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> str:
--- a/calicomast/lab/scale/stamped.py
+++ b/calicomast/lab/scale/stamped.py
@@ -107,7 +107,8 @@
 
         def handled(now: float, event: api.Event) -> list[api.Action]:
             began = monotonic()
-            trace = self.open.get(event.id) if isinstance(event, api.Request) else None
+            asked = event.id if isinstance(event, api.Request) else None
+            trace = self.open.get(asked) if asked is not None else None
             if trace is not None:
                 trace.at("module", began)
             actions = handle(now, event)
@@ -115,8 +116,8 @@
             for action in actions:
                 if isinstance(action, api.Send | api.Refuse | api.Fail):
                     self.decided(action, began, ended)
-            if trace is not None and trace.part == "module" and event.id in jobs:
-                trace.at(WAITS[jobs[event.id].stage], ended)
+            if trace is not None and trace.part == "module" and asked in jobs:
+                trace.at(WAITS[jobs[asked].stage], ended)
             return actions
 
         def enqueued(now: float, job: Any) -> None:
--- a/calicomast/membership/service.py
+++ b/calicomast/membership/service.py
@@ -71,7 +71,7 @@
     for host, port in seeds:
         try:
             told = await loop.getaddrinfo(host, port, type=socket.SOCK_DGRAM)
-            found.append((told[0][4][0], port))
+            found.append((str(told[0][4][0]), port))
         except OSError as err:
             log.info("seed %s: %s", host, err)
     return found
--- a/calicomast/net/admission.py
+++ b/calicomast/net/admission.py
@@ -16,8 +16,9 @@
 import socket
 import struct
 from collections import OrderedDict, deque
+from collections.abc import Callable
 from dataclasses import dataclass
-from functools import lru_cache
+from functools import lru_cache, partial
 from pathlib import Path
 from time import monotonic
 from typing import Any, Protocol
@@ -480,17 +481,20 @@
         task.add_done_callback(self.coming.discard)
 
     async def connect(self, sock: socket.socket, address: str) -> None:
-        name = self.gate.name(address)
-        origin = self.turns.join(name, self.gate.weight(address)) if self.turns and name else None
+        name, turns = self.gate.name(address), self.turns
+        origin: Origin | None = None
+        leave: Callable[[], None] | None = None
+        if turns and name:
+            origin, leave = turns.join(name, self.gate.weight(address)), partial(turns.leave, name)
 
         def ended() -> None:
             self.gate.left(address)
-            if origin is not None:
-                self.turns.leave(name)
+            if leave is not None:
+                leave()
 
         try:
             watch_peer(sock, self.gate.edge.vanished)
-            client = FairClient(self.server, self.turns, origin) if self.turns else Client(self.server)
+            client = FairClient(self.server, turns, origin) if turns else Client(self.server)
             client.ended = ended
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except Exception as err:  # one that cannot be taken must not hold a place
--- a/calicomast/net/changes.py
+++ b/calicomast/net/changes.py
@@ -450,6 +450,7 @@
             if pending is None or self.node.clock() < pending.until:
                 return own
             back = own.find(pending.back)
+            assert back is not None  # the newest but one, which a history keeps
             log.warning("version %d was not confirmed in time", pending.number)
             return own.add(back.content, self.node.clock(), "expiry", pending.back)
 
--- a/calicomast/net/clients.py
+++ b/calicomast/net/clients.py
@@ -13,6 +13,7 @@
 import termios
 from collections import OrderedDict, deque
 from collections.abc import Callable, Iterable
+from functools import partial
 from itertools import islice
 from time import monotonic
 from typing import Any
@@ -474,7 +475,7 @@
         for client in ended(self.not_read):
             self.alone(client, client.leave)
         for client in list(self.timed if self.drained_at is None else self.clients):
-            if not self.alone(client, lambda client=client: client.check(now)):
+            if not self.alone(client, partial(client.check, now)):
                 self.timed.pop(client, None)
 
     def alone(self, client: Client, act: Callable[[], Any]) -> Any:
--- a/calicomast/net/fetch.py
+++ b/calicomast/net/fetch.py
@@ -41,7 +41,7 @@
     return f"{f'[{host}]' if ':' in host else host}:{port}"
 
 
-def read_json(text: bytes) -> Any:
+def read_json(text: bytes | bytearray) -> Any:
     try:
         return json.loads(text)
     except RecursionError as err:
--- a/calicomast/net/gateway.py
+++ b/calicomast/net/gateway.py
@@ -100,7 +100,7 @@
             )
         for caller in (self.hosts, self.discovery.fetcher, *(self.counter.lines if self.counter else ())):
             caller.reclaim_descriptor = self.reclaim_descriptor
-        self.actions = {
+        self.actions: dict[type[api.Action], Callable[[Any], object]] = {
             api.Send: self.send,
             api.Refuse: self.refuse,
             api.Fail: self.fail,
@@ -262,7 +262,7 @@
 
     # Clients
 
-    def command(self, slot: Slot, command: object) -> None:
+    def command(self, slot: Slot, command: Any) -> None:
         if command == [b"PING"] or command == [b"ping"]:
             slot.reply(PONG if self.serves() else b"-ERR not ready\r\n")
             return
@@ -328,7 +328,7 @@
         self.forget(work)
 
     def forget(self, work: InFlightRequest) -> None:
-        if work.finished and not work.live and self.in_flight.pop(work.id, None):
+        if work.finished and not work.live and self.in_flight.pop(work.id, None) is not None:
             if work.body is not None:
                 self.clients.budget.give(len(work.body))
             else:
@@ -379,13 +379,13 @@
     def value_begins(self, attempt: Attempt, length: int) -> bool:
         """The first bytes of a large value: from here on the request is this attempt's, and its time does not
         count any longer."""
-        work, number = attempt.tag
-        if work.finished or work.stream is not None:
+        (work, number), conn = attempt.tag, attempt.conn
+        if work.finished or work.stream is not None or conn is None:
             return False
         work.stream, slot = attempt, work.slot
         if work.guard is not None:
             work.guard.cancel()
-        attempt.blocked, slot.turn = slot.blocked, attempt.conn.go_on
+        attempt.blocked, slot.turn = slot.blocked, conn.go_on
         head = b"$%d\r\n" % length
 
         def sink(data: bytes) -> None:
--- a/calicomast/net/hosts.py
+++ b/calicomast/net/hosts.py
@@ -407,7 +407,8 @@
             waiting = self.coming.pop(attempt, None) is not None
         if conn is not None:
             self.hosts.conns.add(conn)
-            if waiting and not attempt.result and self.up and not conn.transport.is_closing():
+            wanted = waiting and not attempt.result and self.up
+            if wanted and conn.transport is not None and not conn.transport.is_closing():
                 if not conn.start(attempt):
                     self.rest(conn)
                 return
@@ -491,7 +492,8 @@
     """Nothing here that a request, a change or a timer does walks over all pools."""
 
     def __init__(self, connect_timeout: float, idle_close: float, most: int) -> None:
-        self.most, self.make = most, Pool
+        self.most = most
+        self.make: Callable[[Hosts, Address], Pool] = Pool
         self.coming = 0  # connections that are coming up, of all pools
         self.reclaim_descriptor = self.end_idle  # ends a connection, of any kind, where none can be opened
         self.idle: OrderedDict[Connection, None] = OrderedDict()  # that rest, of all pools, the oldest first
--- a/calicomast/net/keys.py
+++ b/calicomast/net/keys.py
@@ -250,8 +250,9 @@
         if depth > MOST_DEPTH:
             yield Fault(path, value, f"at most {MOST_DEPTH} levels")
             continue
-        doubled = [name for at, name in twice if at == id(value)]
-        yield from (Fault(join(path, name), value[name], "each key once") for name in doubled)
+        if isinstance(value, dict):
+            doubled = [name for at, name in twice if at == id(value)]
+            yield from (Fault(join(path, name), value[name], "each key once") for name in doubled)
         entries = value.items() if isinstance(value, dict) else enumerate(value)
         stack.extend((join(path, name), entry, depth + 1) for name, entry in entries)
 
--- a/calicomast/net/views.py
+++ b/calicomast/net/views.py
@@ -45,15 +45,18 @@
     most: int  # to which the size may grow
 
 
+def read_size(name: str, value: object) -> int:
+    if type(value) is not int or not 1 <= value <= SIZE_MOST:
+        raise ValueError(f"view.{name} is {value!r}, not a whole number from 1 to {SIZE_MOST}")
+    return value
+
+
 def read_wanted(told: Any) -> Wanted:
     """Raises ValueError that names the key, its value and what is allowed."""
     if not isinstance(told, dict) or set(told) - {"size", "kinds", "most"}:
         raise ValueError("view may hold size, kinds and most")
-    size, kinds = told.get("size"), told.get("kinds", [])
-    most = told.get("most", min(SIZE_MOST, GROWTH * size) if type(size) is int else None)
-    for name, value in (("size", size), ("most", most)):
-        if type(value) is not int or not 1 <= value <= SIZE_MOST:
-            raise ValueError(f"view.{name} is {value!r}, not a whole number from 1 to {SIZE_MOST}")
+    size, kinds = read_size("size", told.get("size")), told.get("kinds", [])
+    most = read_size("most", told.get("most", min(SIZE_MOST, GROWTH * size)))
     if most < size:
         raise ValueError(f"view.most is {most}, less than view.size, {size}")
     if not isinstance(kinds, list) or not all(isinstance(kind, str) and kind for kind in kinds):
--- a/calicomast/policy/accounts.py
+++ b/calicomast/policy/accounts.py
@@ -32,14 +32,20 @@
 @dataclass(slots=True)
 class Call:
     acct: Account
-    kind: str  # units, slot or void
+    kind: str  # units, slot (a SlotCall) or void
     window: int
     charge: float = 0.0
     ask: float = 0.0
     extra: float = 0.0  # for those that passed unasked
     sample: float = 1.0  # tries that it stands for
     fresh: float = 0.0  # of the charge: spent just now
-    job: Job | None = None
+
+
+@dataclass(slots=True, kw_only=True)
+class SlotCall(Call):
+    """For a place among the open attempts: always for one request. What gives a place back is void."""
+
+    job: Job
 
 
 class Account:
@@ -65,7 +71,8 @@
         self.owed_at = now
         self.carried = self.others = self.life = 0.0  # owed from old windows, here and by others; ever used
         self.past: list[Account] = []  # the customer's in other windows, as long as these or their work last
-        self.call, self.full_until, self.seen_at, self.rng, self.dice = None, 0.0, now, rng, rng.random()
+        self.call: Call | None = None
+        self.full_until, self.seen_at, self.rng, self.dice = 0.0, now, rng, rng.random()
         self.waiting: list[str] = []
         # Ceiling: an even share, no failure can pass it; empty at a start, as the last life's use is unknown.
         self.cap_at, self.cap = now, min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.spread
--- a/calicomast/policy/quota.py
+++ b/calicomast/policy/quota.py
@@ -5,7 +5,7 @@
 import math
 
 from calicomast import interface as api
-from calicomast.policy.accounts import CHARGE_AT, CROWDED, Account, Call, stable_hash
+from calicomast.policy.accounts import CHARGE_AT, CROWDED, Account, Call, SlotCall, stable_hash
 from calicomast.policy.fleet import TICK
 from calicomast.policy.shedding import Shedding
 from calicomast.policy.work import OPEN_EPOCH, Job
@@ -144,7 +144,7 @@
                 while len(self.unheard) > UNHEARD_MOST:
                     del self.unheard[next(iter(self.unheard))]
             self.settle_waiting(now, acct)
-        elif call.kind == "slot":
+        elif isinstance(call, SlotCall):
             self.slot_counted(now, event, call)
 
     def counted_late(self, now: float, event: api.Counted) -> None:
@@ -218,7 +218,7 @@
             return
         self.enqueue(now, job)
 
-    def slot_counted(self, now: float, event: api.Counted, call: Call) -> None:
+    def slot_counted(self, now: float, event: api.Counted, call: SlotCall) -> None:
         job, acct, ok = call.job, call.acct, event.result == "ok"
         if ok and (job.done or event.total > acct.plan.open_limit % acct.spread):
             self.count_open(acct, call.window, -1)
--- a/calicomast/policy/work.py
+++ b/calicomast/policy/work.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from calicomast import interface as api
-from calicomast.policy.accounts import Account, Call, Counter, PlanUse, stable_hash
+from calicomast.policy.accounts import Account, Call, Counter, PlanUse, SlotCall, stable_hash
 from calicomast.policy.fleet import TICK, Fleet
 from calicomast.policy.fleet_time import FleetTime
 
@@ -76,7 +76,7 @@
         self.out.append(api.Count(name, amount, min(60.0, max(life, 1.0))))
 
     def count_open(self, acct: Account, epoch: int, amount: int, job: Job | None = None) -> None:
-        call = Call(acct, "slot" if job else "void", epoch, job=job)
+        call = SlotCall(acct, "slot", epoch, job=job) if job is not None else Call(acct, "void", epoch)
         self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
 
     def refuse(self, now: float, job: Job, wait: float) -> None:
--- a/calicomast/registry/views.py
+++ b/calicomast/registry/views.py
@@ -17,10 +17,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 from operator import is_not
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from calicomast.base.views import RING, Part, Rings, View
 
+if TYPE_CHECKING:
+    from calicomast.registry.core import Host
+
 MOST_VIEWS = 8192  # live at once, where nothing else is said
 KEEP = 60.0  # s for which a view that nobody asks for any longer is kept
 IDLE_LEAST = 5.0  # s that it is kept though there are too many: the next watch comes sooner
@@ -30,17 +33,6 @@
 LEFT_MOST = 4096  # hosts that left views, as they are told to all of them
 
 
-class HostLike(Protocol):
-    @property
-    def id(self) -> str: ...
-    @property
-    def kind(self) -> str: ...
-    @property
-    def zone(self) -> str: ...
-    @property
-    def state(self) -> str: ...
-
-
 class TooMany(Exception):
     """Views are live already, as many as may be."""
 
@@ -52,8 +44,8 @@
     view: View
     number: int
     base: int  # what changed since an older version cannot be told
-    hosts: dict[str | None, dict[str, HostLike]] = field(default_factory=dict)  # by group and id, as told
-    marks: dict[str, tuple[int, HostLike]] = field(default_factory=dict)  # last changes, by version; those
+    hosts: dict[str | None, dict[str, Host]] = field(default_factory=dict)  # by group and id, as told
+    marks: dict[str, tuple[int, Host]] = field(default_factory=dict)  # last changes, by version; those
     # that left are removed there
     dirty: dict[str | None, None] = field(default_factory=dict)  # groups in which something may have changed
     keys: dict[object, None] = field(default_factory=dict)  # of watches that wait
@@ -63,14 +55,14 @@
     def cost(self) -> int:
         return self.view.share * len(self.dirty)
 
-    def whole(self) -> tuple[HostLike, ...]:
+    def whole(self) -> tuple[Host, ...]:
         return tuple(host for hosts in self.hosts.values() for host in hosts.values())
 
-    def since(self, index: int) -> tuple[HostLike, ...]:
+    def since(self, index: int) -> tuple[Host, ...]:
         found = itertools.takewhile(lambda mark: mark[0] > index, reversed(self.marks.values()))
         return tuple(host for _, host in found)
 
-    def mark(self, version: int, host: HostLike) -> None:
+    def mark(self, version: int, host: Host) -> None:
         self.marks.pop(host.id, None)
         self.marks[host.id] = version, host
         self.marked = version
@@ -154,14 +146,14 @@
     def __init__(self, most: int = MOST_VIEWS) -> None:
         self.most = most
         self.rings = Rings()
-        self.told: dict[str, HostLike] = {}  # hosts that are listed, as they are
+        self.told: dict[str, Host] = {}  # hosts that are listed, as they are
         self.lives: dict[View, Live] = {}
         self.idle: dict[View, float] = {}  # those that no watch waits on, in the order of their ends
         self.sides: dict[str | None, Sides] = {}
         self.numbers = itertools.count()
         self.now = 0.0  # the last time that was told
         self.ages: deque[tuple[float, int]] = deque()  # times, and the versions then
-        self.left: dict[str, tuple[HostLike, HostLike]] = {}  # by id, as it was last, and as removed
+        self.left: dict[str, tuple[Host, Host]] = {}  # by id, as it was last, and as removed
         self.pending: list[tuple[str, str, int]] = []  # changes: kind, zone and place
         self.burst = False  # there were too many
         self.split: set[str | None] = set()  # groups whose zones are others
@@ -170,7 +162,7 @@
 
     # Changes of hosts
 
-    def put(self, host: HostLike) -> None:
+    def put(self, host: Host) -> None:
         self.touch(host.id)
         known = self.rings.known.get(host.id)
         groups = {None, host.kind, known.kind if known is not None else None}
@@ -275,7 +267,7 @@
             self.ages.popleft()
         return self.ages[0][1] if self.ages[0][0] <= self.now - REMEMBER else -1
 
-    def removed(self, host: HostLike) -> HostLike:
+    def removed(self, host: Host) -> Host:
         """As it is told where it has left a view, though it may still exist: one object for all views."""
         host = self.told.get(host.id, host)
         known = self.left.get(host.id)
@@ -285,10 +277,10 @@
             known = self.left[host.id] = host, replace(host, state="removed")
         return known[1]
 
-    def remake(self, live: Live, group: str | None) -> tuple[dict[str, HostLike], dict[str, HostLike]]:
+    def remake(self, live: Live, group: str | None) -> tuple[dict[str, Host], dict[str, Host]]:
         """A group's hosts as they were and as they are now; its arcs with them."""
         sides, told = self.sides.setdefault(group, Sides()), self.told
-        new: dict[str, HostLike] = {}
+        new: dict[str, Host] = {}
         for part in self.rings.parts(live.view, group):
             arcs = sides.own if part.own else sides.others
             arcs.setdefault(live.view.zone, Arcs()).put(live, part)
