--- a/calicomast/cli.py
+++ b/calicomast/cli.py
@@ -5,10 +5,11 @@
 import sys
 from collections.abc import Callable
 from pathlib import Path
-from typing import IO, Any
+from typing import IO, Any, TypeVar
 
 import click
 
+F = TypeVar("F", bound=Callable[..., None])
 LOOPBACK = "127.0.0.1:0"
 
 
@@ -115,7 +116,7 @@
         raise click.ClickException(str(err)) from err
 
 
-def addresses(command: click.Command) -> click.Command:
+def addresses(command: F) -> F:
     for name in ("--control", "--listen"):
         command = click.option(name, type=PLACE, default=LOOPBACK, show_default=True)(command)
     return click.option("--seed", type=int, default=0, help="Of faults and times of work.")(command)
--- a/calicomast/lab/budgets/__main__.py
+++ b/calicomast/lab/budgets/__main__.py
@@ -178,7 +178,8 @@
         def want() -> None:
             for client in clients:
                 for name in client.holder.parts:
-                    client.holder.take(client.clock(), name, rng.randint(1, 40)) and client.holder.give(name)
+                    if client.holder.take(client.clock(), name, rng.randint(1, 40)):
+                        client.holder.give(name)
 
         await asyncio.sleep(8.0)  # till it has learned and granted
         assert part.process is not None
--- a/calicomast/lab/faults/links.py
+++ b/calicomast/lab/faults/links.py
@@ -87,11 +87,15 @@
 
     async def open(self, places: dict[str, Address]) -> dict[str, Address]:
         """`places`: where each listens and sends from. Returns the addresses that they are to tell."""
+
+        def towards(to: str) -> Callable[[Address, bytes], None]:
+            return lambda source, data: self.forward(source, to, data)
+
         self.exit = await port(lambda *_: self.counts.update(astray=1))
         for name, address in places.items():
             self.real[name] = on_loopback(address)
             self.names[address] = name
-            self.entries[name] = await port(lambda source, data, to=name: self.forward(source, to, data))
+            self.entries[name] = await port(towards(name))
         return {name: entry.transport.get_extra_info("sockname")[:2] for name, entry in self.entries.items()}
 
     def forward(self, source: Address, to: str, data: bytes) -> None:
--- a/calicomast/lab/membership/__main__.py
+++ b/calicomast/lab/membership/__main__.py
@@ -130,6 +130,11 @@
     return (time.perf_counter() - began) * 1e6
 
 
+def rumours(incarnation: int) -> list[list[object]]:
+    """Rows of 16 members that live."""
+    return [[f"m{n}", *address_of(n), incarnation, ORDER[ALIVE], {"kind": "gateway"}] for n in range(1, 17)]
+
+
 def cost(size: int) -> tuple[float, float, float, float]:
     """Medians in microseconds: a period with its probe, a datagram with 16 rumours that are all news, a whole
     exchange; and kB of memory for each member known."""
@@ -138,7 +143,6 @@
     memory = tracemalloc.get_traced_memory()[0] / size / 1000
     tracemalloc.stop()
     ticks, hears, wholes = list[float](), list[float](), list[float]()
-    rows = [[f"m{n}", *address_of(n), 2, ORDER[ALIVE], {"kind": "gateway"}] for n in range(1, 17)]
     for number in range(1000):
         period = swim.next_probe
         while swim.next_probe == period:
@@ -146,9 +150,7 @@
             took = timed(swim.tick, now)
         ticks.append(took)
         swim.probes.clear()  # as if acknowledged
-        for row in rows:
-            row[3] += 1
-        swim.emit(address_of(1), {"k": "ping", "s": number, "r": rows})
+        swim.emit(address_of(1), {"k": "ping", "s": number, "r": rumours(3 + number)})
         data = swim.take()[-1].data.replace(b'"f":"m0"', b'"f":"m1"')
         hears.append(timed(swim.receive, now, address_of(1), data))
         if number % 100 == 0:
--- a/calicomast/lab/scale/arithmetic.py
+++ b/calicomast/lab/scale/arithmetic.py
@@ -178,7 +178,7 @@
         name(f"{kind}_in_a_burst", book[kind] * of("burst"), f"{kind}/s")
     name("counts_of_all", book["counts"] * of("gateways"), "calls/s")
     name("counts_of_all_in_a_burst", book["counts_of_all"] * of("burst"), "calls/s")
-    for label, axis, at in (
+    for label, axis, held in (
         ("customers", "customers", of("tenants")),
         ("own_customers", "customers", book["customers_a_gateway"]),
         ("plans", "plans", of("routes")),
@@ -187,9 +187,9 @@
         ("kinds", "kinds", of("services")),
         ("cells", "cells", of("services")),
     ):
-        name(f"kept_mb_by_{label}", book.measured("kept_mb", "gateway", axis, at), "MB")
-        name(f"idle_mb_by_{label}", book.measured("kept_idle_mb", "gateway", axis, at), "MB")
-        name(f"request_ms_by_{label}", book.measured("cpu_ms_a_request", "gateway", axis, at), "ms")
+        name(f"kept_mb_by_{label}", book.measured("kept_mb", "gateway", axis, held), "MB")
+        name(f"idle_mb_by_{label}", book.measured("kept_idle_mb", "gateway", axis, held), "MB")
+        name(f"request_ms_by_{label}", book.measured("cpu_ms_a_request", "gateway", axis, held), "ms")
 
 
 def gateway(book: Book) -> None:
--- a/calicomast/lab/scale/beside.py
+++ b/calicomast/lab/scale/beside.py
@@ -13,6 +13,7 @@
 import statistics
 import tempfile
 import time
+from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -84,6 +85,12 @@
     return machine.Estimate(mb, processes + 2 + REAL, SETTLE + told + seconds)
 
 
+def joining(place: str, seeds: list[str]) -> Callable[[dict[str, Any]], dict[str, Any]]:
+    """Makes a gateway's configuration that of a member."""
+    cluster = {"cluster": "scale", "listen": place, "seeds": seeds}
+    return lambda tree: tree | {"membership": cluster}
+
+
 async def members(count: int, seconds: float) -> tuple[dict[str, float], dict[str, Off]]:
     """Of one member, a second, once all know each other and have passed that on."""
     with tempfile.TemporaryDirectory(prefix="scale-") as text:
@@ -94,8 +101,7 @@
             Crowds(folder, {"kind": "members", "seeds": seeds}, count - REAL) as crowds,
         ):
             for number, place in enumerate(seeds):
-                cluster = {"cluster": "scale", "listen": place, "seeds": seeds}
-                await rig.start(number, lambda tree, cluster=cluster: tree | {"membership": cluster})
+                await rig.start(number, joining(place, seeds))
             await crowds.until(lambda one: one["known"] >= count - 1)
             await crowds.until(lambda one: not one["rumours"], SETTLE + TOLD_EACH * count)
             before, sent, cpu = await crowds.each(), await sent_by(rig), crowds.cpu()
--- a/calicomast/lab/scale/cells.py
+++ b/calicomast/lab/scale/cells.py
@@ -182,15 +182,19 @@
         run = self.run(figure, role, axis, variant, build, name)
         if run is None or at.value is None:
             return Figure(None, f"{role}/{axis}.{figure}", MEASURED, unit)
-        source = f"{run.name}.{figure}@{at.expr}"
+        wanted, source = at.value, f"{run.name}.{figure}@{at.expr}"
+
+        def near(point: float) -> bool:
+            return abs(point / wanted - 1) <= NEAR
+
         values = points(run, figure)
-        here = [cost for point, cost in values if abs(point / at.value - 1) <= NEAR]
+        here = [cost for point, cost in values if near(point)]
         if here:
-            remarks = self.remarks(run, figure, lambda point: abs(point / at.value - 1) <= NEAR)
+            remarks = self.remarks(run, figure, near)
             return Figure(statistics.median(here), source, MEASURED, unit, (run.name,), remarks)
         found = fitted(tuple(values))
-        beyond = at.value > max(point for point, _ in values)
-        foretold = None if beyond and not fit.foretells(found) else fit.predict(found, at.value)
+        beyond = wanted > max(point for point, _ in values)
+        foretold = None if beyond and not fit.foretells(found) else fit.predict(found, wanted)
         return Figure(
             foretold, source, EXTRAPOLATED, unit, (run.name,), self.remarks(run, figure, lambda _: True)
         )
--- a/calicomast/lab/scale/events.py
+++ b/calicomast/lab/scale/events.py
@@ -17,6 +17,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
+from functools import partial
 from typing import Any
 
 from calicomast.base.views import View
@@ -122,6 +123,7 @@
         registry, index, view, epoch = self.registry, self.versions[number], None, self.epochs[number]
         if self.case.view:
             view = View(number, self.case.view, self.case.zone(number))
+        answer: Answer | None
         if not index:
             answer = registry.answer(number, None) if view is None else registry.view(self.now, number, view)
         elif view is None:
@@ -174,7 +176,7 @@
         """They fall silent together."""
         for number in numbers:
             self.registry.register(self.now, self.host(number), 1, SHORT)
-            self.at(self.now + SHORT / 2, lambda number=number: self.renew(number, 1))
+            self.at(self.now + SHORT / 2, partial(self.renew, number, 1))
 
     def restart(self, number: int) -> None:
         """It drains and comes back, by when it has been removed."""
@@ -207,7 +209,7 @@
     """Hosts one after another, spread over the fleet, but for the last of the time."""
     step = 7919  # prime to the number of hosts
     for count in range(int(PACE * (world.case.seconds - AWAY - 1))):
-        world.at(AT + count / PACE, lambda count=count: world.restart(count * step % world.case.hosts))
+        world.at(AT + count / PACE, partial(world.restart, count * step % world.case.hosts))
 
 
 def everything(world: World) -> None:
@@ -235,11 +237,15 @@
     far = [number for number in range(case.hosts) if case.beyond(number)]
     apart(world)
     world.reached, world.began = case.gateways, at
+
+    def renew(number: int) -> None:
+        world.registry.renew(world.now, world.host(number).id, 1)
+
     for place, number in enumerate(number for number in range(case.hosts) if not case.beyond(number)):
         for again in range(1, int(2 * case.apart / LONG) + 1):  # they renew all the time
             world.at(
                 AT + again * LONG / 2 + place / case.hosts,
-                lambda number=number: world.registry.renew(world.now, world.host(number).id, 1),
+                partial(renew, number),
             )
 
     def join() -> None:
@@ -247,7 +253,7 @@
 
     world.at(at, join)
     for place, number in enumerate(far):
-        world.at(at + SHORT / 2 * place / len(far), lambda number=number: world.register(number))
+        world.at(at + SHORT / 2 * place / len(far), partial(world.register, number))
 
 
 def lost(world: World) -> None:
@@ -273,7 +279,7 @@
         for number in range(world.case.hosts):
             world.at(
                 AT + AWAY + SHORT / 2 * number / world.case.hosts,
-                lambda number=number: world.register(number),
+                partial(world.register, number),
             )
 
     world.at(AT, turn)
--- a/calicomast/lab/scale/page.py
+++ b/calicomast/lab/scale/page.py
@@ -389,7 +389,7 @@
         told, limit, lacking = *asked_figures(book, asked), False
         if asked.figure in SUMS:
             parts, column = SUMS[asked.figure]
-            figures = [line[column] for line in parts(book)]
+            figures = [line.takes[column] for line in parts(book)]
             lacking = any(figure is not None and figure.value is None for figure in figures)
         if told is None or told.value is None:
             verdict = VERDICTS[1]
@@ -416,7 +416,7 @@
     limit = named(book, asked.limit, asked.unit)
     if asked.figure in SUMS:
         parts, column = SUMS[asked.figure]
-        return total(book, [line[column] for line in parts(book)])[1], limit
+        return total(book, [line.takes[column] for line in parts(book)])[1], limit
     return named(book, asked.figure, asked.unit), limit
 
 
@@ -497,16 +497,22 @@
 
 
 LEAST_PART = 0.001  # of a limit, that is told
-Part = tuple[str, *tuple[Figure | None, ...]]  # of a sum: what it is, and what it takes
+
+
+class Part(NamedTuple):
+    """Of a sum: what it is, and what it takes."""
+
+    what: str
+    takes: tuple[Figure | None, ...]
 
 
 def sums(book: Book, lines: list[Part], limits: tuple[Figure, ...], head: tuple[str, ...]) -> str:
     """Each with its part of the limit."""
     told = [
         (what, *(part_of(book, figure, limit) for figure, limit in zip(figures, limits, strict=True)))
-        for what, *figures in lines
+        for what, figures in lines
     ]
-    columns = [total(book, [line[n] for line in lines]) for n in range(1, len(limits) + 1)]
+    columns = [total(book, [line.takes[n] for line in lines]) for n in range(len(limits))]
     told.append(("**all**", *(text for text, _ in columns)))
     told.append(("limit", *(book.show(limit) for limit in limits)))
     told.append(
@@ -546,18 +552,20 @@
         ("grantor of budgets", "copies", "grantor_cpu_share", "grantor_rss_mb", "grantor_kb_s"),
     )
     lines = [
-        (
+        Part(
             what,
-            book.of(machine, "machines") if machine else None,
-            *(
-                (book[name] * copies).named(name, told) if name else None
-                for name, told in zip(names, ("cores", "MB", "KB/s"), strict=True)
+            (
+                book.of(machine, "machines") if machine else None,
+                *(
+                    (book[name] * copies).named(name, told) if name else None
+                    for name, told in zip(names, ("cores", "MB", "KB/s"), strict=True)
+                ),
             ),
         )
         for what, machine, *names in parts
     ]
     return lines + [
-        (what, none, none, none, none)
+        Part(what, (none, none, none, none))
         for what in ("distribution of configuration (not built)", "voters of duties (not built)")
     ]
 
@@ -574,24 +582,21 @@
 def of_control(book: Book) -> list[Part]:
     """What a gateway does beside its requests."""
     return [
-        (
+        Part(
             "process and list with a view, in a rollout",
-            book["cpu_share_view_in_a_rollout"],
-            book["rss_mb_view"],
-            book["kb_s_view_in_a_rollout"],
+            (book["cpu_share_view_in_a_rollout"], book["rss_mb_view"], book["kb_s_view_in_a_rollout"]),
         ),
-        ("membership", book["membership_cpu_share"], book["membership_rss_mb"], book["membership_kb_s"]),
-        (
+        Part(
+            "membership",
+            (book["membership_cpu_share"], book["membership_rss_mb"], book["membership_kb_s"]),
+        ),
+        Part(
             "configuration, a plan for each route",
-            book["configuration_cores"],
-            book["configuration_mb"],
-            book["configuration_kb_s"],
+            (book["configuration_cores"], book["configuration_mb"], book["configuration_kb_s"]),
         ),
-        (
+        Part(
             "exchanges with the grantor (no gateway does them yet)",
-            book["grantor_holder_cpu_share"],
-            book["grantor_holder_mb"],
-            book["holder_kb_s"],
+            (book["grantor_holder_cpu_share"], book["grantor_holder_mb"], book["holder_kb_s"]),
         ),
     ]
 
@@ -606,10 +611,10 @@
 
 
 SUMS: dict[str, tuple[Callable[[Book], list[Part]], int]] = {
-    "sum processor": (of_control, 1),
-    "sum memory": (of_control, 2),
-    "sum bytes": (of_control, 3),
-    "sum machines": (of_machines, 2),
+    "sum processor": (of_control, 0),
+    "sum memory": (of_control, 1),
+    "sum bytes": (of_control, 2),
+    "sum machines": (of_machines, 1),
 }
 
 PARTS = (
@@ -715,7 +720,7 @@
     """What the operators count on."""
     lines = []
     for event in EVENTS:
-        count = book[event.count] if event.count in book.formulas else book.of(event.count, event.unit)
+        count = book[event.many] if event.many in book.formulas else book.of(event.many, event.unit)
         cost, lasts = (named(book, name, "s") if name else None for name in (event.cost, event.lasts))
         lines.append(
             (
@@ -781,12 +786,12 @@
 
 
 class Event(NamedTuple):
-    """`count`, `cost`, `lasts`: names of the target or of formulas; `of`: whose the cost is; `told`: how
+    """`many`, `cost`, `lasts`: names of the target or of formulas; `of`: whose the cost is; `told`: how
     figures of what a gateway is told begin."""
 
     what: str
     text: str
-    count: str
+    many: str
     unit: str
     told: str
     cost: str
@@ -1048,7 +1053,7 @@
         figures = [
             book[f"{stem}_by_{word.by}"] if word.by else None for stem in ("kept_mb", "idle_mb", "request_ms")
         ]
-        count = book[word.count] if word.count in book.formulas else book.of(word.count)
+        count = book[word.many] if word.many in book.formulas else book.of(word.many)
         lines.append(
             (
                 word.word,
@@ -1075,7 +1080,7 @@
 class Word(NamedTuple):
     word: str
     read: str
-    count: str
+    many: str
     by: str  # the axis by which it was measured
     why: str
 
--- a/calicomast/standins/host.py
+++ b/calicomast/standins/host.py
@@ -25,7 +25,7 @@
 
     def __init__(self, answer: bytes | None | Callable[[], bytes | None] = VALUE, seed: int = 0) -> None:
         super().__init__(seed)
-        self.answer, self.commands, self.connections = answer, [], 0
+        self.answer, self.commands, self.connections = answer, list[Any](), 0
         self.arrived: asyncio.Queue[Any] = asyncio.Queue()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/calicomast/supervisor/fleet.py
+++ b/calicomast/supervisor/fleet.py
@@ -32,7 +32,7 @@
 NOTHING: Mapping[str, str] = MappingProxyType({})
 EDGE: Mapping[str, Any] = MappingProxyType({"edge": {}})
 
-CLASSES = [  # times in seconds: wanted within, deadline
+CLASSES: list[Json] = [  # times in seconds: wanted within, deadline
     {"name": "reading", "slo": 6 * S // 5, "deadline": 3 * S, "effect": "pure", "gain": 1.0},
     {"name": "statement", "slo": 2 * S, "deadline": 4 * S, "effect": "pure", "gain": 2.0},
     {
@@ -45,7 +45,7 @@
         "memory_span": 15 * S,
     },
 ]
-PLANS = [
+PLANS: list[Json] = [
     {"name": "village", "rate": 2.0, "most_at_once": 8.0, "value_factor": 0.9, "over_cost": 0.5},
     {"name": "cooperative", "rate": 5.0, "most_at_once": 20.0, "value_factor": 1.3, "over_cost": 1.2},
     {"name": "utility", "rate": 20.0, "most_at_once": 60.0, "value_factor": 1.6, "over_cost": 0.8},
@@ -281,7 +281,7 @@
             part.name,
             part.places["listen"],
         )
-        return tree | {"seed": f"{number + 1:x}", "control": part.places["control"]} | self.more
+        return tree | {"seed": f"{number + 1:x}", "control": part.places["control"]} | dict(self.more)
 
     async def begin_all(self, parts: Sequence[Part]) -> None:
         """Some at a time, so that each has its time to come up."""
