--- a/tests/golden/test_golden_gateway.py
+++ b/tests/golden/test_golden_gateway.py
@@ -340,6 +340,17 @@
         assert gateway.call("GET /config/history").partition(b"\r\n\r\n")[2] == golden("history-answer.json")
 
 
+def test_versions_by_a_signal_and_by_a_confirmation_that_did_not_come(folder):
+    with Gateway(folder, config()) as gateway:
+        file = folder.parent / "config.json"
+        file.write_text(json.dumps(config(settings=config()["settings"] | {"locality": "d"})))
+        gateway.process.send_signal(signal.SIGHUP)
+        until(lambda: gateway.json("GET /config")["version"] == 2)
+        gateway.call("POST /config/apply?expect=2&confirm_within=1", FRESH)
+        until(lambda: gateway.json("GET /config")["version"] == 4)
+        compare("history-signal-expiry-masked.json", masked((folder / "n0-config.json").read_bytes()))
+
+
 TORN = {
     "half written": lambda text: text[:-20],
     "empty": lambda text: b"",
@@ -525,7 +536,7 @@
 
 
 def test_a_view_is_asked_for_and_kept(folder):
-    view = {"view": {"size": 12, "kinds": ["m", "k,1"], "most": 40}}
+    view = {"view": {"size": 12, "kinds": ["m", "k", "k,1"], "most": 40}}
     with listing(VIEWED) as peer:
         with Gateway(folder, config(discovery=peer.place, known=NO_LIST, **KEEP, **view)) as gateway:
             until(lambda: len(heads(peer)) >= 2)
@@ -538,6 +549,15 @@
     )
 
 
+def test_a_stored_list_of_a_view_is_read(folder):
+    put(folder / "n0-list.json", golden("list-view.json"))
+    view = {"view": {"size": 12, "kinds": ["m", "k", "k,1"], "most": 40}}
+    with Gateway(folder, config(known=NO_LIST, **KEEP, **view)) as gateway:
+        told = gateway.json("GET /status")
+    assert (told["ready"], told["hosts"], told["list"]["epoch"]) == (True, ["h1"], "e 1")
+    assert told["list"]["view"] == {"size": 12, "hosts": 2, "total": 90, "by_service": True, "shelf": 0}
+
+
 # Clients, an endpoint and the counter
 
 
