--- a/tests/golden/test_golden_budgets.py
+++ b/tests/golden/test_golden_budgets.py
@@ -94,9 +94,9 @@
 STATUS = (
     b'{"term": 4000000000001, "disk": true, "learning": 0.0, "gateways": 3, "surplus": [], "clashes": [], '
     b'"counts": {"exchanges": 1}, "budgets": {"connections": {"whole": 40.0, "reserve": 8.0, '
-    b'"divided": 32.0, "granted": 28.0, "over": 0.0, "needed": 28.0, "short": false}, "connects": {"whole": 20.0, '
-    b'"reserve": 5.0, "divided": 12.0, "granted": 10.5, "over": 0.0, "needed": 10.5, "short": false}}, '
-    b'"writes": 2}'
+    b'"divided": 32.0, "granted": 28.0, "over": 0.0, "needed": 28.0, "short": false}, "connects": '
+    b'{"whole": 20.0, "reserve": 5.0, "divided": 12.0, "granted": 10.5, "over": 0.0, "needed": 10.5, '
+    b'"short": false}}, "writes": 2}'
 )
 REFUSALS = [  # in this order, after EXCHANGE was answered
     (EXCHANGE.replace(b'"seq":3', b'"seq":2'), 410, b'{"error": "a newer exchange was answered"}'),
