--- a/tests/golden/test_golden_registry.py
+++ b/tests/golden/test_golden_registry.py
@@ -1,6 +1,6 @@
 """Wire forms of the list service, as 127d781 writes them: its configuration and file of hosts as read,
 answers to each call, refusals, and the query of a view. It runs as a process. Its epoch is drawn and its
-versions go on from the clock: @E stands for the epoch, @0, @1, ... for versions from the first answer's on."""
+versions go on from the clock: @E stands for the epoch, @0, @1, ... for versions from the first answer on."""
 
 import json
 import re
