--- a/calicomast/base/accepting.py
+++ b/api_gateway/base/accepting.py
@@ -15,7 +15,7 @@
 from time import monotonic
 from typing import Any
 
-from calicomast.base.listing import Address
+from api_gateway.base.endpoint_list import Address
 
 ACCEPTS_PER_TURN = 1  # connections accepted before the event loop turns to requests in flight
 TRIES_AT_ONCE = 5  # failures in a row after which accept is tried in the next turn of the loop
--- a/calicomast/net/descriptors.py
+++ b/api_gateway/base/descriptors.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-from calicomast.base.accepting import SHORTAGE_ERRORS
+from api_gateway.base.accepting import SHORTAGE_ERRORS
 
 T = TypeVar("T")
 
--- a/calicomast/base/listing.py
+++ b/api_gateway/base/endpoint_list.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, TypeVar
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 STATE = {"up": "up", "draining": "leaving", "removed": "down"}
 
--- a/calicomast/base/serving.py
+++ b/api_gateway/base/serving.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from calicomast.base.faults import ConfigError
+from api_gateway.base.errors import ConfigError
 
 LOOK_AGAIN = 24 * 3600.0  # s after which a full collection of garbage looks at all objects once more
 
--- /dev/null
+++ b/api_gateway/budgets/__main__.py
@@ -0,0 +1,12 @@
+"""The grantor of budgets: `python -m api_gateway.budgets`, with BUDGETS_CONFIG naming its configuration."""
+
+from __future__ import annotations
+
+import sys
+
+from api_gateway.base.serving import run
+from api_gateway.budgets.config import read_config
+from api_gateway.budgets.service import Service
+
+if __name__ == "__main__":
+    sys.exit(run("api_gateway.budgets", lambda: Service(read_config()), "budgets are granted"))
--- a/calicomast/budgets/client.py
+++ b/api_gateway/budgets/client.py
@@ -13,10 +13,10 @@
 import aiohttp
 import msgspec
 
-from calicomast.budgets.clock import boot_clock
-from calicomast.budgets.holder import Holder
-from calicomast.budgets.lock import Lock
-from calicomast.budgets.terms import Grants, Terms
+from api_gateway.budgets.clock import boot_clock
+from api_gateway.budgets.holder import Holder
+from api_gateway.budgets.lock import Lock
+from api_gateway.budgets.terms import Grants, Terms
 
 JITTER, PROMPT = 0.1, 0.2  # parts of the time between exchanges: drawn; after which less is confirmed
 LOOK = 1.0  # s between looks whether the share of the reserve is free now
--- a/calicomast/budgets/config.py
+++ b/api_gateway/budgets/config.py
@@ -10,9 +10,9 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from calicomast.base.faults import ConfigError, in_one_line
-from calicomast.base.listing import Address, read_address
-from calicomast.budgets.terms import Terms, Weight, check
+from api_gateway.base.endpoint_list import Address, read_address
+from api_gateway.base.errors import ConfigError, in_one_line
+from api_gateway.budgets.terms import Terms, Weight, check
 
 
 class File(Struct, frozen=True, forbid_unknown_fields=True):
--- a/calicomast/budgets/grantor.py
+++ b/api_gateway/budgets/grantor.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from calicomast.budgets.division import Claim, divide, spread, whole_parts
-from calicomast.budgets.terms import LEVEL, RATE, Budget, Exchange, Grants, Report, Terms
+from api_gateway.budgets.division import Claim, divide, spread, whole_parts
+from api_gateway.budgets.terms import LEVEL, RATE, Budget, Exchange, Grants, Report, Terms
 
 RISE, FALL = 0.5, 2.0  # exchanges in which a need is believed that grew; that shrank
 FLAP = 0.1  # part of a grant by which it does not follow a need where nobody goes short
--- a/calicomast/budgets/holder.py
+++ b/api_gateway/budgets/holder.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from calicomast.budgets.terms import LEVEL, Budget, Exchange, Grants, Report, Terms
+from api_gateway.budgets.terms import LEVEL, Budget, Exchange, Grants, Report, Terms
 
 LESS = 0.1  # part of a grant: one that became smaller by more is confirmed at once, not at the next exchange
 ASKED_AGAIN = 0.2  # s under which two looks at what was asked for count as one
--- a/calicomast/budgets/service.py
+++ b/api_gateway/budgets/service.py
@@ -11,14 +11,14 @@
 import msgspec
 from aiohttp import web
 
-from calicomast.base.accepting import AcceptingServer, serve
-from calicomast.base.calls import hand_out, read_body
-from calicomast.base.faults import ConfigError
-from calicomast.budgets.clock import boot_clock
-from calicomast.budgets.config import Config, read_config
-from calicomast.budgets.grantor import Grantor, Stale, Superseded, Unsound
-from calicomast.budgets.store import Log, State, Store, StoreError, fixed
-from calicomast.budgets.terms import Exchange, Grants, read_exchange
+from api_gateway.base.accepting import AcceptingServer, serve
+from api_gateway.base.calls import hand_out, read_body
+from api_gateway.base.errors import ConfigError
+from api_gateway.budgets.clock import boot_clock
+from api_gateway.budgets.config import Config, read_config
+from api_gateway.budgets.grantor import Grantor, Stale, Superseded, Unsound
+from api_gateway.budgets.store import Log, State, Store, StoreError, fixed
+from api_gateway.budgets.terms import Exchange, Grants, read_exchange
 
 EXCHANGE = "/v1/exchange"
 MOST_BODY = 64 * 1024  # bytes of an exchange
--- a/calicomast/budgets/store.py
+++ b/api_gateway/budgets/store.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from calicomast.budgets.grantor import Held, Key
-from calicomast.budgets.lock import Lock
-from calicomast.budgets.terms import Terms
+from api_gateway.budgets.grantor import Held, Key
+from api_gateway.budgets.lock import Lock
+from api_gateway.budgets.terms import Terms
 
 TABLES = """
 CREATE TABLE IF NOT EXISTS held (name TEXT, life INTEGER, budget TEXT, cover REAL, hold REAL, linger REAL,
--- a/calicomast/cli.py
+++ b/api_gateway/cli.py
@@ -1,4 +1,4 @@
-"""The command `cinderrouter`. Each subcommand imports what it needs by itself."""
+"""The command `api-gateway`. Each subcommand imports what it needs by itself."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
     Starts a list service, a counter, hosts and gateways on 127.0.0.1, and shows what becomes of the requests.
     All of it ends with the command. Exit code: 0 if nothing was lost, quotas held and no process died by
     itself, 1 if not, 2 if it could not start."""
-    from calicomast.demo.play import Plan, play
+    from api_gateway.demo.play import Plan, play
 
     sys.exit(play(Plan(**told), as_json))
 
@@ -108,7 +108,7 @@
 ) -> None:
     import uvloop
 
-    from calicomast.standins.service import run
+    from api_gateway.emulators.service import run
 
     try:
         uvloop.run(run(make(), listen, control, beside))
@@ -144,7 +144,7 @@
     zone: str,
 ) -> None:
     """A host: RESP2 commands in, values out."""
-    from calicomast.standins.host import WorkingHost, stay_registered
+    from api_gateway.emulators.host import WorkingHost, stay_registered
 
     made: list[WorkingHost] = []
 
@@ -165,7 +165,7 @@
 @addresses
 def counter(listen: tuple[str, int], control: tuple[str, int], seed: int) -> None:
     """The counter: adds to named numbers and tells the totals."""
-    from calicomast.standins.counter import Counter
+    from api_gateway.emulators.counter import Counter
 
     started(lambda: Counter(seed), listen, control)
 
@@ -174,10 +174,10 @@
 @addresses
 @click.option("--hosts", type=click.File(), help='A file {"servers": [...]} in the protocol\'s form.')
 def discovery(listen: tuple[str, int], control: tuple[str, int], seed: int, hosts: IO[str] | None) -> None:
-    """Discovery: one list of hosts from a file. A list that lives is `python -m calicomast.registry`."""
+    """Discovery: one list of hosts from a file. A list that lives is `python -m api_gateway.registry`."""
     import json
 
-    from calicomast.standins.discovery import Discovery
+    from api_gateway.emulators.discovery import Discovery
 
     try:
         servers = json.load(hosts)["servers"] if hosts else []
--- a/calicomast/net/changes.py
+++ b/api_gateway/control/config_changes.py
@@ -16,12 +16,12 @@
 from pathlib import Path
 from typing import Any
 
-from calicomast.base.faults import ConfigError, in_one_line
-from calicomast.base.listing import Listing, write_address
-from calicomast.net import keys
-from calicomast.net.bans import Kept
-from calicomast.net.config import Config, rebuild, reread_config
-from calicomast.policy import Gateway
+from api_gateway.base.endpoint_list import Listing, write_address
+from api_gateway.base.errors import ConfigError, in_one_line
+from api_gateway.control import config_schema as keys
+from api_gateway.control.host_overrides import Kept
+from api_gateway.gateway.config import Config, rebuild, reread_config
+from api_gateway.policy import Gateway
 
 PREPARE_WITHIN = 3.0  # s
 TICK = 0.002  # s past the end of a time: the loop's timers may fire early
--- a/calicomast/net/keys.py
+++ b/api_gateway/control/config_schema.py
@@ -14,10 +14,10 @@
 from string import hexdigits
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.base.listing import read_address
-from calicomast.net.config import kind
-from calicomast.settings import DISCOVERY, EFFECT, REPORT
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import read_address
+from api_gateway.gateway.config import kind
+from api_gateway.settings_parser import DISCOVERY, EFFECT, REPORT
 
 MOST_BODY = 512 * 1024  # bytes of a candidate
 MOST_DEPTH = 12  # levels of it
--- a/calicomast/net/bans.py
+++ b/api_gateway/control/host_overrides.py
@@ -11,7 +11,7 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 KEEP_BACK = 60.0  # s for which a host's return is told: it is warm long before
 
--- a/calicomast/net/control.py
+++ b/api_gateway/control/server.py
@@ -11,12 +11,12 @@
 
 from aiohttp import web
 
-from calicomast.base.accepting import BoundedServer, open_listening_socket
-from calicomast.base.calls import read_body
-from calicomast.base.listing import Address
-from calicomast.net.bans import UnknownHost
-from calicomast.net.changes import CONFIRM_LEAST, CONFIRM_MOST, Refused
-from calicomast.net.keys import MOST_BODY, MOST_TOLD, is_number
+from api_gateway.base.accepting import BoundedServer, open_listening_socket
+from api_gateway.base.calls import read_body
+from api_gateway.base.endpoint_list import Address
+from api_gateway.control.config_changes import CONFIRM_LEAST, CONFIRM_MOST, Refused
+from api_gateway.control.config_schema import MOST_BODY, MOST_TOLD, is_number
+from api_gateway.control.host_overrides import UnknownHost
 
 MOST_CALLERS = 16  # connections; past them the one that came first goes
 MOST_ENDING = 4  # beside them whose end has not taken effect; more than both wait unopened, whatever comes
--- a/calicomast/net/counter.py
+++ b/api_gateway/counter_client.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from time import monotonic
 
-from calicomast.base.listing import Address
-from calicomast.base.ratelimit import LimitedLog
-from calicomast.net.descriptors import reclaim_nothing, retry_after_reclaim
+from api_gateway.base.descriptors import reclaim_nothing, retry_after_reclaim
+from api_gateway.base.endpoint_list import Address
+from api_gateway.base.ratelimit import LimitedLog
 
 LINES = 4  # connections, so that a part that is slow does not hold up the names of the others
 KEEP_ALIVE = 2.0  # s without a call after which a `ping`, which costs nothing, keeps a connection open
--- /dev/null
+++ b/api_gateway/demo/__init__.py
@@ -0,0 +1,1 @@
+"""A small fleet on loopback with traffic of its own: `api-gateway demo`."""
--- a/calicomast/demo/play.py
+++ b/api_gateway/demo/play.py
@@ -15,8 +15,8 @@
 
 import uvloop
 
-from calicomast.demo.traffic import OUTCOMES, Traffic
-from calicomast.supervisor.fleet import Fleet, StartFailed
+from api_gateway.demo.traffic import OUTCOMES, Traffic
+from api_gateway.supervisor.fleet import Fleet, StartFailed
 
 BEYOND_MOST = 1.0  # bursts that a customer may be past its quota: what the dead spent, nobody was told
 REFRESH = 0.5  # s
@@ -221,7 +221,7 @@
             show = (lambda told: live.update(table(told), refresh=True)) if live else None
             told = uvloop.run(watched(demo, show))
     except (StartFailed, OSError) as err:
-        print(f"cinderrouter demo: {' '.join(str(err).split())}", file=sys.stderr)
+        print(f"api-gateway demo: {' '.join(str(err).split())}", file=sys.stderr)
         return 2
     except asyncio.CancelledError:
         return 2
--- a/calicomast/net/discovery.py
+++ b/api_gateway/discovery/client.py
@@ -17,10 +17,10 @@
 from time import monotonic
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.base.listing import Address, Listing, read_list
-from calicomast.base.ratelimit import LimitedLog
-from calicomast.net.fetch import Broken, Fetcher, host_of
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import Address, Listing, read_list
+from api_gateway.base.ratelimit import LimitedLog
+from api_gateway.discovery.fetcher import Broken, Fetcher, host_of
 
 WAIT = 5.0  # s that discovery may hold a watch open
 LATE = (1.0, 1.7)  # s past that in which a silent watch is given up, drawn: all fall silent at one moment
--- a/calicomast/net/fetch.py
+++ b/api_gateway/discovery/fetcher.py
@@ -13,8 +13,8 @@
 
 import h11
 
-from calicomast.base.listing import Address
-from calicomast.net.descriptors import reclaim_nothing, retry_after_reclaim
+from api_gateway.base.descriptors import reclaim_nothing, retry_after_reclaim
+from api_gateway.base.endpoint_list import Address
 
 MOST_BODY = 16 * 1024 * 1024  # bytes of an answer: a list of 1,000 hosts takes 150 kB
 PIECE = 64 * 1024
--- a/calicomast/net/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -17,10 +17,10 @@
 from typing import Any
 from urllib.parse import quote
 
-from calicomast import interface as api
-from calicomast.base.listing import STATE, Address, Listing, read_list, write_address
-from calicomast.net.bans import Kept
-from calicomast.net.discovery import Discovery, Params
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import STATE, Address, Listing, read_list, write_address
+from api_gateway.control.host_overrides import Kept
+from api_gateway.discovery.client import Discovery, Params
 
 KEEP_EVERY = 5.0  # s between two times that the list is written
 WORD = {state: word for word, state in STATE.items()}
--- a/calicomast/net/views.py
+++ b/api_gateway/discovery/subsets.py
@@ -16,10 +16,10 @@
 from sys import intern
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.base.listing import Address, Entries, Listing, Odd, read_beside, with_hosts
-from calicomast.base.views import SIZE_MOST, Ring, Rings, View, place_of
-from calicomast.net.fetch import Fetcher, Refused
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import Address, Entries, Listing, Odd, read_beside, with_hosts
+from api_gateway.base.subsets import SIZE_MOST, Ring, Rings, View, place_of
+from api_gateway.discovery.fetcher import Fetcher, Refused
 
 SLICE = 50  # entries of a long list that are read in one turn of the loop: some 2 ms
 LOOK = 1000  # records of the shelf that are looked at in one turn: some 1 ms
--- a/calicomast/net/admission.py
+++ b/api_gateway/downstream/admission.py
@@ -25,9 +25,9 @@
 
 import hiredis
 
-from calicomast.base.accepting import CONNECTION_ERRORS, SHORTAGE_ERRORS
-from calicomast.net.clients import MOST_PENDING, Client, ClientServer
-from calicomast.net.resp import NO_REPLY, SMALL
+from api_gateway.base.accepting import CONNECTION_ERRORS, SHORTAGE_ERRORS
+from api_gateway.base.resp import NO_REPLY, SMALL
+from api_gateway.downstream.client_connection import MOST_PENDING, Client, ClientServer
 
 MOST_SOURCES = 4096  # that are remembered; past that the ones that rest longest are forgotten
 QUANTUM = 4.0  # commands that a connection or a source may have taken before the next one's turn
--- a/calicomast/net/clients.py
+++ b/api_gateway/downstream/client_connection.py
@@ -20,9 +20,9 @@
 
 import hiredis
 
-from calicomast.base.accepting import open_listening_socket
-from calicomast.net.listening import ClientListener
-from calicomast.net.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
+from api_gateway.base.accepting import open_listening_socket
+from api_gateway.base.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
+from api_gateway.downstream.listener import ClientListener
 
 MOST_COMMAND = SMALL + 4096  # bytes of one command but for a large body, framing included
 BACKLOG = 1024
@@ -459,7 +459,7 @@
         )
         sock.setblocking(False)
         if edge is not None:
-            from calicomast.net.admission import Acceptor
+            from api_gateway.downstream.admission import Acceptor
 
             self.listener = Acceptor(sock, self, edge)
         else:
--- a/calicomast/net/listening.py
+++ b/api_gateway/downstream/listener.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from typing import Any
 
-from calicomast.base.accepting import LASTING, AcceptingServer, ProtocolFactory
+from api_gateway.base.accepting import LASTING, AcceptingServer, ProtocolFactory
 
 SHED_PER_TURN = 128  # connections that are closed unread in one turn
 
--- a/calicomast/standins/counter.py
+++ b/api_gateway/emulators/counter.py
@@ -7,7 +7,7 @@
 from time import monotonic
 from typing import Any
 
-from calicomast.standins.service import Faults, Served
+from api_gateway.emulators.service import Faults, Served
 
 MOST_NAMES = 100_000  # known at once; of more, the one that came first is forgotten
 MOST_LIFE = 60.0  # s that a name lives at most
--- a/calicomast/standins/discovery.py
+++ b/api_gateway/emulators/discovery.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from calicomast.standins.service import StandIn
+from api_gateway.emulators.service import StandIn
 
 MOST_CHANGES = 1000  # that are remembered for watches
 Entry = dict[str, Any]  # of a list, in the protocol's form
--- a/calicomast/standins/host.py
+++ b/api_gateway/emulators/host.py
@@ -12,7 +12,7 @@
 import aiohttp
 import hiredis
 
-from calicomast.standins.service import Served
+from api_gateway.emulators.service import Served
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 FAILED, BUSY = b"-ERR failed\r\n", b"-BUSY\r\n"
--- a/calicomast/lab/budgets/__main__.py
+++ b/api_gateway/experiments/budgets/__main__.py
@@ -1,4 +1,7 @@
-"""Figures of budgets: `python -m calicomast.lab.budgets use|times|cost|plot`. See docs/decisions.md."""
+"""Figures of budgets: `python -m api_gateway.experiments.budgets use|times|cost|plot`.
+
+See docs/decisions.md.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,12 @@
 import msgspec
 import uvloop
 
-from calicomast.budgets.client import Client
-from calicomast.budgets.config import File
-from calicomast.budgets.terms import LEVEL, Budget, Terms
-from calicomast.lab.budgets.world import IDLE, WORK, Gateway, World
-from calicomast.lab.crowd import cpu
-from calicomast.supervisor.fleet import Part, free_port
+from api_gateway.budgets.client import Client
+from api_gateway.budgets.config import File
+from api_gateway.budgets.terms import LEVEL, Budget, Terms
+from api_gateway.experiments.budgets.world import IDLE, WORK, Gateway, World
+from api_gateway.experiments.connection_load import cpu
+from api_gateway.supervisor.fleet import Part, free_port
 
 GATEWAYS, MOST = 20, 24
 EVEN = 10.0  # units of the level for each of the gateways that are there, and a second of the rate
@@ -165,7 +168,7 @@
         config = File(place, terms, str(folder / "x.db"))
         (folder / "budgets.json").write_bytes(msgspec.json.encode(config))
         part = Part(
-            "grantor", folder, "calicomast.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
+            "grantor", folder, "api_gateway.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
         )
         await part.start()
         await asyncio.sleep(1.0)
@@ -256,7 +259,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(prog="python -m calicomast.lab.budgets", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m api_gateway.experiments.budgets", description=__doc__)
     parser.add_argument("what", choices=["use", "times", "cost", "plot"])
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=60.0)
--- a/calicomast/lab/budgets/holder.py
+++ b/api_gateway/experiments/budgets/holder.py
@@ -1,6 +1,6 @@
 """A gateway as far as budgets go: it wants units, takes what it may, and uses them at the meter.
 
-`python -m calicomast.lab.budgets.holder CONFIG --name holder-0 --index 0 --grantor HOST:PORT --meter
+`python -m api_gateway.experiments.budgets.holder CONFIG --name holder-0 --index 0 --grantor HOST:PORT --meter
 HOST:PORT --folder FOLDER`: the parts that decide and ask are the product's own. What it wants changes with
 time: little, much, or more than there is.
 """
@@ -16,11 +16,11 @@
 import msgspec
 import uvloop
 
-from calicomast.budgets.client import Client
-from calicomast.budgets.clock import boot_clock
-from calicomast.budgets.config import File
-from calicomast.budgets.terms import LEVEL, Terms
-from calicomast.standins.service import StandIn, run
+from api_gateway.budgets.client import Client
+from api_gateway.budgets.clock import boot_clock
+from api_gateway.budgets.config import File
+from api_gateway.budgets.terms import LEVEL, Terms
+from api_gateway.emulators.service import StandIn, run
 
 LOOK = 0.05  # s between looks at what is wanted
 WORK = 0.2  # s that a request takes at most
--- a/calicomast/lab/budgets/meter.py
+++ b/api_gateway/experiments/budgets/meter.py
@@ -4,7 +4,9 @@
 A connection's first line names its budget. Of a level it counts while it is open, and is closed where nothing
 comes on it for a while, as hosts do; of a rate each further byte is a unit. More at once than the whole
 counts as a breach where it lasts longer than SETTLE: the end of one connection may be read behind the
-beginning of another that came later. `python -m calicomast.lab.budgets.meter CONFIG`, which holds the terms.
+beginning of another that came later.
+
+`python -m api_gateway.experiments.budgets.meter CONFIG`, which holds the terms.
 """
 
 from __future__ import annotations
@@ -18,10 +20,10 @@
 import msgspec
 import uvloop
 
-from calicomast.budgets.config import File
-from calicomast.budgets.terms import LEVEL, Terms
-from calicomast.lab.budgets.referee import LevelReferee, RateReferee
-from calicomast.standins.service import Served, run
+from api_gateway.budgets.config import File
+from api_gateway.budgets.terms import LEVEL, Terms
+from api_gateway.emulators.service import Served, run
+from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
 
 SETTLE = 0.05  # s
 LATE = 0.1  # s by which units may be read later than they came, which makes a burst look larger
--- a/calicomast/lab/budgets/world.py
+++ b/api_gateway/experiments/budgets/world.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from calicomast.budgets.client import PROMPT
-from calicomast.budgets.grantor import Grantor, Held, Key, Stale, Superseded, Unsound
-from calicomast.budgets.holder import Holder
-from calicomast.budgets.terms import LEVEL, Budget, Exchange, Grants, Terms
-from calicomast.lab.budgets.referee import LevelReferee, RateReferee
+from api_gateway.budgets.client import PROMPT
+from api_gateway.budgets.grantor import Grantor, Held, Key, Stale, Superseded, Unsound
+from api_gateway.budgets.holder import Holder
+from api_gateway.budgets.terms import LEVEL, Budget, Exchange, Grants, Terms
+from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
 
 ACT = 0.05  # s, by its own clock, between two looks of a gateway at what it wants
 TICK = 0.1  # s between two looks of the grantor
--- a/calicomast/lab/crowd.py
+++ b/api_gateway/experiments/connection_load.py
@@ -1,4 +1,6 @@
-"""Light clients beside deep pipelines, with turns and without, in pairs: `python -m calicomast.lab.crowd`.
+"""Light clients beside deep pipelines, with turns and without, in pairs.
+
+`python -m api_gateway.experiments.connection_load` plays them.
 
 One gateway by its command and hosts that are stand-ins, each a process; pipelines in one more process, so
 that they slow no light client by themselves. Light clients ask on a schedule, and their times count from when
@@ -23,8 +25,8 @@
 import hiredis
 import uvloop
 
-from calicomast.demo.traffic import Door, Line, encode
-from calicomast.supervisor.fleet import Fleet
+from api_gateway.demo.traffic import Door, Line, encode
+from api_gateway.supervisor.fleet import Fleet
 
 PLAN = {"name": "open", "rate": 1e5, "most_at_once": 1e6}  # nobody is beyond quota here
 TERMS = b"c=reading,t=open,d=3000,units=1,spread=1,first=0"
@@ -164,7 +166,7 @@
             presser = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "calicomast.lab.crowd",
+                "api_gateway.experiments.connection_load",
                 "--press",
                 place,
                 kind.name,
--- a/calicomast/lab/faults/__main__.py
+++ b/api_gateway/experiments/faults/__main__.py
@@ -13,9 +13,9 @@
 
 import uvloop
 
-from calicomast.lab.faults.play import FAILED, KEPT, VOID, Play, lines_to
-from calicomast.lab.faults.scenario import SHIPPED, ScenarioError, read_scenario
-from calicomast.supervisor.fleet import StartFailed
+from api_gateway.experiments.faults.play import FAILED, KEPT, VOID, Play, lines_to
+from api_gateway.experiments.faults.scenario import SHIPPED, ScenarioError, read_scenario
+from api_gateway.supervisor.fleet import StartFailed
 
 CODES = {KEPT: 0, FAILED: 1, VOID: 3}
 
@@ -31,7 +31,7 @@
 def main() -> int:
     shipped = ", ".join(sorted(path.stem for path in SHIPPED.glob("*.toml")))
     parser = argparse.ArgumentParser(
-        prog="python -m calicomast.lab.faults",
+        prog="python -m api_gateway.experiments.faults",
         description=__doc__,
         epilog=f"Scenarios that come with the program: {shipped}.",
     )
--- a/calicomast/lab/faults/links.py
+++ b/api_gateway/experiments/faults/links.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from calicomast.lab.faults.lines import PASS, Line, Treatment
+from api_gateway.experiments.faults.lines import PASS, Line, Treatment
 
 Address = tuple[str, int]
 
--- a/calicomast/lab/faults/play.py
+++ b/api_gateway/experiments/faults/play.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-from calicomast.lab.faults import scenario as told
-from calicomast.lab.faults.lines import Treatment
-from calicomast.lab.faults.world import World
-from calicomast.supervisor.fleet import StartFailed
+from api_gateway.experiments.faults import scenario as told
+from api_gateway.experiments.faults.lines import Treatment
+from api_gateway.experiments.faults.world import World
+from api_gateway.supervisor.fleet import StartFailed
 
 LOOK = 0.1  # s between two looks at what is checked
 KEPT, FAILED, VOID = "kept", "failed", "void"
--- a/calicomast/lab/faults/scenario.py
+++ b/api_gateway/experiments/faults/scenario.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from calicomast.lab.faults.lines import Treatment
+from api_gateway.experiments.faults.lines import Treatment
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
--- a/calicomast/lab/faults/world.py
+++ b/api_gateway/experiments/faults/world.py
@@ -16,13 +16,13 @@
 from pathlib import Path
 from typing import Any
 
-from calicomast.lab.budgets.holder import WORK
-from calicomast.lab.budgets.meter import IDLE
-from calicomast.lab.faults import scenario as told
-from calicomast.lab.faults.lines import PASS, Treatment
-from calicomast.lab.faults.links import LOOPBACK, Network
-from calicomast.standins.site import Json
-from calicomast.supervisor.fleet import NOTHING, Fleet, Part, free_port
+from api_gateway.emulators.site import Json
+from api_gateway.experiments.budgets.holder import WORK
+from api_gateway.experiments.budgets.meter import IDLE
+from api_gateway.experiments.faults import scenario as told
+from api_gateway.experiments.faults.lines import PASS, Treatment
+from api_gateway.experiments.faults.links import LOOPBACK, Network
+from api_gateway.supervisor.fleet import NOTHING, Fleet, Part, free_port
 
 SEEDS = 2  # members that the others know at their start
 DUTY = 0.1  # s: a slow process runs for a share of each
@@ -44,7 +44,7 @@
         self.cluster: dict[str, Json] = {}  # what each gateway's file says of membership
         self.late = {"driver": 0.0, "canary": 0.0}
         self.watching: list[asyncio.Task[None]] = []
-        self.canary = self.part("canary", "calicomast.lab.faults.canary")
+        self.canary = self.part("canary", "api_gateway.experiments.faults.canary")
         self.grantor: Part | None = None
         self.meter: Part | None = None
         self.holders: list[Part] = []
@@ -263,10 +263,11 @@
     def plan_budgets(self) -> None:
         self.budgets_at = f"{LOOPBACK}:{free_port()}"
         self.grantor = self.part(
-            "grantor", "calicomast.budgets", env={"BUDGETS_CONFIG": str(self.folder / "budgets.json")}
+            "grantor", "api_gateway.budgets", env={"BUDGETS_CONFIG": str(self.folder / "budgets.json")}
         )
         self.grantor.places = {"listen": self.budgets_at}
-        self.meter = self.part("meter", "calicomast.lab.budgets.meter", str(self.folder / "budgets.json"))
+        budgets_file = str(self.folder / "budgets.json")
+        self.meter = self.part("meter", "api_gateway.experiments.budgets.meter", budgets_file)
         for name in ("grantor", *(f"holder-{n}" for n in range(self.shape.holders))):
             (self.folder / name).mkdir(exist_ok=True)
 
@@ -302,7 +303,7 @@
             self.holders.append(
                 self.part(
                     name,
-                    "calicomast.lab.budgets.holder",
+                    "api_gateway.experiments.budgets.holder",
                     str(self.folder / "budgets.json"),
                     "--name",
                     name,
--- a/calicomast/lab/membership/__main__.py
+++ b/api_gateway/experiments/membership/__main__.py
@@ -1,4 +1,4 @@
-"""Figures of the failure detector, in virtual time: `python -m calicomast.lab.membership KIND`."""
+"""Figures of the failure detector, in virtual time: `python -m api_gateway.experiments.membership KIND`."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import NamedTuple
 
-from calicomast.lab.membership.world import Cluster, address_of, play
-from calicomast.membership.core import ALIVE, FORGET, ORDER, Swim
+from api_gateway.experiments.membership.world import Cluster, address_of, play
+from api_gateway.membership.core import ALIVE, FORGET, ORDER, Swim
 
 LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
 SPLITS = (10.0, 60.0, 600.0, 3600.0)  # s
@@ -303,7 +303,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="python -m calicomast.lab.membership", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m api_gateway.experiments.membership", description=__doc__)
     parser.add_argument("kind", choices=sorted(KINDS))
     parser.add_argument("--sizes", type=int, nargs="+", default=[40], help="members")
     parser.add_argument("--losses", type=float, nargs="+", default=LOSSES, help="shares of datagrams")
--- a/calicomast/lab/membership/referee.py
+++ b/api_gateway/experiments/membership/referee.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from calicomast.membership.core import DEAD, Address, Swim
+from api_gateway.membership.core import DEAD, Address, Swim
 
 HEALTHY = 25.0  # s for which a member was reached by a majority both ways, after which none may hold it dead
 MOST_BYTES = 1200  # of one datagram
--- a/calicomast/lab/membership/world.py
+++ b/api_gateway/experiments/membership/world.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any
 
-from calicomast.lab.membership.referee import Referee
-from calicomast.membership.core import DEAD, Address, Send, Swim
+from api_gateway.experiments.membership.referee import Referee
+from api_gateway.membership.core import DEAD, Address, Send, Swim
 
 TRANSLATED = ("192.0.2.1", 9)  # where all datagrams seem to come from: nobody is reached there
 DELAYS = (0.001, 0.002, 0.01, 0.05)  # s
--- a/calicomast/lab/scale/__main__.py
+++ b/api_gateway/experiments/scale/__main__.py
@@ -1,4 +1,7 @@
-"""Scale runs on this machine: `python -m calicomast.lab.scale RUN`. Each leaves a file in docs/scale."""
+"""Scale runs on this machine: `python -m api_gateway.experiments.scale RUN`.
+
+Each leaves a file in docs/scale.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +15,10 @@
 
 import uvloop
 
-from calicomast.lab.scale import machine, runs
-from calicomast.lab.scale.programs import program
-from calicomast.lab.scale.service import MOST_OFF
-from calicomast.supervisor.fleet import StartFailed
+from api_gateway.experiments.scale import machine, runs
+from api_gateway.experiments.scale.programs import program
+from api_gateway.experiments.scale.service import MOST_OFF
+from api_gateway.supervisor.fleet import StartFailed
 
 ROOT = Path(__file__).resolve().parents[3]
 Args = argparse.Namespace
@@ -110,7 +113,7 @@
 
 def gateway_by_hosts(args: Args) -> Iterator[runs.Run]:
     """One real gateway without clients."""
-    from calicomast.lab.scale.rest import PACE, rest
+    from api_gateway.experiments.scale.rest import PACE, rest
 
     made = runs.begin(
         f"gateway-by-hosts{args.label}",
@@ -136,7 +139,7 @@
 
 def latency_by_requests(args: Args) -> Iterator[runs.Run]:
     """What a real gateway adds to a request, against a bare relay."""
-    from calicomast.lab.scale import latency
+    from api_gateway.experiments.scale import latency
 
     held: dict[str, int] = {"hosts": 100} | dict(args.held)
     made = runs.begin(
@@ -180,7 +183,7 @@
 def service_by(axis: str) -> Act:
     def act(args: Args) -> Iterator[runs.Run]:
         """The list service under hollow and real gateways."""
-        from calicomast.lab.scale import service
+        from api_gateway.experiments.scale import service
 
         seconds = max(args.seconds, service.COUNTED)
         held: dict[str, int] = {"hosts": 1000, "gateways": 200} | dict(args.held)
@@ -218,7 +221,7 @@
 
 def members(args: Args) -> Iterator[runs.Run]:
     """The cluster that gateways form."""
-    from calicomast.lab.scale import beside
+    from api_gateway.experiments.scale import beside
 
     seconds = max(args.seconds, beside.COUNTED)
     made = runs.begin(
@@ -251,7 +254,7 @@
 
 def counted_members(args: Args) -> Iterator[runs.Run]:
     """The cluster in virtual time."""
-    from calicomast.lab.scale import swarm
+    from api_gateway.experiments.scale import swarm
 
     made = runs.begin(
         f"membership-counted{args.label}",
@@ -276,7 +279,7 @@
 
 def holders(args: Args) -> Iterator[runs.Run]:
     """The grantor of budgets."""
-    from calicomast.lab.scale import beside
+    from api_gateway.experiments.scale import beside
 
     made = runs.begin(
         f"grantor-by-gateways{args.label}",
@@ -303,8 +306,8 @@
 
 def leased(args: Args) -> Iterator[runs.Run]:
     """The counter's stand-in."""
-    from calicomast.lab.scale import leases
-    from calicomast.lab.scale.demand import CUSTOMERS, RATE
+    from api_gateway.experiments.scale import leases
+    from api_gateway.experiments.scale.demand import CUSTOMERS, RATE
 
     made = runs.begin(
         f"counter-by-requests{args.label}",
@@ -331,7 +334,7 @@
 
 def rush(args: Args) -> Iterator[runs.Run]:
     """Counted in the module's own time: one repeat, since each is the same."""
-    from calicomast.lab.scale.demand import ASKED_EACH, CUSTOMERS, RATE, RUSH
+    from api_gateway.experiments.scale.demand import ASKED_EACH, CUSTOMERS, RATE, RUSH
 
     made = runs.begin(
         f"rush-by-customers{args.label}",
@@ -344,7 +347,7 @@
     )
     for size in args.sizes or [18, 36, 72, 143, 286]:
         figures = program(
-            ["-m", "calicomast.lab.scale.lessees"], args.tree, {"rush": size, "seed": args.seed}
+            ["-m", "api_gateway.experiments.scale.lessees"], args.tree, {"rush": size, "seed": args.seed}
         )
         say(
             f"{size}: {figures['calls_s_most']:.0f} calls to the counter in the worst second, "
@@ -356,7 +359,7 @@
 
 def configuration(args: Args) -> Iterator[runs.Run]:
     """Changes of a gateway's configuration."""
-    from calicomast.lab.scale.configuration import Refused, change
+    from api_gateway.experiments.scale.configuration import Refused, change
 
     made = runs.begin(
         f"configuration-by-plans{args.label}",
@@ -413,7 +416,7 @@
         for size in args.sizes or [131, 262, 525, 1050, 2100, 4200]:
             machine.Estimate(300.0 + size * (1 + args.view / 500), 2, 0.0).check()
             figures = program(
-                ["-m", "calicomast.lab.scale.events"],
+                ["-m", "api_gateway.experiments.scale.events"],
                 args.tree,
                 {"event": name, "gateways": size, **held, "view": args.view, "seconds": seconds},
             )
@@ -449,7 +452,9 @@
         )
         for size in args.sizes or sizes:
             figures = program(
-                ["-m", "calicomast.lab.scale.connects"], args.tree, {**held, name: size, "seed": args.seed}
+                ["-m", "api_gateway.experiments.scale.connects"],
+                args.tree,
+                {**held, name: size, "seed": args.seed},
             )
             say(
                 f"{size}: {figures['connects_s']:.2f} connects a second at rest, "
@@ -464,7 +469,7 @@
 
 def in_processes(args: Args) -> Iterator[runs.Run]:
     """What gateways are told of a rack that goes, beside the same in virtual time: counted, and so once."""
-    from calicomast.lab.scale import processes
+    from api_gateway.experiments.scale import processes
 
     held: dict[str, int] = {"hosts": 1000} | dict(args.held)
     made = runs.begin(
@@ -515,8 +520,8 @@
 
 def main() -> int:
     if sys.argv[1:2] in (["page"], ["plots"]):
-        return importlib.import_module(f"calicomast.lab.scale.{sys.argv[1]}").main(sys.argv[2:])
-    parser = argparse.ArgumentParser(prog="python -m calicomast.lab.scale", description=__doc__)
+        return importlib.import_module(f"api_gateway.experiments.scale.{sys.argv[1]}").main(sys.argv[2:])
+    parser = argparse.ArgumentParser(prog="python -m api_gateway.experiments.scale", description=__doc__)
     parser.add_argument("run", choices=sorted(RUNS), help="or page, or plots, with arguments of their own")
     parser.add_argument("--sizes", type=int, nargs="+", help="in place of the run's own")
     parser.add_argument("--repeats", type=int, nargs="+", default=[0, 1, 2], help="their numbers")
--- a/calicomast/lab/scale/arithmetic.py
+++ b/api_gateway/experiments/scale/arithmetic.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from calicomast.lab.scale.cells import ARITHMETIC, Book, Figure, first, most
+from api_gateway.experiments.scale.cells import ARITHMETIC, Book, Figure, first, most
 
 BEFORE, NOW = "e152add", "!e152add"  # builds: without views, and any other
 WHOLE = "whole list"  # how variants of runs begin; see `view`
@@ -111,7 +111,7 @@
 def hosts(book: Book) -> None:
     """What the gateways are to a host."""
     of, name = book.of, book.name
-    part = book.code("policy.fleet", "OWN_PART") * book.code("policy.fleet", "LIMIT_MOST")
+    part = book.code("policy.endpoints", "OWN_PART") * book.code("policy.endpoints", "LIMIT_MOST")
     name("part_hosts", part * of("hosts") / of("gateways"), "hosts")
     name("gateways_a_host", of("gateways") * book["part_hosts"] / of("hosts"), "gateways")
     name("connections_a_host", book["gateways_a_host"] * of("connections_a_pair"), "connections")
@@ -339,7 +339,7 @@
 def kinds(book: Book) -> None:
     """A gateway that uses all services and whose view names the kind of each."""
     of, name = book.of, book.name
-    name("hosts_of_all_kinds", of("services") * book.code("base.views", "LEAST"), "hosts")
+    name("hosts_of_all_kinds", of("services") * book.code("base.subsets", "LEAST"), "hosts")
     name(
         "rss_mb_of_all_kinds",
         book.measured("rss_mb", "gateway", "hosts", book["hosts_of_all_kinds"], WHOLE, NOW, name=PROCESS),
@@ -353,7 +353,7 @@
     """A change at all gateways by what there is: an operator's calls, each with all of the configuration."""
     of, name = book.of, book.name
     name("changes_apart_s", unit("day_s") / of("changes_a_day"), "s")
-    name("history_s", book.code("net.changes", "MOST_VERSIONS") / book["configurations_s"], "s")
+    name("history_s", book.code("control.config_changes", "MOST_VERSIONS") / book["configurations_s"], "s")
     name("everywhere_s", book["apply_s"] * of("gateways") / of("calls_at_once"), "s")
     name("everywhere_over_limit", book["everywhere_s"] / of("change_s"), "times")
     name("configuration_mb", book["distribution_rss_mb"] - book["rss_mb_view"], "MB")
@@ -522,7 +522,7 @@
     for label, at in (("config_bytes", of("routes")), ("config_bytes_of_tenants", book["plans"])):
         name(label, book.measured("config_bytes", "distribution", "plans", at), "bytes")
     name("apply_s", book.measured("apply_ms", "distribution", "plans", of("routes")) / unit("ms_a_s"), "s")
-    name("counter_connections", of("gateways") * book.code("net.counter", "LINES"), "connections")
+    name("counter_connections", of("gateways") * book.code("counter_client", "LINES"), "connections")
     name(
         "rush_calls_s",
         book.measured("calls_s_most", "counter", "customers", book["customers_a_gateway"]),
--- a/calicomast/lab/scale/beside.py
+++ b/api_gateway/experiments/scale/beside.py
@@ -19,13 +19,13 @@
 
 import msgspec
 
-from calicomast.budgets.config import File
-from calicomast.budgets.terms import LEVEL, Budget, Terms
-from calicomast.lab.scale import machine
-from calicomast.lab.scale.rig import Rig, Wire
-from calicomast.lab.scale.runs import Off, off
-from calicomast.lab.scale.service import Hollow
-from calicomast.supervisor.fleet import Part, StartFailed, free_port
+from api_gateway.budgets.config import File
+from api_gateway.budgets.terms import LEVEL, Budget, Terms
+from api_gateway.experiments.scale import machine
+from api_gateway.experiments.scale.rig import Rig, Wire
+from api_gateway.experiments.scale.runs import Off, off
+from api_gateway.experiments.scale.service import Hollow
+from api_gateway.supervisor.fleet import Part, StartFailed, free_port
 
 EACH = 50  # a process
 REAL = 5
@@ -75,7 +75,7 @@
 
 def crowd(folder: Path, told: dict[str, Any], first: int, count: int) -> Hollow:
     args = json.dumps(told | {"first": first, "count": count})
-    return Hollow(Part(f"crowd-{first}-{count}", folder, "calicomast.lab.scale.parts", args))
+    return Hollow(Part(f"crowd-{first}-{count}", folder, "api_gateway.experiments.scale.parts", args))
 
 
 def estimate(count: int, seconds: float, told: float = 0.0) -> machine.Estimate:
@@ -145,7 +145,7 @@
         folder, place = Path(text), f"127.0.0.1:{free_port()}"
         (folder / "budgets.json").write_bytes(msgspec.json.encode(File(place, terms, str(folder / "x.db"))))
         grantor = Part(
-            "grantor", folder, "calicomast.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
+            "grantor", folder, "api_gateway.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
         )
         wire = Wire(place)
         await grantor.start()
--- a/calicomast/lab/scale/cells.py
+++ b/api_gateway/experiments/scale/cells.py
@@ -19,8 +19,8 @@
 import msgspec
 from msgspec import structs
 
-from calicomast.lab.scale import fit
-from calicomast.lab.scale.runs import Run, load
+from api_gateway.experiments.scale import fit
+from api_gateway.experiments.scale.runs import Run, load
 
 PACKAGE = Path(__file__).resolve().parents[2]
 
--- a/calicomast/lab/scale/configuration.py
+++ b/api_gateway/experiments/scale/configuration.py
@@ -10,10 +10,10 @@
 import time
 from pathlib import Path
 
-from calicomast.lab.scale import machine
-from calicomast.lab.scale.rig import Rig
-from calicomast.standins.site import Json
-from calicomast.supervisor.fleet import PLANS
+from api_gateway.emulators.site import Json
+from api_gateway.experiments.scale import machine
+from api_gateway.experiments.scale.rig import Rig
+from api_gateway.supervisor.fleet import PLANS
 
 CHANGES, EVERY = 8, 0.5  # and s between them
 SETTLE = 2.0  # s
--- a/calicomast/lab/scale/connects.py
+++ b/api_gateway/experiments/scale/connects.py
@@ -1,7 +1,8 @@
 """What one gateway is to its hosts, counted in the module's own time: connects, connections and probes.
 
-The module is asked as in module.py; beside it stands what net.hosts.Pool does with connections: the latest
-used that has settled is taken, a new one made where there is none, and one that rests too long is closed.
+The module is asked as in module.py; beside it stands what upstream.pool.Pool does with connections: the
+latest used that has settled is taken, a new one made where there is none, and one that rests too long is
+closed.
 Connects that fail, come up late or are called off are not in here. Nothing here is a time of the machine.
 Started as a program with a Case in JSON it prints the figures.
 """
@@ -13,9 +14,9 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.lab.scale.module import BEGIN, Case, Driver
-from calicomast.net.hosts import IDLE_CHECK, IDLE_MARGIN, SETTLED
+from api_gateway import interface as api
+from api_gateway.experiments.scale.module import BEGIN, Case, Driver
+from api_gateway.upstream.pool import IDLE_CHECK, IDLE_MARGIN, SETTLED
 
 IDLE_CLOSE = 30.0  # s after which a host closes a connection that rests, as the lab's settings have it
 IDLE_TIME = IDLE_CLOSE * (1 - IDLE_MARGIN) - IDLE_CHECK
--- a/calicomast/lab/scale/events.py
+++ b/api_gateway/experiments/scale/events.py
@@ -20,11 +20,11 @@
 from functools import partial
 from typing import Any
 
-from calicomast.base.views import View
-from calicomast.net.discovery import ROOM, TOLD, Backoff
-from calicomast.registry.config import LEARN, Config
-from calicomast.registry.core import DRAIN, GATHER, LOOK, Answer, Host, Registry, Stale
-from calicomast.registry.service import Service
+from api_gateway.base.subsets import View
+from api_gateway.discovery.client import ROOM, TOLD, Backoff
+from api_gateway.registry.config import LEARN, Config
+from api_gateway.registry.core import DRAIN, GATHER, LOOK, Answer, Host, Registry, Stale
+from api_gateway.registry.service import Service
 
 AGAIN, WAIT = 0.01, 5.0  # s after an answer in which the next watch comes; of a watch
 SHORT, LONG = 5.0, 3600.0  # s for which hosts count that an event is about, and the others
--- a/calicomast/lab/scale/hollow.py
+++ b/api_gateway/experiments/scale/hollow.py
@@ -19,12 +19,12 @@
 
 import uvloop
 
-from calicomast.base.listing import Listing, read_address
-from calicomast.lab.scale.crowds import ENTRY, NO_NEWS, Crowd, stand
-from calicomast.net.config import build
-from calicomast.net.fetch import Fetcher, Line
-from calicomast.net.gateway import GatewayNode
-from calicomast.net.replicas import Replicas
+from api_gateway.base.endpoint_list import Listing, read_address
+from api_gateway.discovery.fetcher import Fetcher, Line
+from api_gateway.discovery.replicas import Replicas
+from api_gateway.experiments.scale.crowds import ENTRY, NO_NEWS, Crowd, stand
+from api_gateway.gateway.config import build
+from api_gateway.gateway.node import GatewayNode
 
 NOWHERE: Mapping[str, str] = {}
 
@@ -131,7 +131,7 @@
 def viewing(crowd: Crowd, number: int, zone: str) -> Any:
     if not crowd.view:
         return None
-    from calicomast.net.views import Viewing, read_wanted
+    from api_gateway.discovery.subsets import Viewing, read_wanted
 
     return Viewing(read_wanted({"size": crowd.view}), number, zone)
 
--- a/calicomast/lab/scale/latency.py
+++ b/api_gateway/experiments/scale/latency.py
@@ -27,12 +27,12 @@
 import hiredis
 from hdrh.histogram import HdrHistogram
 
-from calicomast.demo.traffic import encode
-from calicomast.lab.scale import machine
-from calicomast.lab.scale.rig import Real, Rig, entry
-from calicomast.lab.scale.timed import read_told
-from calicomast.standins.site import Json
-from calicomast.supervisor.fleet import Part
+from api_gateway.demo.traffic import encode
+from api_gateway.emulators.site import Json
+from api_gateway.experiments.scale import machine
+from api_gateway.experiments.scale.rig import Real, Rig, entry
+from api_gateway.experiments.scale.timed import read_told
+from api_gateway.supervisor.fleet import Part
 
 PROCESSES, WORK = 2, 0.005  # of hosts, which wait without work; s that each command takes
 CUSTOMERS = 1000
@@ -45,7 +45,7 @@
 SLOWEST = 0.01  # part of the requests whose parts are told beside the percentile
 RELAY_MOST = 0.25  # part of the hosts' time that the relay's 99th percentile may take outside of them, or the
 # load's be late by: past it the point was disturbed and counts as failed
-STAMPED = "calicomast.lab.scale.stamped"
+STAMPED = "api_gateway.experiments.scale.stamped"
 SERVED = ("host", "work")  # parts that are the host's own
 
 # What a part of the page is the sum of, in parts of `joined`; each other part is one of its own.
@@ -211,12 +211,13 @@
     gateways = max(2, round(hosts * GATEWAYS / HOSTS))
     with tempfile.TemporaryDirectory(prefix="scale-") as text:
         folder = Path(text)
-        parts = [Part(f"host-{n}", folder, "calicomast.lab.scale.timed", str(WORK)) for n in range(PROCESSES)]
+        program = "api_gateway.experiments.scale.timed"
+        parts = [Part(f"host-{n}", folder, program, str(WORK)) for n in range(PROCESSES)]
         try:
             await asyncio.gather(*(part.start(told=True) for part in parts))
             places = [part.places["listen"] for part in parts]
             listed = [entry(n) | {"addr": places[n % PROCESSES]} for n in range(hosts)]
-            relay = Part("relay", folder, "calicomast.lab.scale.relay", *places)
+            relay = Part("relay", folder, "api_gateway.experiments.scale.relay", *places)
             parts.append(relay)
             await relay.start(told=True)
             more: Json = ({"view": {"size": view}} if view else {}) | ({"edge": {}} if edge else {})
--- a/calicomast/lab/scale/lessees.py
+++ b/api_gateway/experiments/scale/lessees.py
@@ -18,12 +18,12 @@
 
 import uvloop
 
-from calicomast import interface as api
-from calicomast.base.listing import read_address
-from calicomast.lab.scale.crowds import stand
-from calicomast.lab.scale.demand import ASKED_EACH, CUSTOMERS, RATE, RUSH
-from calicomast.lab.scale.module import WARM, Case, Driver
-from calicomast.net.counter import Counter
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import read_address
+from api_gateway.counter_client import Counter
+from api_gateway.experiments.scale.crowds import stand
+from api_gateway.experiments.scale.demand import ASKED_EACH, CUSTOMERS, RATE, RUSH
+from api_gateway.experiments.scale.module import WARM, Case, Driver
 
 ROUND = 6.0  # s of calls that are made again and again
 TIMEOUT = 1.0  # s for an answer; the operators' own is shorter, and what is counted here is the counter
--- a/calicomast/lab/scale/machine.py
+++ b/api_gateway/experiments/scale/machine.py
@@ -88,7 +88,7 @@
 
     def git(*args: str) -> str:
         return subprocess.run(
-            ["git", "-C", str(tree), *args, "--", "calicomast", "deploy", ":!calicomast/lab"],
+            ["git", "-C", str(tree), *args, "--", "api_gateway", "deploy", ":!api_gateway/experiments"],
             capture_output=True,
             text=True,
             check=True,
--- a/calicomast/lab/scale/module.py
+++ b/api_gateway/experiments/scale/module.py
@@ -17,9 +17,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.policy import Gateway
-from calicomast.policy.accounts import stable_hash
+from api_gateway import interface as api
+from api_gateway.policy import Gateway
+from api_gateway.policy.customer_accounts import stable_hash
 
 GOLDEN = 0.6180339887498949
 BEGIN = 1000.0  # s of module time
--- a/calicomast/lab/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md, from the target and the stored runs: `python -m calicomast.lab.scale page`.
+"""docs/CAPACITY.md, from the target and the stored runs: `python -m api_gateway.experiments.scale page`.
 
 The prose is page.md's and has no figures of its own: `{{figure NAME}}` and `{{table NAME}}` stand for what is
 worked out here. Every figure of the page comes through a Book, which remembers what it gave.
@@ -13,12 +13,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from calicomast.lab.scale import cells, fit, tables
-from calicomast.lab.scale.arithmetic import add_formulas
-from calicomast.lab.scale.cells import NOT_MEASURED, Book, Figure, digits, size
-from calicomast.lab.scale.plots import plotted
-from calicomast.lab.scale.runs import Run
-from calicomast.lab.scale.tables import BREAKS, MISSING, NOTHING, Row
+from api_gateway.experiments.scale import cells, fit, tables
+from api_gateway.experiments.scale.arithmetic import add_formulas
+from api_gateway.experiments.scale.cells import NOT_MEASURED, Book, Figure, digits, size
+from api_gateway.experiments.scale.plots import plotted
+from api_gateway.experiments.scale.runs import Run
+from api_gateway.experiments.scale.tables import BREAKS, MISSING, NOTHING, Row
 
 HERE = Path(__file__).resolve().parent
 DOCS = HERE.parents[2] / "docs"
@@ -28,7 +28,7 @@
 
 
 def main(argv: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python -m calicomast.lab.scale page", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python -m api_gateway.experiments.scale page", description=__doc__)
     parser.add_argument("--target", type=Path, default=HERE / "target.toml")
     parser.add_argument("--runs", type=Path, default=DOCS / "scale", help="folder of stored runs")
     parser.add_argument("--out", type=Path, default=DOCS / "CAPACITY.md")
@@ -323,7 +323,7 @@
     Asked(
         "a configuration with a plan for each route",
         "config_bytes",
-        "net.keys.MOST_BODY",
+        "control.config_schema.MOST_BODY",
         "bytes",
         "a bound of the call; the file that is read at SIGHUP has none",
     ),
@@ -618,28 +618,32 @@
 }
 
 PARTS = (
-    ("**all that is added**", "added_p99_ms", "`net.gateway.GatewayNode`"),
-    ("of it work: the module", "part_module_p99_ms", "`policy.gateway.Gateway.handle`"),
+    ("**all that is added**", "added_p99_ms", "`gateway.node.GatewayNode`"),
+    ("of it work: the module", "part_module_p99_ms", "`policy.engine.Gateway.handle`"),
     (
         "of it work: sockets and framing",
         "part_sockets_p99_ms",
-        "`net.clients.Client`, `net.hosts.Connection`",
+        "`downstream.client_connection.Client`, `upstream.pool.Connection`",
     ),
-    ("of it waiting: until a loop turns to it", "part_loop_p99_ms", "`net.gateway.GatewayNode`"),
-    ("of it waiting: for its turn among clients", "part_turn_p99_ms", "`net.admission.Turns`"),
-    ("of it waiting: for a lease of its quota", "part_lease_p99_ms", "`policy.quota.Quota.want_units`"),
-    ("of it waiting: for a connection to its host", "part_connection_p99_ms", "`net.hosts.Pool`"),
-    ("of it waiting: for a host that is free", "part_queue_p99_ms", "`policy.fleet.Fleet.full`"),
-    ("of it at hosts that failed it", "part_again_p99_ms", "`policy.attempts.Attempts.outcome`"),
-    ("beside it: added in the median", "added_p50_ms", "`net.gateway.GatewayNode`"),
-    ("beside it: added where requests are stamped", "stamped_added_p99_ms", "`net.gateway.GatewayNode`"),
+    ("of it waiting: until a loop turns to it", "part_loop_p99_ms", "`gateway.node.GatewayNode`"),
+    ("of it waiting: for its turn among clients", "part_turn_p99_ms", "`downstream.admission.Turns`"),
+    (
+        "of it waiting: for a lease of its quota",
+        "part_lease_p99_ms",
+        "`policy.quota_leases.Quota.want_units`",
+    ),
+    ("of it waiting: for a connection to its host", "part_connection_p99_ms", "`upstream.pool.Pool`"),
+    ("of it waiting: for a host that is free", "part_queue_p99_ms", "`policy.endpoints.Fleet.full`"),
+    ("of it at hosts that failed it", "part_again_p99_ms", "`policy.retries.Attempts.outcome`"),
+    ("beside it: added in the median", "added_p50_ms", "`gateway.node.GatewayNode`"),
+    ("beside it: added where requests are stamped", "stamped_added_p99_ms", "`gateway.node.GatewayNode`"),
     ("beside it: outside of its host through a bare relay", "relay_outside_p99_ms", "the lab's relay"),
     (
         "beside it: outside of its host through the gateway",
         "gateway_outside_p99_ms",
-        "`net.gateway.GatewayNode`",
+        "`gateway.node.GatewayNode`",
     ),
-    ("beside it: the longest pause for garbage", "pause_longest_ms", "`net.gateway.GatewayNode`"),
+    ("beside it: the longest pause for garbage", "pause_longest_ms", "`gateway.node.GatewayNode`"),
 )
 
 
@@ -687,7 +691,7 @@
     (
         "checked by a gateway and in force there, a plan for each route",
         "apply_s",
-        "`net.changes.Changes.prepare`, `net.changes.Changes.commit`",
+        "`control.config_changes.Changes.prepare`, `control.config_changes.Changes.commit`",
     ),
 )
 
@@ -710,7 +714,7 @@
             ratio_to(book, book["everywhere_s"], book.of("change_s")),
             book.show(none),
             book.show(none),
-            "`net.changes.Changes.change`",
+            "`control.config_changes.Changes.change`",
         )
     )
     return table(("step", "at rest", "in a rollout", "with a zone cut off", "carried by"), lines)
@@ -812,7 +816,7 @@
         "loss_view_kb",
         "at a gateway with it in view",
         "lapse_s",
-        "`registry.core.Registry.look`, `policy.health.HealthEstimator`",
+        "`registry.core.Registry.look`, `policy.outlier_detection.HealthEstimator`",
         "gateways with it in view; the list service's `GET /status`, by counts; callers, by an attempt more",
     ),
     Event(
@@ -824,7 +828,7 @@
         "restart_view_kb",
         "at a gateway with it in view",
         "registry.core.DRAIN",
-        "`policy.fleet.Server.warmth`",
+        "`policy.endpoints.Server.warmth`",
         "gateways with it in view",
     ),
     Event(
@@ -849,7 +853,7 @@
         "zone_view_kb_most",
         "at one gateway at most",
         "lapse_s",
-        "`registry.core.Registry.may_lapse`, `base.views.View`",
+        "`registry.core.Registry.may_lapse`, `base.subsets.View`",
         "all gateways; the list service's `GET /status`, and its log where the guard holds some",
     ),
     Event(
@@ -861,7 +865,7 @@
         "everything_view_kb_most",
         "at each gateway",
         "registry_ready_s_by_gateways",
-        "`net.discovery.Backoff.start`",
+        "`discovery.client.Backoff.start`",
         "the list service; fronts, by gateways that are ready later",
     ),
     Event(
@@ -886,7 +890,7 @@
         "distribution_cpu_ms_a_change",
         "of CPU at each gateway",
         "everywhere_s",
-        "`net.changes.Changes.change`",
+        "`control.config_changes.Changes.change`",
         "the caller; `GET /config` of each gateway; `GET /members`, by a digest of each in the cluster",
     ),
     Event(
@@ -898,7 +902,7 @@
         "rush_calls_s",
         "of one gateway in the worst second",
         "",
-        "`policy.quota.Quota.want_units`, `net.counter.Counter`",
+        "`policy.quota_leases.Quota.want_units`, `counter_client.Counter`",
         "callers, by what they wait; the counter",
     ),
     Event(
@@ -911,7 +915,7 @@
         "kept_mb_by_customers",
         "at that gateway",
         "accounts_let_go_s",
-        "`policy.accounts.Account`, `policy.gateway.Gateway.request`",
+        "`policy.customer_accounts.Account`, `policy.engine.Gateway.request`",
         "callers beyond quota, by refusals; nobody else: memory is not told",
     ),
     Event(
@@ -924,7 +928,7 @@
         "lost_view_kb_most",
         "at one gateway at most",
         "lost_view_last_s",
-        "`net.replicas.Replicas`",
+        "`discovery.replicas.Replicas`",
         "each gateway's `GET /status`, and its log by the other life; hosts, by renewals that fail",
     ),
     Event(
@@ -937,7 +941,7 @@
         "back_view_kb_most",
         "at one gateway at most, once it is back",
         "back_view_last_s",
-        "`net.replicas.Replicas`, `policy.health.HealthEstimator`",
+        "`discovery.replicas.Replicas`, `policy.outlier_detection.HealthEstimator`",
         "each gateway's `GET /status`, by the age of its list; callers, by attempts at hosts that are gone",
     ),
     Event(
@@ -962,7 +966,7 @@
         "",
         "",
         "",
-        "`policy.quota.Quota.unasked`",
+        "`policy.quota_leases.Quota.unasked`",
         "callers near their quota, either way; no figure of the gateway",
     ),
     Event(
@@ -1000,7 +1004,7 @@
         "apart_view_kb_most",
         "at one gateway at most",
         "apart_s",
-        "`registry.core.Registry.may_lapse`, `policy.quota.Quota.unasked`",
+        "`registry.core.Registry.may_lapse`, `policy.quota_leases.Quota.unasked`",
         "`GET /members`, `GET /status`; callers, by what passes beyond a quota",
     ),
     Event(
--- a/calicomast/lab/scale/parts.py
+++ b/api_gateway/experiments/scale/parts.py
@@ -14,11 +14,11 @@
 import msgspec
 import uvloop
 
-from calicomast.budgets.client import Client
-from calicomast.budgets.terms import Terms
-from calicomast.lab.scale.crowds import stand
-from calicomast.membership.core import Send
-from calicomast.membership.service import Member, read_membership
+from api_gateway.budgets.client import Client
+from api_gateway.budgets.terms import Terms
+from api_gateway.experiments.scale.crowds import stand
+from api_gateway.membership.core import Send
+from api_gateway.membership.service import Member, read_membership
 
 CLUSTER = "scale"
 
--- a/calicomast/lab/scale/plots.py
+++ b/api_gateway/experiments/scale/plots.py
@@ -1,4 +1,4 @@
-"""Plots of cost against size with the target marked: `python -m calicomast.lab.scale plots`."""
+"""Plots of cost against size with the target marked: `python -m api_gateway.experiments.scale plots`."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import numpy as np
 
-from calicomast.lab.scale import cells, fit
-from calicomast.lab.scale.runs import Run
+from api_gateway.experiments.scale import cells, fit
+from api_gateway.experiments.scale.runs import Run
 
 HERE = Path(__file__).resolve().parent
 DOCS = HERE.parents[2] / "docs"
@@ -51,7 +51,8 @@
 
 
 def main(argv: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python -m calicomast.lab.scale plots", description=__doc__)
+    program = "python -m api_gateway.experiments.scale plots"
+    parser = argparse.ArgumentParser(prog=program, description=__doc__)
     parser.add_argument("--target", type=Path, default=HERE / "target.toml")
     parser.add_argument("--runs", type=Path, default=DOCS / "scale", help="folder of stored runs")
     parser.add_argument("--out", type=Path, default=DOCS / "scale")
--- a/calicomast/lab/scale/processes.py
+++ b/api_gateway/experiments/scale/processes.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 from typing import Any
 
-from calicomast.lab.scale import machine
-from calicomast.lab.scale.programs import program
-from calicomast.lab.scale.rig import RENEWED, ROOT, ZONES, Rig
-from calicomast.lab.scale.runs import Off, off
-from calicomast.lab.scale.service import EACH, SETTLE, Play
+from api_gateway.experiments.scale import machine
+from api_gateway.experiments.scale.programs import program
+from api_gateway.experiments.scale.rig import RENEWED, ROOT, ZONES, Rig
+from api_gateway.experiments.scale.runs import Off, off
+from api_gateway.experiments.scale.service import EACH, SETTLE, Play
 
 SHORT = 2.0  # s for which the hosts of the rack count
 BEFORE = 1.0  # s in which all know them, before they fall silent
@@ -25,7 +25,7 @@
 def foretell(gateways: int, hosts: int, view: int, seconds: float | None) -> dict[str, Any]:
     """The same in virtual time, as events.in_processes tells it. Raises OutOfBounds."""
     return program(
-        ["-m", "calicomast.lab.scale.events", "processes"],
+        ["-m", "api_gateway.experiments.scale.events", "processes"],
         ROOT,
         {
             "event": "rack",
--- a/calicomast/lab/scale/programs.py
+++ b/api_gateway/experiments/scale/programs.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from calicomast.lab.scale import machine
-from calicomast.supervisor.fleet import die_with
+from api_gateway.experiments.scale import machine
+from api_gateway.supervisor.fleet import die_with
 
 
 def program(command: list[str], tree: Path, told: dict[str, Any]) -> Any:
--- a/calicomast/lab/scale/rest.py
+++ b/api_gateway/experiments/scale/rest.py
@@ -7,8 +7,8 @@
 import time
 from pathlib import Path
 
-from calicomast.lab.scale import machine
-from calicomast.lab.scale.rig import ROOT, Real, Rig
+from api_gateway.experiments.scale import machine
+from api_gateway.experiments.scale.rig import ROOT, Real, Rig
 
 SETTLE = 2.0  # s after the start
 DAY = 86_400.0  # s
--- a/calicomast/lab/scale/rig.py
+++ b/api_gateway/experiments/scale/rig.py
@@ -13,9 +13,9 @@
 
 import aiohttp
 
-from calicomast.lab.scale.crowds import NO_NEWS
-from calicomast.standins.site import BASE, Json, config
-from calicomast.supervisor.fleet import CLASSES, NOTHING, PLANS, Part, StartFailed, free_port
+from api_gateway.emulators.site import BASE, Json, config
+from api_gateway.experiments.scale.crowds import NO_NEWS
+from api_gateway.supervisor.fleet import CLASSES, NOTHING, PLANS, Part, StartFailed, free_port
 
 ROOT = Path(__file__).resolve().parents[3]
 READY_WITHIN = 60.0  # s
@@ -144,9 +144,9 @@
             json.dumps({"listen": self.service_at, "hosts": str(folder / "hosts.json"), "watchers": watchers})
         )
         self.service = Part(
-            "service", folder, "calicomast.registry", env={"REGISTRY_CONFIG": str(folder / "registry.json")}
+            "service", folder, "api_gateway.registry", env={"REGISTRY_CONFIG": str(folder / "registry.json")}
         )
-        self.counter = Part("counter", folder, "calicomast.cli", "standin", "counter")
+        self.counter = Part("counter", folder, "api_gateway.cli", "standin", "counter")
         self.real: list[Real] = []
         self.session: Any = None
         self.changed = 0
--- a/calicomast/lab/scale/runs.py
+++ b/api_gateway/experiments/scale/runs.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from calicomast.lab.scale import machine
-from calicomast.lab.scale.fit import fit
+from api_gateway.experiments.scale import machine
+from api_gateway.experiments.scale.fit import fit
 
 REPEATS = 3
 LACKING = "only "  # how texts on missing repeats begin
--- a/calicomast/lab/scale/service.py
+++ b/api_gateway/experiments/scale/service.py
@@ -15,11 +15,11 @@
 import time
 from pathlib import Path
 
-from calicomast.lab.scale import machine
-from calicomast.lab.scale.crowds import Crowd
-from calicomast.lab.scale.rig import Rig, Wire
-from calicomast.lab.scale.runs import Off, off
-from calicomast.supervisor.fleet import Part, StartFailed
+from api_gateway.experiments.scale import machine
+from api_gateway.experiments.scale.crowds import Crowd
+from api_gateway.experiments.scale.rig import Rig, Wire
+from api_gateway.experiments.scale.runs import Off, off
+from api_gateway.supervisor.fleet import Part, StartFailed
 
 MOST_OFF = 0.15
 NO_SOCKET = "no socket for clients"
@@ -61,7 +61,7 @@
 
 
 def hollow(rig: Rig, name: str, crowd: Crowd) -> Hollow:
-    return Hollow(Part(name, rig.folder, "calicomast.lab.scale.hollow", crowd.encode()))
+    return Hollow(Part(name, rig.folder, "api_gateway.experiments.scale.hollow", crowd.encode()))
 
 
 class Play:
--- a/calicomast/lab/scale/stamped.py
+++ b/api_gateway/experiments/scale/stamped.py
@@ -1,4 +1,4 @@
-"""A real gateway whose requests are stamped on their way: `python -m calicomast.lab.scale.stamped`.
+"""A real gateway whose requests are stamped on their way: `python -m api_gateway.experiments.scale.stamped`.
 
 It runs the gateway's own program with functions of it wrapped, so nothing of this is in the gateway. Started
 as that one is, with STAMPS naming the file that it leaves at its end. Each request is in one part at any
@@ -17,12 +17,12 @@
 from time import monotonic
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.net import __main__ as program
-from calicomast.net.clients import Client
-from calicomast.net.connects import SharedPool
-from calicomast.net.gateway import GatewayNode
-from calicomast.net.hosts import Connection, Pool
+from api_gateway import interface as api
+from api_gateway.downstream.client_connection import Client
+from api_gateway.gateway import __main__ as program
+from api_gateway.gateway.node import GatewayNode
+from api_gateway.upstream.connect_limits import SharedPool
+from api_gateway.upstream.pool import Connection, Pool
 
 # In this order: for its turn among clients, reading it, the module, for a lease or an open attempt, for a
 # host that is free, sending, for a connection to settle, for a connect, at the host, at hosts that failed it,
--- a/calicomast/lab/scale/swarm.py
+++ b/api_gateway/experiments/scale/swarm.py
@@ -5,9 +5,9 @@
 
 from collections import Counter
 
-from calicomast.lab.membership.referee import Referee
-from calicomast.lab.membership.world import Cluster
-from calicomast.membership.core import EXCHANGE, EXCHANGE_EACH, Address, Send, Swim
+from api_gateway.experiments.membership.referee import Referee
+from api_gateway.experiments.membership.world import Cluster
+from api_gateway.membership.core import EXCHANGE, EXCHANGE_EACH, Address, Send, Swim
 
 LIFE = 1_700_000_000_000  # a member's first number: ms of a clock
 DELAY = 0.001  # s of a datagram
--- a/calicomast/lab/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from calicomast.lab.scale.arithmetic import BEFORE, MODULE, NOW, PROCESS, WHOLE, view, way
-from calicomast.lab.scale.cells import Book, Figure, most
+from api_gateway.experiments.scale.arithmetic import BEFORE, MODULE, NOW, PROCESS, WHOLE, view, way
+from api_gateway.experiments.scale.cells import Book, Figure, most
 
 MISSING = "missing"
 # What breaks, the worst first.
@@ -78,7 +78,7 @@
             book["kept_mb_by_customers"],
             "each tenant asks here",
             None,
-            "`policy.accounts.Account`",
+            "`policy.customer_accounts.Account`",
         ),
         Row(
             "state: MB of plans, by plans",
@@ -87,7 +87,7 @@
             book["kept_mb_by_plans_of_tenants"],
             "a plan for each tenant",
             None,
-            "`policy.accounts.PlanUse`",
+            "`policy.customer_accounts.PlanUse`",
         ),
         Row(
             "messages in: requests",
@@ -96,7 +96,7 @@
             book["requests_in_a_burst"],
             "a burst",
             None,
-            "`net.clients.Client`",
+            "`downstream.client_connection.Client`",
         ),
         Row(
             "messages out: attempts",
@@ -105,7 +105,7 @@
             book["sends_in_a_burst"],
             "a burst",
             None,
-            "`policy.fleet.Fleet.pick`, `net.hosts.Pool`",
+            "`policy.endpoints.Fleet.pick`, `upstream.pool.Pool`",
         ),
         Row(
             "messages out: calls to the counter",
@@ -114,7 +114,7 @@
             book["counts_in_a_burst"],
             "a burst",
             None,
-            "`policy.quota.Quota.renew`, `net.counter.Counter`",
+            "`policy.quota_leases.Quota.renew`, `counter_client.Counter`",
         ),
         Row(
             "state: sources that are remembered, a tenant each",
@@ -122,8 +122,8 @@
             book["customers_a_gateway"].named("customers_a_gateway", "sources"),
             book.of("tenants", "sources"),
             "each tenant asks here",
-            book.code("net.admission", "MOST_SOURCES", "sources"),
-            "`net.admission.MOST_SOURCES`",
+            book.code("downstream.admission", "MOST_SOURCES", "sources"),
+            "`downstream.admission.MOST_SOURCES`",
             past="those that rest longest are forgotten; their limits by rate begin anew",
         ),
         Row(
@@ -133,7 +133,7 @@
             book["module_cores_view_in_a_burst"],
             "a burst",
             core,
-            "`policy.fleet.Fleet`, `base.views.View`",
+            "`policy.endpoints.Fleet`, `base.subsets.View`",
             GATEWAY,
         ),
         Row(
@@ -143,7 +143,7 @@
             book["process_cores_burst"],
             "a burst",
             core,
-            "`net.gateway.GatewayNode`",
+            "`gateway.node.GatewayNode`",
             GATEWAY,
         ),
         Row(
@@ -153,7 +153,7 @@
             book["added_p99_ms_burst"],
             "a burst",
             book.of("added_ms", "ms"),
-            "`net.gateway.GatewayNode`",
+            "`gateway.node.GatewayNode`",
         ),
         Row(
             "memory",
@@ -162,7 +162,7 @@
             book["rss_mb_burst"],
             "a burst",
             None,
-            "`net.clients.Budget`",
+            "`downstream.client_connection.Budget`",
         ),
     ]
 
@@ -225,7 +225,7 @@
             book[f"module_cores_{label}_of_changes"],
             "a rollout",
             cores,
-            "`policy.fleet.Fleet.listed`",
+            "`policy.endpoints.Fleet.listed`",
         ),
         Row(
             "memory: process and list",
@@ -249,7 +249,7 @@
             book.of("view_hosts", "hosts"),
             "none",
             None,
-            "`base.views.View`",
+            "`base.subsets.View`",
         ),
         Row(
             "messages in: entries of the list",
@@ -258,7 +258,7 @@
             book["changes_in_a_rollout_in_view"],
             "a rollout",
             None,
-            "`registry.views.Live`, `net.discovery.Discovery`",
+            "`registry.subsets.Live`, `discovery.client.Discovery`",
         ),
         Row(
             "messages out: calls at rest, of discovery and the counter",
@@ -267,9 +267,9 @@
             None,
             "none",
             None,
-            "`net.discovery.Discovery`, `net.counter.Counter`",
+            "`discovery.client.Discovery`, `counter_client.Counter`",
         ),
-        *at_rest(book, "view", view(book), NOW, "`base.views.View`, `net.views.Viewing`"),
+        *at_rest(book, "view", view(book), NOW, "`base.subsets.View`, `discovery.subsets.Viewing`"),
         Row(
             "bytes in and out: membership",
             Slope("bytes_out_s", "membership", "gateways", "bytes/s"),
@@ -286,7 +286,7 @@
             None,
             "none",
             kb,
-            "`net.changes.Changes.change`",
+            "`control.config_changes.Changes.change`",
         ),
         Row(
             "processor: membership",
@@ -311,8 +311,8 @@
             book.of("services", "kinds"),
             None,
             "none",
-            book.code("base.views", "KINDS_MOST", "kinds"),
-            "`base.views.View`",
+            book.code("base.subsets", "KINDS_MOST", "kinds"),
+            "`base.subsets.View`",
             PART,
             "the view is refused",
         ),
@@ -322,8 +322,8 @@
             book["hosts_of_all_kinds"],
             None,
             "none",
-            book.code("base.views", "SIZE_MOST", "hosts"),
-            "`base.views.View.share`",
+            book.code("base.subsets", "SIZE_MOST", "hosts"),
+            "`base.subsets.View.share`",
             PART,
             "the view is refused",
         ),
@@ -334,7 +334,7 @@
             None,
             "none",
             book.code("registry.service", "MOST_QUERY", "bytes"),
-            "`base.views.View.query`",
+            "`base.subsets.View.query`",
             PART,
             "the call is refused; the gateway takes its part of whole lists",
         ),
@@ -345,7 +345,7 @@
             None,
             "none",
             book.of("control_mb", "MB"),
-            "`base.views.View.share`",
+            "`base.subsets.View.share`",
         ),
     ]
 
@@ -358,8 +358,8 @@
             book["start_bytes_in_whole"],
             None,
             "none",
-            book.code("net.fetch", "MOST_BODY", "bytes"),
-            "`net.fetch.MOST_BODY`",
+            book.code("discovery.fetcher", "MOST_BODY", "bytes"),
+            "`discovery.fetcher.MOST_BODY`",
             GATEWAY,
             "the answer is not taken",
         ),
@@ -369,8 +369,8 @@
             book["zone_in_view"],
             book["hosts_of_a_zone"],
             "a zone goes, with whole lists",
-            book.code("net.discovery", "LEAVING_MOST", "hosts"),
-            "`net.discovery.LEAVING_MOST`",
+            book.code("discovery.client", "LEAVING_MOST", "hosts"),
+            "`discovery.client.LEAVING_MOST`",
             past="an older list from another address may bring back one that left",
         ),
     ]
@@ -386,10 +386,10 @@
             book["module_cores_before_in_a_burst"],
             "a burst",
             book.of("loop_cores", "cores"),
-            "`policy.fleet.Fleet`, `base.views.View`",
+            "`policy.endpoints.Fleet`, `base.subsets.View`",
             GATEWAY,
         ),
-        *at_rest(book, "before", WHOLE, BEFORE, "`base.views.View`, `net.views.Viewing`"),
+        *at_rest(book, "before", WHOLE, BEFORE, "`base.subsets.View`, `discovery.subsets.Viewing`"),
     ]
 
 
@@ -424,8 +424,8 @@
             book.of("gateways", "views"),
             book["views_while_all_change"],
             "all gateways ask for another view at once",
-            book.code("registry.views", "MOST_VIEWS", "views"),
-            "`registry.views.MOST_VIEWS`",
+            book.code("registry.subsets", "MOST_VIEWS", "views"),
+            "`registry.subsets.MOST_VIEWS`",
             past="the one that rests longest goes, others are told to come again; the key `views` sets "
             "another number",
         ),
@@ -445,8 +445,8 @@
             None,
             book["hosts_of_a_zone"],
             "a zone",
-            book.code("registry.views", "LEFT_MOST", "hosts"),
-            "`registry.views.Views.removed`",
+            book.code("registry.subsets", "LEFT_MOST", "hosts"),
+            "`registry.subsets.Views.removed`",
             NOTHING,
             "the table begins anew, and views that come later are told the same by another object",
         ),
@@ -519,7 +519,7 @@
             book["registry_cores_whole_in_a_rollout"],
             "a rollout",
             book.of("loop_cores", "cores"),
-            "`base.views.View`",
+            "`base.subsets.View`",
             PART,
         ),
         Row(
@@ -549,7 +549,7 @@
             book["registry_ready_s_by_gateways"],
             "a start of all",
             None,
-            "`net.discovery.Backoff.start`",
+            "`discovery.client.Backoff.start`",
         ),
         Row(
             "memory",
@@ -571,8 +571,8 @@
             book["config_bytes"],
             book["config_bytes_of_tenants"],
             "a plan for each tenant",
-            book.code("net.keys", "MOST_BODY", "bytes"),
-            "`net.keys.MOST_BODY`",
+            book.code("control.config_schema", "MOST_BODY", "bytes"),
+            "`control.config_schema.MOST_BODY`",
             PART,
             "a change by a call is refused; at SIGHUP the file is read, which has no bound",
         ),
@@ -582,8 +582,8 @@
             book["config_bytes_by_classes"],
             None,
             "none",
-            book.code("net.keys", "MOST_BODY", "bytes"),
-            "`net.keys.MOST_BODY`",
+            book.code("control.config_schema", "MOST_BODY", "bytes"),
+            "`control.config_schema.MOST_BODY`",
             PART,
             "a change by a call is refused; at SIGHUP the file is read, which has no bound",
         ),
@@ -593,8 +593,8 @@
             book["config_bytes"],
             None,
             "none",
-            book.code("net.changes", "MOST_BYTES", "bytes"),
-            "`net.changes.MOST_BYTES`",
+            book.code("control.config_changes", "MOST_BYTES", "bytes"),
+            "`control.config_changes.MOST_BYTES`",
             past="only the version in force and the one before it stay",
         ),
         Row(
@@ -604,7 +604,7 @@
             None,
             "none",
             None,
-            "`net.changes.MOST_VERSIONS`",
+            "`control.config_changes.MOST_VERSIONS`",
         ),
         Row(
             "s until a change is in force everywhere, by an operator's calls",
@@ -613,7 +613,7 @@
             None,
             "a zone cut off",
             book.of("change_s", "s"),
-            "`net.changes.Changes.change`",
+            "`control.config_changes.Changes.change`",
             PART,
         ),
         Row("messages out: deliveries", "`deliveries_s`", book["deliveries_s"], None, "none", None, MISSING),
@@ -625,7 +625,7 @@
             None,
             "none",
             book.of("control_cores", "cores"),
-            "`net.changes.Changes.change`",
+            "`control.config_changes.Changes.change`",
         ),
         Row(
             "memory of a gateway with so many plans",
@@ -634,7 +634,7 @@
             None,
             "none",
             book.of("control_mb", "MB"),
-            "`net.changes.Changes`",
+            "`control.config_changes.Changes`",
         ),
         Row("memory of what distributes", "not measured", None, None, "none", None, MISSING),
     ]
@@ -648,7 +648,7 @@
             book.of("tenants", "names"),
             None,
             "none",
-            book.code("standins.counter", "MOST_NAMES", "names"),
+            book.code("emulators.counter", "MOST_NAMES", "names"),
             "the operators' own",
             past="the stand-in forgets the one that came first; the operators' own may not",
         ),
@@ -659,7 +659,7 @@
             book["counts_of_all_in_a_burst"],
             "a burst",
             None,
-            "`policy.accounts.Account.block`, `net.counter.Counter`",
+            "`policy.customer_accounts.Account.block`, `counter_client.Counter`",
         ),
         Row(
             "messages in: calls in a rush of tenants",
@@ -668,7 +668,7 @@
             book["rush_calls_of_all_s"],
             "each tenant is new at its gateways",
             None,
-            "`policy.accounts.Account.block`",
+            "`policy.customer_accounts.Account.block`",
         ),
         Row(
             "connections",
@@ -677,7 +677,7 @@
             None,
             "none",
             None,
-            "`net.counter.LINES`",
+            "`counter_client.LINES`",
         ),
         Row(
             "processor of the stand-in",
@@ -686,7 +686,7 @@
             None,
             "a burst",
             None,
-            "`standins.counter`",
+            "`emulators.counter`",
         ),
         Row(
             "memory of the stand-in",
@@ -695,7 +695,7 @@
             None,
             "a burst",
             None,
-            "`standins.counter`",
+            "`emulators.counter`",
         ),
     ]
 
@@ -876,7 +876,7 @@
             book["gateways_told_of_a_host"],
             every,
             None,
-            "`policy.fleet.Fleet.part`",
+            "`policy.endpoints.Fleet.part`",
         ),
         Row(
             "connections",
@@ -885,7 +885,7 @@
             book["connections_at_a_host_at_most"],
             every,
             book.of("host_connections", "connections"),
-            "`net.hosts.Pool`",
+            "`upstream.pool.Pool`",
         ),
         Row(
             "connections of one gateway, at most",
@@ -894,7 +894,7 @@
             None,
             "none",
             None,
-            "`net.hosts.Pool`",
+            "`upstream.pool.Pool`",
         ),
         Row(
             "requests",
@@ -903,7 +903,7 @@
             book["requests_a_host_in_a_burst"],
             "a burst",
             None,
-            "`policy.fleet.Fleet.pick`",
+            "`policy.endpoints.Fleet.pick`",
         ),
         Row(
             "attempts out",
@@ -911,8 +911,8 @@
             book["attempts_out_a_host"],
             book["attempts_out_a_host_in_a_burst"],
             "a burst",
-            book.code("policy.fleet", "LIMIT_MOST", "attempts"),
-            "`policy.fleet.Fleet.full`",
+            book.code("policy.endpoints", "LIMIT_MOST", "attempts"),
+            "`policy.endpoints.Fleet.full`",
             past="a request waits, or goes to another host",
         ),
         Row(
@@ -922,7 +922,7 @@
             book["connects_a_host_at_a_start"],
             "a start of all, worst second",
             None,
-            "`net.connects.Bounds`",
+            "`upstream.connect_limits.Bounds`",
         ),
         Row(
             "probes",
@@ -931,6 +931,6 @@
             book["probes_most_a_host"],
             "a start of all, worst second",
             None,
-            "`net.gateway.GatewayNode.probe`",
+            "`gateway.node.GatewayNode.probe`",
         ),
     ]
--- a/calicomast/lab/scale/timed.py
+++ b/api_gateway/experiments/scale/timed.py
@@ -1,7 +1,9 @@
 """Hosts that tell when they had a command and when they answered it.
 
-`python -m calicomast.lab.scale.timed WORK` is a process of them; each command takes WORK s. None waits for
-another, so that it does not matter which host is chosen, and what a request took outside of its host can be
+`python -m api_gateway.experiments.scale.timed WORK` is a process of them; each command takes WORK s.
+
+None waits for another, so that it does not matter which host is chosen, and what a request took outside of
+its host can be
 told to the microsecond, whatever the host's timers do. It prints where it listens, as JSON. The clock is the
 machine's monotonic one, which all processes share.
 """
--- a/calicomast/net/__main__.py
+++ b/api_gateway/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""One real api gateway: `python -m calicomast.net`, with RELAY_CONFIG naming its configuration."""
+"""One real api gateway: `python -m api_gateway.gateway`, with RELAY_CONFIG naming its configuration."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 import uvloop
 
-from calicomast.base.faults import ConfigError
-from calicomast.net.config import Config, read_config
-from calicomast.net.gateway import GatewayNode
+from api_gateway.base.errors import ConfigError
+from api_gateway.gateway.config import Config, read_config
+from api_gateway.gateway.node import GatewayNode
 
 
 async def serve(config: Config) -> None:
@@ -34,7 +34,7 @@
     try:
         uvloop.run(serve(read_config()))
     except (ConfigError, OSError) as err:
-        print(f"calicomast: {err}", file=sys.stderr)
+        print(f"api_gateway: {err}", file=sys.stderr)
         return 2
     return 0
 
--- a/calicomast/net/config.py
+++ b/api_gateway/gateway/config.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.base.faults import ConfigError, in_one_line
-from calicomast.base.listing import Address, Listing, read_address, read_list
-from calicomast.settings import read_settings, seconds
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import Address, Listing, read_address, read_list
+from api_gateway.base.errors import ConfigError, in_one_line
+from api_gateway.settings_parser import read_settings, seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,21 +151,21 @@
 
 def membership_of(told: Any) -> Any:
     """Imported where there is one only."""
-    from calicomast.membership.service import read_membership
+    from api_gateway.membership.service import read_membership
 
     return read_membership(told)
 
 
 def edge_of(told: Any) -> Any:
     """Imported where there is one only."""
-    from calicomast.net.admission import read_edge
+    from api_gateway.downstream.admission import read_edge
 
     return read_edge(told)
 
 
 def view_of(told: Any) -> Any:
     """Imported where there is one only."""
-    from calicomast.net.views import read_wanted
+    from api_gateway.discovery.subsets import read_wanted
 
     return read_wanted(told)
 
--- a/calicomast/net/gateway.py
+++ b/api_gateway/gateway/node.py
@@ -19,20 +19,20 @@
 from functools import partial
 from typing import Any
 
-from calicomast import interface as api
-from calicomast.base.listing import Address, Listing, write_address
-from calicomast.net.bans import Bans, UnknownHost
-from calicomast.net.clients import ClientServer, Slot
-from calicomast.net.clock import Clock
-from calicomast.net.config import Config
-from calicomast.net.counter import Counter
-from calicomast.net.discovery import Discovery
-from calicomast.net.hosts import Attempt, Hosts
-from calicomast.net.lives import Lives
-from calicomast.net.requests import RESERVED, BadRequest, InFlightRequest, bulk, read_request
-from calicomast.net.resp import MOST_LARGE
-from calicomast.net.shutdown import shut_down
-from calicomast.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import Address, Listing, write_address
+from api_gateway.base.resp import MOST_LARGE
+from api_gateway.control.host_overrides import Bans, UnknownHost
+from api_gateway.counter_client import Counter
+from api_gateway.discovery.client import Discovery
+from api_gateway.downstream.client_connection import ClientServer, Slot
+from api_gateway.gateway.config import Config
+from api_gateway.gateway.instances import Lives
+from api_gateway.gateway.requests import RESERVED, BadRequest, InFlightRequest, bulk, read_request
+from api_gateway.gateway.shutdown import shut_down
+from api_gateway.gateway.wall_clock import Clock
+from api_gateway.policy import Gateway
+from api_gateway.upstream.pool import Attempt, Hosts
 
 GUARD = 0.01  # s before the client gives up by which a request is failed, whatever the module does
 MOST_HELD = 16 * 1024 * 1024  # bytes of small bodies in work past which requests are refused
@@ -79,7 +79,7 @@
         self.clients = ClientServer(self, 0)
         self.hosts = Hosts(config.connect_timeout, config.idle_close, 0)
         if config.edge and config.edge.connects:
-            from calicomast.net.connects import shared
+            from api_gateway.upstream.connect_limits import shared
 
             self.hosts.make = shared(config.edge.connects, config.edge.connects_all)
         self.processes = 1  # of this gateway, as far as the last look told
@@ -125,12 +125,12 @@
         """For the part of the hosts that is used; None where that is all of them."""
         if self.config.view is None:
             return None
-        from calicomast.net.views import Viewing
+        from api_gateway.discovery.subsets import Viewing
 
         return Viewing(self.config.view, self.settings.index, self.settings.zone)
 
     def replicas(self, address: Address, *args: Any) -> Discovery:
-        from calicomast.net.replicas import Replicas
+        from api_gateway.discovery.replicas import Replicas
 
         config = self.config
         made = Replicas(address, config.others, config.scratch if config.keep else None, config.name, *args)
@@ -142,9 +142,9 @@
         """Returns the port that clients connect to. Before the first of them the module knows its hosts, and
         all that takes long is done: what comes meanwhile would wait past its time."""
         if self.config.control:
-            from calicomast.net.control import Control
+            from api_gateway.control.server import Control
         if self.config.membership:
-            from calicomast.membership.service import Member
+            from api_gateway.membership.service import Member
         self.lives.begin()
         if self.config.control:
             self.changed().begin()
@@ -472,7 +472,7 @@
     def changed(self) -> Any:
         """What brings configurations into force. The history is kept where operators can ask for it."""
         if self.changes is None:
-            from calicomast.net.changes import Changes
+            from api_gateway.control.config_changes import Changes
 
             self.changes = Changes(self, self.config.scratch if self.config.control else None)
         return self.changes
--- a/calicomast/net/requests.py
+++ b/api_gateway/gateway/requests.py
@@ -5,9 +5,9 @@
 import asyncio
 import re
 
-from calicomast import interface as api
-from calicomast.net.clients import Slot
-from calicomast.net.hosts import Attempt
+from api_gateway import interface as api
+from api_gateway.downstream.client_connection import Slot
+from api_gateway.upstream.pool import Attempt
 
 RESERVED = 0.03  # s before the client gives up by which the module is to be done
 LONGEST_WAIT = 3600.0  # s; a client that says it will wait for longer is in error
--- a/calicomast/net/shutdown.py
+++ b/api_gateway/gateway/shutdown.py
@@ -17,10 +17,10 @@
 import time
 from typing import TYPE_CHECKING
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 if TYPE_CHECKING:
-    from calicomast.net.gateway import GatewayNode
+    from api_gateway.gateway.node import GatewayNode
 
 ACCEPT_FOR = 0.45  # s after SIGTERM in which connections still come
 ACCEPT_LAST = 0.1  # s past that for those that wait in the backlog
--- a/calicomast/membership/service.py
+++ b/api_gateway/membership/service.py
@@ -15,8 +15,8 @@
 from time import monotonic
 from typing import Any
 
-from calicomast.base.listing import read_address, write_address
-from calicomast.membership.core import ALIVE, Address, Send, Swim
+from api_gateway.base.endpoint_list import read_address, write_address
+from api_gateway.membership.core import ALIVE, Address, Send, Swim
 
 MOST_WORD = 64  # characters of a cluster's name
 LATE_SPAN = 60.0  # s
--- a/calicomast/policy/fleet_time.py
+++ b/api_gateway/policy/cluster_clock.py
@@ -20,7 +20,7 @@
 import random
 from enum import Enum, auto
 
-from calicomast.policy.accounts import stable_hash
+from api_gateway.policy.customer_accounts import stable_hash
 
 BEACON = stable_hash("fleet time")  # name of the number at the counter
 LIFETIME = 4.0  # s after which the counter forgets a beacon
--- a/calicomast/policy/accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 if TYPE_CHECKING:
-    from calicomast.policy.work import Job
+    from api_gateway.policy.request_state import Job
 
 ALLOW, CHARGE_AT = 0.5, 0.5  # part of the even room passed uncharged; part of that which is then charged
 STRAND_MIN = 0.05  # least chance that an unspent unit is missed elsewhere (c2), customer nearly idle
--- a/calicomast/policy/fleet.py
+++ b/api_gateway/policy/endpoints.py
@@ -12,10 +12,10 @@
 import random
 from typing import TypeVar
 
-from calicomast import interface as api
-from calicomast.policy.accounts import GAIN, QUICK, stable_hash
-from calicomast.policy.health import HealthEstimator
-from calicomast.policy.starts import StartTimes, later_start
+from api_gateway import interface as api
+from api_gateway.policy.customer_accounts import GAIN, QUICK, stable_hash
+from api_gateway.policy.outlier_detection import HealthEstimator
+from api_gateway.policy.slow_start import StartTimes, later_start
 
 TICK = 0.02  # s; coarsest delay of a check on held requests and copies; far under any aim
 
--- a/calicomast/policy/gateway.py
+++ b/api_gateway/policy/engine.py
@@ -6,12 +6,12 @@
 import itertools
 import math
 
-from calicomast import interface as api
-from calicomast.policy.accounts import GAIN, PlanUse
-from calicomast.policy.fleet import TICK
-from calicomast.policy.fleet_time import BEACON, LIFETIME
-from calicomast.policy.quota import Quota
-from calicomast.policy.work import GRANT_PRIOR, IDLE_MOST, Job
+from api_gateway import interface as api
+from api_gateway.policy.cluster_clock import BEACON, LIFETIME
+from api_gateway.policy.customer_accounts import GAIN, PlanUse
+from api_gateway.policy.endpoints import TICK
+from api_gateway.policy.quota_leases import Quota
+from api_gateway.policy.request_state import GRANT_PRIOR, IDLE_MOST, Job
 
 
 class Gateway(Quota):
--- a/calicomast/policy/shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -5,9 +5,9 @@
 import bisect
 import math
 
-from calicomast.policy.attempts import QUEUE_HOLD, QUEUE_LEAST, RETRY_SHARE, RETRY_SPARE, Attempts
-from calicomast.policy.fleet import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR
-from calicomast.policy.work import RETRY_MOST, Job
+from api_gateway.policy.endpoints import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR
+from api_gateway.policy.request_state import RETRY_MOST, Job
+from api_gateway.policy.retries import QUEUE_HOLD, QUEUE_LEAST, RETRY_SHARE, RETRY_SPARE, Attempts
 
 SHED_FAST, SHED_BACK, SHED_LEAST = 0.7, 0.15, 0.05  # 1/s down, 1/s up, least part that still passes
 
--- a/calicomast/policy/health.py
+++ b/api_gateway/policy/outlier_detection.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from calicomast.policy.accounts import GAIN
+from api_gateway.policy.customer_accounts import GAIN
 
 HALF_LIFE = 10.0  # s in which half of what is known of a host's failures is forgotten: that is its next trial
 FADED = 60 * HALF_LIFE  # s after which an estimate differs from the pool by less than floats can tell
--- a/calicomast/policy/quota.py
+++ b/api_gateway/policy/quota_leases.py
@@ -4,11 +4,11 @@
 
 import math
 
-from calicomast import interface as api
-from calicomast.policy.accounts import CHARGE_AT, CROWDED, Account, Call, SlotCall, stable_hash
-from calicomast.policy.fleet import TICK
-from calicomast.policy.shedding import Shedding
-from calicomast.policy.work import OPEN_EPOCH, Job
+from api_gateway import interface as api
+from api_gateway.policy.customer_accounts import CHARGE_AT, CROWDED, Account, Call, SlotCall, stable_hash
+from api_gateway.policy.endpoints import TICK
+from api_gateway.policy.load_shedding import Shedding
+from api_gateway.policy.request_state import OPEN_EPOCH, Job
 
 RESERVE = 0.2  # share of a burst kept from the class worth least a unit, for the one worth most
 CROWD = 0.3  # worth of a call's time at the full time-out (c1 grows as the counter slows), squared share
--- a/calicomast/policy/attempts.py
+++ b/api_gateway/policy/retries.py
@@ -4,9 +4,9 @@
 
 import math
 
-from calicomast import interface as api
-from calicomast.policy.fleet import TICK, Server
-from calicomast.policy.work import Job, State
+from api_gateway import interface as api
+from api_gateway.policy.endpoints import TICK, Server
+from api_gateway.policy.request_state import Job, State
 
 QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for a server; requests that always may
 RETRY_SHARE, RETRY_SPARE, RETRY_FULL = 0.1, 0.3, 0.2  # per first send; with room; price of one after `full`
--- a/calicomast/policy/starts.py
+++ b/api_gateway/policy/slow_start.py
@@ -9,7 +9,7 @@
 
 import math
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 LIST_DELAY = 10.0  # s; the longest that discovery takes to tell of a start while its lists come
 COLD_PART = 0.5  # of the cold time, at most that: a clock off by less leaves a host that is new half cold
--- a/calicomast/registry/__main__.py
+++ b/api_gateway/registry/__main__.py
@@ -1,4 +1,4 @@
-"""The list service: `python -m calicomast.registry`, with REGISTRY_CONFIG naming its configuration."""
+"""The list service: `python -m api_gateway.registry`, with REGISTRY_CONFIG naming its configuration."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 import sys
 import time
 
-from calicomast.base.serving import run
-from calicomast.registry.config import read_config
-from calicomast.registry.core import Registry
-from calicomast.registry.service import Service
+from api_gateway.base.serving import run
+from api_gateway.registry.config import read_config
+from api_gateway.registry.core import Registry
+from api_gateway.registry.service import Service
 
 
 def made() -> Service:
@@ -20,4 +20,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(run("calicomast.registry", made, "the list is served"))
+    sys.exit(run("api_gateway.registry", made, "the list is served"))
--- a/calicomast/registry/config.py
+++ b/api_gateway/registry/config.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from calicomast.base.faults import ConfigError, in_one_line
-from calicomast.base.listing import Address, read_address
-from calicomast.registry.core import STATES, Host
-from calicomast.registry.views import MOST_VIEWS
+from api_gateway.base.endpoint_list import Address, read_address
+from api_gateway.base.errors import ConfigError, in_one_line
+from api_gateway.registry.core import STATES, Host
+from api_gateway.registry.subsets import MOST_VIEWS
 
 KEYS = {"listen", "hosts", "watchers", "learn_ms", "membership", "views"}
 LEARN = 10.0  # s after a start in which hosts come back, where there is no file that names them
@@ -57,7 +57,7 @@
 
 def membership_of(told: Any) -> Any:
     """Imported only where the key is."""
-    from calicomast.membership.service import read_membership
+    from api_gateway.membership.service import read_membership
 
     return read_membership(told)
 
--- a/calicomast/registry/core.py
+++ b/api_gateway/registry/core.py
@@ -12,8 +12,8 @@
 import math
 from dataclasses import dataclass, field, replace
 
-from calicomast.base.views import View
-from calicomast.registry.views import MOST_VIEWS, Live, Views
+from api_gateway.base.subsets import View
+from api_gateway.registry.subsets import MOST_VIEWS, Live, Views
 
 STATES = ("up", "draining", "removed")
 MOST_GONE = 1000  # hosts that went and are remembered; a watch from before that gets the whole list
--- a/calicomast/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -12,14 +12,14 @@
 
 from aiohttp import web
 
-from calicomast.base.accepting import AcceptingServer, serve
-from calicomast.base.calls import hand_out, read_body
-from calicomast.base.faults import ConfigError
-from calicomast.base.listing import write_address
-from calicomast.base.views import View, read_view
-from calicomast.registry.config import Config, read_host, read_hosts
-from calicomast.registry.core import TTL_LEAST, TTL_MOST, Answer, Host, Registry, Stale
-from calicomast.registry.views import TooMany
+from api_gateway.base.accepting import AcceptingServer, serve
+from api_gateway.base.calls import hand_out, read_body
+from api_gateway.base.endpoint_list import write_address
+from api_gateway.base.errors import ConfigError
+from api_gateway.base.subsets import View, read_view
+from api_gateway.registry.config import Config, read_host, read_hosts
+from api_gateway.registry.core import TTL_LEAST, TTL_MOST, Answer, Host, Registry, Stale
+from api_gateway.registry.subsets import TooMany
 
 LIST = "/v1/endpoints"
 HOSTS = "/v1/hosts/"
@@ -60,7 +60,7 @@
         self.turn()
         port = self.listener.sockets[0].getsockname()[1]
         if self.config.membership:
-            from calicomast.membership.service import Member
+            from api_gateway.membership.service import Member
 
             name = f"registry-{write_address((self.config.listen[0], port))}"
             self.member = Member(self.config.membership, name, lambda: {"kind": "registry"})
--- a/calicomast/registry/views.py
+++ b/api_gateway/registry/subsets.py
@@ -19,10 +19,10 @@
 from operator import is_not
 from typing import TYPE_CHECKING
 
-from calicomast.base.views import RING, Part, Rings, View
+from api_gateway.base.subsets import RING, Part, Rings, View
 
 if TYPE_CHECKING:
-    from calicomast.registry.core import Host
+    from api_gateway.registry.core import Host
 
 MOST_VIEWS = 8192  # live at once, where nothing else is said
 KEEP = 60.0  # s for which a view that nobody asks for any longer is kept
--- a/calicomast/settings.py
+++ b/api_gateway/settings_parser.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 EFFECT = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
 DISCOVERY = {"pushed": "push", "on_request": "ask"}
--- a/calicomast/adapter.py
+++ b/api_gateway/simulator_adapter.py
@@ -1,6 +1,6 @@
 """Wire adapter: reads batches on standard input, hands events to one Gateway per instance, writes actions.
 
-It translates only. Run as `python -m calicomast.adapter`.
+It translates only. Run as `python -m api_gateway.simulator_adapter`.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from calicomast import interface as api
-from calicomast.policy import Gateway
-from calicomast.settings import NS, flag, read_report, read_settings, seconds
+from api_gateway import interface as api
+from api_gateway.policy import Gateway
+from api_gateway.settings_parser import NS, flag, read_report, read_settings, seconds
 
 STATE = {"U": "up", "L": "leaving", "D": "down"}
 RESULT = {
@@ -260,7 +260,7 @@
             while self._batch():
                 pass
         except WireError as err:
-            print(f"calicomast: line {self.line_no}: {err}: {self.line[:200]}", file=sys.stderr)
+            print(f"api_gateway: line {self.line_no}: {err}: {self.line[:200]}", file=sys.stderr)
             return 1
         return 0
 
--- a/calicomast/supervisor/fleet.py
+++ b/api_gateway/supervisor/fleet.py
@@ -19,7 +19,7 @@
 
 import aiohttp
 
-from calicomast.standins.site import BASE, Json, S, config
+from api_gateway.emulators.site import BASE, Json, S, config
 
 READY_WITHIN = 20.0  # s for a process to be ready
 ENDS_WITHIN = 5.0  # s after SIGTERM at which a process is killed
@@ -189,7 +189,7 @@
         self.registry_at, self.listed = f"127.0.0.1:{free_port()}", 0
         self.files = {"registry.json": {"listen": self.registry_at, "learn_ms": 0}}
         self.registry = self.part(
-            "registry", "calicomast.registry", env={"REGISTRY_CONFIG": str(folder / "registry.json")}
+            "registry", "api_gateway.registry", env={"REGISTRY_CONFIG": str(folder / "registry.json")}
         )
         self.counter = self.stand_in("counter", "counter")
         self.hosts = [
@@ -220,14 +220,14 @@
         return Part(name, self.folder, module, *args, env=env)
 
     def stand_in(self, name: str, kind: str, *args: str) -> Part:
-        return self.part(name, "calicomast.cli", "standin", kind, *args)
+        return self.part(name, "api_gateway.cli", "standin", kind, *args)
 
     def gateway(self, number: int) -> Part:
         name, folder = f"gateway-{number}", self.folder / f"gateway-{number}"
         folder.mkdir(exist_ok=True)
         made = self.part(
             name,
-            "calicomast.net",
+            "api_gateway.gateway",
             env={"RELAY_CONFIG": str(self.folder / f"{name}.json"), "TMPDIR": str(folder)},
         )
         made.places = {"listen": f"127.0.0.1:{free_port()}", "control": f"127.0.0.1:{free_port()}"}
--- a/calicomast/net/connects.py
+++ b/api_gateway/upstream/connect_limits.py
@@ -12,8 +12,8 @@
 import weakref
 from collections.abc import Callable
 
-from calicomast.base.listing import Address
-from calicomast.net.hosts import TICK, Attempt, Connection, Hosts, Pool, Short
+from api_gateway.base.endpoint_list import Address
+from api_gateway.upstream.pool import TICK, Attempt, Connection, Hosts, Pool, Short
 
 
 class Bounds:
--- a/calicomast/net/hosts.py
+++ b/api_gateway/upstream/pool.py
@@ -19,10 +19,10 @@
 
 import hiredis
 
-from calicomast.base.listing import Address
-from calicomast.net.descriptors import is_resource_exhaustion, retry_after_reclaim
-from calicomast.net.resp import END, NO_REPLY, SMALL, Reader
-from calicomast.settings import REPORT, read_report
+from api_gateway.base.descriptors import is_resource_exhaustion, retry_after_reclaim
+from api_gateway.base.endpoint_list import Address
+from api_gateway.base.resp import END, NO_REPLY, SMALL, Reader
+from api_gateway.settings_parser import REPORT, read_report
 
 MOST_REPLY = SMALL + 4096  # bytes of one answer but for a large value
 PARTS = 3  # of an answer: the value, the figures on use, the load report
--- a/tests/test_listing.py
+++ b/tests/base/test_endpoint_list.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from calicomast.base import listing
-from calicomast.base.listing import Entries
+from api_gateway.base import endpoint_list as listing
+from api_gateway.base.endpoint_list import Entries
 
 WORDS = st.text(max_size=8)
 VALUES = st.recursive(
--- a/tests/test_net_resp.py
+++ b/tests/base/test_resp.py
@@ -3,7 +3,7 @@
 import hiredis
 import pytest
 
-from calicomast.net.resp import END, MOST_PARTS, NO_REPLY, Reader
+from api_gateway.base.resp import END, MOST_PARTS, NO_REPLY, Reader
 
 STREAM = b"*2\r\n$4\r\n*9\r\n\r\n$-1\r\n:7\r\n+yes\r\n$0\r\n\r\n*-1\r\n*1\r\n*1\r\n$3\r\na\r\n\r\n"
 VALUES = [[b"*9\r\n", None], 7, b"yes", b"", None, [[b"a\r\n"]]]
--- a/tests/test_views.py
+++ b/tests/base/test_subsets.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from calicomast.base import views as module
-from calicomast.base.views import LEAST, Rings, View, place_of, read_view
-from calicomast.policy.accounts import stable_hash
+from api_gateway.base import subsets as module
+from api_gateway.base.subsets import LEAST, Rings, View, place_of, read_view
+from api_gateway.policy.customer_accounts import stable_hash
 
 ZONES = "abcdef"
 
@@ -37,7 +37,7 @@
 
 def test_the_module_imports_nothing_above_it():
     used = re.findall(r"^(?:from|import) (\S+)", Path(module.__file__).read_text(), re.MULTILINE)
-    assert not [name for name in used if name.startswith("calicomast")]
+    assert not [name for name in used if name.startswith("api_gateway")]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -15,15 +15,15 @@
 from commands import ROOT
 from netkit import on_loop, until
 
-from calicomast.budgets.client import Client, Share
-from calicomast.budgets.config import Config
-from calicomast.budgets.division import Claim, divide, spread, whole_parts
-from calicomast.budgets.grantor import Grantor, Held, Stale, Superseded, Unsound
-from calicomast.budgets.holder import Holder
-from calicomast.budgets.service import Service
-from calicomast.budgets.store import Log, State, Store, StoreError, fixed
-from calicomast.budgets.terms import Budget, Exchange, Report, Terms, TermsError, check, read_exchange
-from calicomast.lab.budgets.world import TERMS, World, play
+from api_gateway.budgets.client import Client, Share
+from api_gateway.budgets.config import Config
+from api_gateway.budgets.division import Claim, divide, spread, whole_parts
+from api_gateway.budgets.grantor import Grantor, Held, Stale, Superseded, Unsound
+from api_gateway.budgets.holder import Holder
+from api_gateway.budgets.service import Service
+from api_gateway.budgets.store import Log, State, Store, StoreError, fixed
+from api_gateway.budgets.terms import Budget, Exchange, Report, Terms, TermsError, check, read_exchange
+from api_gateway.experiments.budgets.world import TERMS, World, play
 
 TERMS_BY_NAME = {budget.name: budget for budget in TERMS.budgets}
 
@@ -681,7 +681,7 @@
     (tmp_path / "budgets.json").write_text(json.dumps(tree))
     env = {**os.environ, "BUDGETS_CONFIG": str(tmp_path / "budgets.json")}
     return subprocess.Popen(
-        [sys.executable, "-m", "calicomast.budgets"], env=env, text=True, cwd=ROOT, stderr=subprocess.PIPE
+        [sys.executable, "-m", "api_gateway.budgets"], env=env, text=True, cwd=ROOT, stderr=subprocess.PIPE
     )
 
 
--- a/tests/commands.py
+++ b/tests/commands.py
@@ -16,7 +16,7 @@
     """A process of the command; `left` tells what still runs of all that it started."""
 
     def __init__(
-        self, *args, cwd=ROOT, program=(sys.executable, "-m", "calicomast.cli"), scratch=None, env=None
+        self, *args, cwd=ROOT, program=(sys.executable, "-m", "api_gateway.cli"), scratch=None, env=None
     ):
         self.mark, self.scratch = uuid.uuid4().hex, scratch
         env = {**os.environ, **(env or {}), "CINDER_TEST": self.mark}
--- a/tests/test_net_changes.py
+++ b/tests/control/test_config_changes.py
@@ -24,9 +24,11 @@
     until,
 )
 
-from calicomast.net import changes as module
-from calicomast.net import clients, control, keys
-from calicomast.net.changes import STEPS, History, digest, read_history, version
+from api_gateway.control import config_changes as module
+from api_gateway.control import config_schema as keys
+from api_gateway.control import server as control
+from api_gateway.control.config_changes import STEPS, History, digest, read_history, version
+from api_gateway.downstream import client_connection as clients
 
 EXTRA = SETTINGS["services"][0] | {"name": "extra"}
 # On a machine that is busy with other things nothing is taken for late; and no quota is met.
@@ -691,15 +693,15 @@
         (tmp_path / "off").mkdir()
         code = """if True:
             import asyncio, os, sys
-            from calicomast.net.config import read_config
-            from calicomast.net.gateway import GatewayNode
+            from api_gateway.gateway.config import read_config
+            from api_gateway.gateway.node import GatewayNode
             async def main():
                 node = GatewayNode(read_config())
                 await node.start()
                 await asyncio.sleep(0.05)
                 names = ("changes", "keys", "control", "calls", "replicas", "admission")
-                assert not [n for n in names if "calicomast.net." + n in sys.modules], "imported"
-                assert "aiohttp.web" not in sys.modules and "calicomast.membership" not in sys.modules
+                assert not [n for n in names if "api_gateway.gateway." + n in sys.modules], "imported"
+                assert "aiohttp.web" not in sys.modules and "api_gateway.membership" not in sys.modules
                 files = [f for f in os.listdir(os.environ["TMPDIR"]) if "-life-" not in f]
                 assert not files and node.changes is None, files
                 node.reload()
--- a/tests/test_changes_model.py
+++ b/tests/control/test_config_changes_model.py
@@ -8,8 +8,8 @@
 import pytest
 from netkit import told
 
-from calicomast.net.changes import MOST_VERSIONS, Changes, Refused, content, read_history
-from calicomast.net.config import read_config
+from api_gateway.control.config_changes import MOST_VERSIONS, Changes, Refused, content, read_history
+from api_gateway.gateway.config import read_config
 
 DEAD = "127.0.0.1:1"
 SEEDS = range(30)
--- a/tests/test_net_keys.py
+++ b/tests/control/test_config_schema.py
@@ -6,10 +6,10 @@
 import pytest
 from netkit import told
 
-from calicomast.net import keys
-from calicomast.net.config import build
+from api_gateway.control import config_schema as keys
+from api_gateway.gateway.config import build
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 LAST = told([], 1, 2)
 
 
--- a/tests/test_net_control.py
+++ b/tests/control/test_control_server.py
@@ -6,7 +6,8 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, entry, on_loop, read_reply, until
 
-from calicomast.net import clients, control
+from api_gateway.control import server as control
+from api_gateway.downstream import client_connection as clients
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
--- a/tests/test_net_bans.py
+++ b/tests/control/test_host_overrides.py
@@ -7,10 +7,10 @@
 import pytest
 from netkit import Node, StubHost, entry, on_loop, until
 
-from calicomast import interface as api
-from calicomast.net import bans
-from calicomast.net.bans import Bans
-from calicomast.net.lives import Lives
+from api_gateway import interface as api
+from api_gateway.control import host_overrides as bans
+from api_gateway.control.host_overrides import Bans
+from api_gateway.gateway.instances import Lives
 
 
 def test_what_one_process_says_another_reads(tmp_path):
--- a/tests/test_demo.py
+++ b/tests/demo/test_demo.py
@@ -14,7 +14,7 @@
 from commands import ROOT, Command
 from netkit import on_loop
 
-from calicomast.supervisor.fleet import Fleet, StartFailed
+from api_gateway.supervisor.fleet import Fleet, StartFailed
 
 SMALL = ("demo", "--gateways", "2", "--hosts", "2", "--json")
 
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("folder", ["README.md/x", "/proc/none"])
 def test_a_folder_that_cannot_be_made_is_told_in_one_line(folder):
     status, out, err = Command(*SMALL, "--folder", folder).result()
-    assert status == 2 and err.startswith("cinderrouter demo: ") and err.count("\n") == 1 and not out
+    assert status == 2 and err.startswith("api-gateway demo: ") and err.count("\n") == 1 and not out
 
 
 # The launcher
@@ -115,17 +115,17 @@
 @pytest.fixture
 def program(tmp_path):
     """The launcher beside a command that tells where it runs."""
-    (tmp_path / "calicomast").mkdir()
-    (tmp_path / "calicomast" / "cli.py").write_text("import sys; print(sys.prefix, *sys.argv[1:])")
+    (tmp_path / "api_gateway").mkdir()
+    (tmp_path / "api_gateway" / "cli.py").write_text("import sys; print(sys.prefix, *sys.argv[1:])")
     for name in ("requirements.txt", "requirements-dev.txt"):
         (tmp_path / name).write_text("")
     (tmp_path / "pyproject.toml").write_text("[project.optional-dependencies]\ncli = []\n")
-    (tmp_path / "cinderrouter").write_bytes((ROOT / "cinderrouter").read_bytes())
+    (tmp_path / "api-gateway").write_bytes((ROOT / "api-gateway").read_bytes())
     return tmp_path
 
 
 def launch(folder, *args):
-    return Command(*args, cwd=folder, program=(sys.executable, "cinderrouter"))
+    return Command(*args, cwd=folder, program=(sys.executable, "api-gateway"))
 
 
 def test_an_environment_is_made_once_and_again_when_pins_change(program):
@@ -133,8 +133,8 @@
     told = [command.result() for command in both]
     assert [status for status, _, _ in told] == [0, 0]
     assert "".join(err for _, _, err in told).count("making") == 1
-    assert told[0][1] == f"{program / '.cinderrouter' / 'run'} a\n"
-    (program / ".cinderrouter" / "run" / "made").unlink()  # what a start that was cut off leaves
+    assert told[0][1] == f"{program / '.api-gateway' / 'run'} a\n"
+    (program / ".api-gateway" / "run" / "made").unlink()  # what a start that was cut off leaves
     assert "making" in launch(program).result()[2]
     (program / "requirements.txt").write_text("# other pins\n")
     assert "making" in launch(program).result()[2] and "making" not in launch(program).result()[2]
@@ -147,63 +147,62 @@
 
 
 def test_beside_a_program_that_may_not_be_written_the_environment_is_in_the_cache(program, monkeypatch):
-    loader = importlib.machinery.SourceFileLoader("launcher", str(program / "cinderrouter"))
+    loader = importlib.machinery.SourceFileLoader("launcher", str(program / "api-gateway"))
     launcher = importlib.util.module_from_spec(importlib.util.spec_from_loader("launcher", loader))
     loader.exec_module(launcher)
     monkeypatch.setattr(launcher.os, "access", lambda *_: False)
     monkeypatch.setenv("XDG_CACHE_HOME", str(program / "cache"))
-    assert launcher.place(False).parent.parent == program / "cache" / "cinderrouter"
+    assert launcher.place(False).parent.parent == program / "cache" / "api-gateway"
 
 
 def test_a_gateway_imports_what_it_needs_and_no_part_that_is_off():
     told = subprocess.run(
-        [sys.executable, "-c", "import calicomast.net.__main__, sys; print(*sorted(sys.modules))"],
+        [sys.executable, "-c", "import api_gateway.gateway.__main__, sys; print(*sorted(sys.modules))"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=True,
     ).stdout.split()
-    assert [name for name in told if name.startswith("calicomast")] == [
-        "calicomast",
-        "calicomast.base",
-        "calicomast.base.accepting",
-        "calicomast.base.faults",
-        "calicomast.base.listing",
-        "calicomast.base.ratelimit",
-        "calicomast.interface",
-        "calicomast.net",
-        "calicomast.net.__main__",
-        "calicomast.net.bans",
-        "calicomast.net.clients",
-        "calicomast.net.clock",
-        "calicomast.net.config",
-        "calicomast.net.counter",
-        "calicomast.net.descriptors",
-        "calicomast.net.discovery",
-        "calicomast.net.fetch",
-        "calicomast.net.gateway",
-        "calicomast.net.hosts",
-        "calicomast.net.listening",
-        "calicomast.net.lives",
-        "calicomast.net.requests",
-        "calicomast.net.resp",
-        "calicomast.net.shutdown",
-        "calicomast.policy",
-        *(
-            f"calicomast.policy.{name}"
-            for name in (
-                "accounts",
-                "attempts",
-                "fleet",
-                "fleet_time",
-                "gateway",
-                "health",
-                "quota",
-                "shedding",
-                "starts",
-                "work",
-            )
-        ),
-        "calicomast.settings",
+    assert [name for name in told if name.startswith("api_gateway")] == [
+        "api_gateway",
+        "api_gateway.base",
+        "api_gateway.base.accepting",
+        "api_gateway.base.descriptors",
+        "api_gateway.base.endpoint_list",
+        "api_gateway.base.errors",
+        "api_gateway.base.ratelimit",
+        "api_gateway.base.resp",
+        "api_gateway.control",
+        "api_gateway.control.host_overrides",
+        "api_gateway.counter_client",
+        "api_gateway.discovery",
+        "api_gateway.discovery.client",
+        "api_gateway.discovery.fetcher",
+        "api_gateway.downstream",
+        "api_gateway.downstream.client_connection",
+        "api_gateway.downstream.listener",
+        "api_gateway.gateway",
+        "api_gateway.gateway.__main__",
+        "api_gateway.gateway.config",
+        "api_gateway.gateway.instances",
+        "api_gateway.gateway.node",
+        "api_gateway.gateway.requests",
+        "api_gateway.gateway.shutdown",
+        "api_gateway.gateway.wall_clock",
+        "api_gateway.interface",
+        "api_gateway.policy",
+        "api_gateway.policy.cluster_clock",
+        "api_gateway.policy.customer_accounts",
+        "api_gateway.policy.endpoints",
+        "api_gateway.policy.engine",
+        "api_gateway.policy.load_shedding",
+        "api_gateway.policy.outlier_detection",
+        "api_gateway.policy.quota_leases",
+        "api_gateway.policy.request_state",
+        "api_gateway.policy.retries",
+        "api_gateway.policy.slow_start",
+        "api_gateway.settings_parser",
+        "api_gateway.upstream",
+        "api_gateway.upstream.pool",
     ]
     assert not {"click", "rich", "aiohttp"} & set(told)
--- a/tests/test_net_discovery.py
+++ b/tests/discovery/test_discovery_client.py
@@ -7,11 +7,12 @@
 import pytest
 from netkit import SERVED, SETTINGS, Node, StubDiscovery, StubHost, command, entry, on_loop, until
 
-from calicomast import interface as api
-from calicomast.base.listing import read_list
-from calicomast.net import clients, discovery
-from calicomast.net.discovery import Backoff
-from calicomast.net.replicas import Replicas
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import read_list
+from api_gateway.discovery import client as discovery
+from api_gateway.discovery.client import Backoff
+from api_gateway.discovery.replicas import Replicas
+from api_gateway.downstream import client_connection as clients
 
 
 @on_loop
--- a/tests/test_net_views.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -11,11 +11,11 @@
 from netkit import SERVED, VALUE, Node, StubDiscovery, StubHost, command, on_loop, read_reply, until
 from test_registry_service import Serving
 
-from calicomast import interface as api
-from calicomast.base.listing import read_list
-from calicomast.base.views import Rings, View
-from calicomast.net import views
-from calicomast.net.views import Shelf, Viewing, Wanted, read_wanted
+from api_gateway import interface as api
+from api_gateway.base.endpoint_list import read_list
+from api_gateway.base.subsets import Rings, View
+from api_gateway.discovery import subsets as views
+from api_gateway.discovery.subsets import Shelf, Viewing, Wanted, read_wanted
 
 EMPTY = {"version": 0, "full": True, "servers": []}
 
@@ -337,7 +337,7 @@
 def test_what_lies_on_the_shelf_is_found_whatever_its_name_and_hash(kinds, tied, monkeypatch):
     if tied:
         monkeypatch.setattr(views, "place_of", lambda name: 7)
-        monkeypatch.setattr("calicomast.base.views.place_of", lambda name: 7)
+        monkeypatch.setattr("api_gateway.base.subsets.place_of", lambda name: 7)
     shelf, rings = Shelf(kinds), Rings()
     for n, name in enumerate(ODD * 2):  # each moves to another zone
         laid(shelf, name, zone="abc"[n % 3], weight=float(n), kind="kl"[n % 2])
--- a/tests/test_net_fetch.py
+++ b/tests/discovery/test_fetcher.py
@@ -6,8 +6,8 @@
 import pytest
 from netkit import on_loop
 
-from calicomast.net import fetch
-from calicomast.net.fetch import Broken, Fetcher, Refused
+from api_gateway.discovery import fetcher as fetch
+from api_gateway.discovery.fetcher import Broken, Fetcher, Refused
 
 BODY = json.dumps({"a": 1}).encode()
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
--- a/tests/test_net_replicas.py
+++ b/tests/discovery/test_replicas.py
@@ -10,9 +10,10 @@
 from netkit import SERVED, Node, StubHost, command, entry, on_loop, told, until
 from test_registry_service import Serving
 
-from calicomast.base.listing import read_list
-from calicomast.net import discovery, replicas
-from calicomast.net.replicas import Behind, Replicas
+from api_gateway.base.endpoint_list import read_list
+from api_gateway.discovery import client as discovery
+from api_gateway.discovery import replicas
+from api_gateway.discovery.replicas import Behind, Replicas
 
 ASK = {"known": {"version": 0, "full": True, "servers": []}}
 
@@ -201,7 +202,7 @@
     (tmp_path / "config.json").write_text(json.dumps(told([], 1, 2) | {"replicas": odd}))
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
     ended = subprocess.run(
-        [sys.executable, "-m", "calicomast.net"], env=env, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "api_gateway.gateway"], env=env, capture_output=True, text=True, timeout=60
     )
     assert ended.returncode == 2 and ended.stderr.count("\n") == 1
 
@@ -211,8 +212,9 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert type(node.node.discovery) is discovery.Discovery
         code = (
-            "import sys, calicomast.net.__main__; "
-            "sys.exit('calicomast.net.replicas' in sys.modules or 'calicomast.registry' in sys.modules)"
+            "import sys, api_gateway.gateway.__main__; "
+            "names = {'api_gateway.discovery.replicas', 'api_gateway.registry'}; "
+            "sys.exit(bool(names & sys.modules.keys()))"
         )
         ended = await asyncio.to_thread(subprocess.run, [sys.executable, "-c", code], timeout=60)
         assert ended.returncode == 0 and not list(tmp_path.glob("*-list.json"))
--- a/tests/test_view_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -9,21 +9,21 @@
 import pytest
 from helpers import World, host, of, plan, settings
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, until
-from test_net_views import Lists, by_service, hosts, pools, rewrite, using, viewed
+from test_discovery_subsets import Lists, by_service, hosts, pools, rewrite, using, viewed
 from test_registry import settle
 from test_registry_service import Serving
-from test_registry_views import change, filled, members
-from test_views import ZONES, rings_of
-
-from calicomast import interface as api
-from calicomast.base import views as base
-from calicomast.base.views import Rings, View
-from calicomast.net import views as net
-from calicomast.policy import fleet as policy
-from calicomast.policy.accounts import stable_hash
-from calicomast.policy.fleet import GOLDEN
-from calicomast.registry import core
-from calicomast.registry import views as live
+from test_registry_subsets import change, filled, members
+from test_subsets import ZONES, rings_of
+
+from api_gateway import interface as api
+from api_gateway.base import subsets as base
+from api_gateway.base.subsets import Rings, View
+from api_gateway.discovery import subsets as net
+from api_gateway.policy import endpoints as policy
+from api_gateway.policy.customer_accounts import stable_hash
+from api_gateway.policy.endpoints import GOLDEN
+from api_gateway.registry import core
+from api_gateway.registry import subsets as live
 
 BIG = plan(rate=1000.0, burst=4000.0)
 GATEWAYS = 420
--- a/tests/test_view_served.py
+++ b/tests/discovery/test_subset_service.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-sys.path.append(str(Path(__file__).resolve().parent / "measure"))
+sys.path.append(str(Path(__file__).resolve().parents[1] / "measure"))
 
 from served import BACK, LOST, REMOVED, START, WARM, Play  # noqa: E402
 
--- a/tests/test_net_admission.py
+++ b/tests/downstream/test_admission.py
@@ -7,8 +7,8 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, until
 
-from calicomast.net import admission
-from calicomast.net.admission import Edge, Gate, read_edge
+from api_gateway.downstream import admission
+from api_gateway.downstream.admission import Edge, Gate, read_edge
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
--- a/tests/test_net_storms.py
+++ b/tests/downstream/test_bad_client_storms.py
@@ -8,7 +8,7 @@
 import pytest
 from netkit import Node, StubHost, command, on_loop, read_reply, until
 
-from calicomast.net.clients import HEAD_WITHIN
+from api_gateway.downstream.client_connection import HEAD_WITHIN
 
 PEERS = 150
 RESET = b"\x01\0\0\0\0\0\0\0"  # SO_LINGER on, 0 s: closing sends RST
--- a/tests/test_net_clients.py
+++ b/tests/downstream/test_client_connection.py
@@ -10,8 +10,10 @@
 import pytest
 from netkit import SERVED, SETTINGS, VALUE, Node, StubHost, bear, command, on_loop, read_reply, terms, until
 
-from calicomast.net import clients, shutdown
-from calicomast.policy import attempts, shedding
+from api_gateway.downstream import client_connection as clients
+from api_gateway.gateway import shutdown
+from api_gateway.policy import load_shedding as shedding
+from api_gateway.policy import retries as attempts
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
--- a/tests/test_net_gone.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -22,7 +22,7 @@
     until,
 )
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 BUSY = b"-BUSY\r\n"
 ONE = {"edge": {"connects": 1, "connects_all": 1}}  # connects are shared
--- a/tests/test_net_turns.py
+++ b/tests/downstream/test_fair_queueing.py
@@ -8,8 +8,9 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, until
 
-from calicomast.net import admission, clients
-from calicomast.net.admission import LOT, QUANTUM, Origin, Ring, cost
+from api_gateway.downstream import admission
+from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream.admission import LOT, QUANTUM, Origin, Ring, cost
 
 DEAREST = 5.0
 
--- a/tests/test_net_large.py
+++ b/tests/downstream/test_large_values.py
@@ -6,9 +6,9 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, until
 
-from calicomast.net import clients
-from calicomast.net.clients import Budget
-from calicomast.net.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
+from api_gateway.base.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
+from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream.client_connection import Budget
 
 BIG = bytes(range(256)) * 4096  # 1 MiB
 WRITE = terms(c="write", k="77")
--- a/tests/test_standins.py
+++ b/tests/emulators/test_emulators.py
@@ -6,13 +6,13 @@
 import pytest
 from netkit import VALUE, command, entry, on_loop, until, write
 
-from calicomast.registry.config import Config
-from calicomast.registry.core import Registry
-from calicomast.registry.service import Service
-from calicomast.standins.counter import Counter
-from calicomast.standins.discovery import Discovery
-from calicomast.standins.host import BUSY, FAILED, WorkingHost, stay_registered
-from calicomast.standins.service import Calls, Faults
+from api_gateway.emulators.counter import Counter
+from api_gateway.emulators.discovery import Discovery
+from api_gateway.emulators.host import BUSY, FAILED, WorkingHost, stay_registered
+from api_gateway.emulators.service import Calls, Faults
+from api_gateway.registry.config import Config
+from api_gateway.registry.core import Registry
+from api_gateway.registry.service import Service
 
 
 async def call(port, call):
--- a/tests/test_faults.py
+++ b/tests/experiments/test_faults.py
@@ -9,11 +9,11 @@
 from commands import ROOT, Command
 from netkit import on_loop, until
 
-from calicomast.lab.faults.lines import PASS, Line, Treatment
-from calicomast.lab.faults.links import Network, on_loopback, port
-from calicomast.lab.faults.scenario import SHIPPED, ScenarioError, read_scenario
+from api_gateway.experiments.faults.lines import PASS, Line, Treatment
+from api_gateway.experiments.faults.links import Network, on_loopback, port
+from api_gateway.experiments.faults.scenario import SHIPPED, ScenarioError, read_scenario
 
-KIT = (sys.executable, "-m", "calicomast.lab.faults")
+KIT = (sys.executable, "-m", "api_gateway.experiments.faults")
 VOID = 3
 IN_CI = ("one-way", "halves", "budgets", "full-disk", "surroundings")
 
@@ -282,7 +282,7 @@
 
 
 SETS_NOTHING_ASIDE = """
-import calicomast.budgets.terms as terms
+import api_gateway.budgets.terms as terms
 terms.Terms.divided = lambda self, budget: float(budget.whole)
 """
 
--- a/tests/test_scale_fit.py
+++ b/tests/experiments/test_scale_fit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from calicomast.lab.scale import fit
+from api_gateway.experiments.scale import fit
 
 SIZES = [100, 300, 1000, 3000, 10000, 30000]
 FORMS = {
--- a/tests/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -11,12 +11,14 @@
 import uvloop
 from netkit import SERVED, SETTINGS, VALUE, Node, StubHost, command, has_settled, on_loop, terms, until
 
-from calicomast import interface as api
-from calicomast.lab.scale import latency, page, stamped, timed
-from calicomast.lab.scale.latency import PLAN, Asked, Load, by_part, disturbed, joined
-from calicomast.net import admission, gateway, hosts
-from calicomast.policy import Gateway
-from calicomast.supervisor.fleet import CLASSES
+from api_gateway import interface as api
+from api_gateway.downstream import admission
+from api_gateway.experiments.scale import latency, page, stamped, timed
+from api_gateway.experiments.scale.latency import PLAN, Asked, Load, by_part, disturbed, joined
+from api_gateway.gateway import node as gateway
+from api_gateway.policy import Gateway
+from api_gateway.supervisor.fleet import CLASSES
+from api_gateway.upstream import pool as hosts
 
 FAULT = 1_000_000
 PATIENCE = 30  # s
--- a/tests/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from calicomast.lab.scale import arithmetic, cells, fit, page, plots, tables
-from calicomast.lab.scale.cells import ARITHMETIC, DERIVED, EXTRAPOLATED, MEASURED, Figure
+from api_gateway.experiments.scale import arithmetic, cells, fit, page, plots, tables
+from api_gateway.experiments.scale.cells import ARITHMETIC, DERIVED, EXTRAPOLATED, MEASURED, Figure
 
-ROOT = Path(__file__).resolve().parent.parent
-TARGET = ROOT / "calicomast" / "lab" / "scale" / "target.toml"
+ROOT = Path(__file__).resolve().parents[2]
+TARGET = ROOT / "api_gateway" / "experiments" / "scale" / "target.toml"
 STORED = ROOT / "docs" / "scale"
 MACHINE = {"cpus": 8, "model": "made up", "memory_mb": 16000, "python": "3.11.0"}
 
@@ -409,7 +409,7 @@
         return arithmetic.UNITS[name]
     if "." in name:
         module, _, constant = name.rpartition(".")
-        return getattr(importlib.import_module(f"calicomast.{module}"), constant)
+        return getattr(importlib.import_module(f"api_gateway.{module}"), constant)
     return book.of(name).value
 
 
@@ -476,7 +476,7 @@
     parts = name.split(".")
     for count in range(len(parts), 0, -1):
         try:
-            at = importlib.import_module(f"calicomast.{'.'.join(parts[:count])}")
+            at = importlib.import_module(f"api_gateway.{'.'.join(parts[:count])}")
         except ModuleNotFoundError:
             continue
         for part in parts[count:]:
@@ -573,8 +573,8 @@
     assert first[2].value == pytest.approx(10 * before[first[0], first[1].what].value, rel=0.05)
     members = next(row for name, row, _ in over if "members that a cluster" in row.what)
     assert members.ratio.value == pytest.approx(42_000 / cells.constant("membership.core", "MOST_MEMBERS"))
-    kinds = 26_000 / cells.constant("base.views", "KINDS_MOST")
-    assert row(text, "`base.views.KINDS_MOST`", 5) == f"**{cells.digits(kinds)} (A)**"
+    kinds = 26_000 / cells.constant("base.subsets", "KINDS_MOST")
+    assert row(text, "`base.subsets.KINDS_MOST`", 5) == f"**{cells.digits(kinds)} (A)**"
     assert any(row.what.startswith("state: kinds that a view names") for _, row, _ in over)
     assert page.untraced(text, book) == []
 
@@ -594,9 +594,9 @@
     _, book = page.page(many, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
     assert order.index("membership.core.MOST_MEMBERS") < order.index("budgets.terms.MOST_BUDGETS")
-    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("net.admission.MOST_SOURCES")
+    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("downstream.admission.MOST_SOURCES")
     ratios = {row.limit.expr: ratio.value for _, row, ratio in page.over_limit(book)}
-    assert ratios["net.admission.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
+    assert ratios["downstream.admission.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
     _, book = page.page(TARGET, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
     assert order.index("budgets.terms.MOST_BUDGETS") < order.index("membership.core.MOST_MEMBERS")
@@ -679,40 +679,40 @@
 # Constants that bound a number of things, and are no bounds on a fleet: on one connection, line, value or
 # caller, times, weights, or what a configuration sets.
 NO_BOUND_ON_A_FLEET = {
-    "net.counter.MOST_LINE",
-    "net.clients.MOST_PENDING",
-    "net.clients.OVER_MOST",
-    "net.resp.MOST_PARTS",
-    "net.resp.MOST_LINE",
-    "net.resp.MOST_LARGE",
-    "net.resp.MOST_DIGITS",
-    "net.gateway.MOST_HELD",
-    "net.clients.MOST_COMMAND",
-    "net.hosts.MOST_REPLY",
-    "net.control.MOST_CALLERS",
-    "net.control.MOST_ENDING",
-    "net.keys.MOST_DEPTH",
-    "net.keys.MOST_TOLD",
-    "net.keys.MOST_TEXT",
+    "counter_client.MOST_LINE",
+    "downstream.client_connection.MOST_PENDING",
+    "downstream.client_connection.OVER_MOST",
+    "base.resp.MOST_PARTS",
+    "base.resp.MOST_LINE",
+    "base.resp.MOST_LARGE",
+    "base.resp.MOST_DIGITS",
+    "gateway.node.MOST_HELD",
+    "downstream.client_connection.MOST_COMMAND",
+    "upstream.pool.MOST_REPLY",
+    "control.server.MOST_CALLERS",
+    "control.server.MOST_ENDING",
+    "control.config_schema.MOST_DEPTH",
+    "control.config_schema.MOST_TOLD",
+    "control.config_schema.MOST_TEXT",
     "membership.service.MOST_WORD",
     "membership.core.MOST_RUMOURS",
     "membership.core.MOST_BYTES",
     "membership.core.MOST_META",
     "membership.core.MOST_ACCUSERS",
     "registry.service.MOST_BODY",
-    "base.listing.MOST_VALUE",
-    "base.views.WORD_MOST",
-    "net.changes.MOST_VERSIONS",
-    "net.counter.BACKOFF_MOST",
-    "net.discovery.GRACE_MOST",
-    "net.discovery.BACKOFF_MOST",
-    "net.changes.CONFIRM_MOST",
-    "policy.accounts.BACKOFF_MOST",
-    "policy.work.IDLE_MOST",
-    "policy.work.RETRY_MOST",
-    "policy.quota.UNHEARD_MOST",
-    "policy.quota.SAMPLE_MOST",
-    "policy.fleet.LOOK_MOST",
+    "base.endpoint_list.MOST_VALUE",
+    "base.subsets.WORD_MOST",
+    "control.config_changes.MOST_VERSIONS",
+    "counter_client.BACKOFF_MOST",
+    "discovery.client.GRACE_MOST",
+    "discovery.client.BACKOFF_MOST",
+    "control.config_changes.CONFIRM_MOST",
+    "policy.customer_accounts.BACKOFF_MOST",
+    "policy.request_state.IDLE_MOST",
+    "policy.request_state.RETRY_MOST",
+    "policy.quota_leases.UNHEARD_MOST",
+    "policy.quota_leases.SAMPLE_MOST",
+    "policy.endpoints.LOOK_MOST",
     "membership.core.SUSPECT_MOST",
     "membership.core.LONGER_MOST",
     "membership.core.DOUBT_MOST",
@@ -726,12 +726,28 @@
 def test_each_bound_in_the_code_is_in_the_table_or_is_none_on_a_fleet():
     """One that is new is found: it goes into the table, or among those above."""
     found = set()
-    for part in ("net", "policy", "membership", "registry", "budgets", "base"):
-        for path in sorted((ROOT / "calicomast" / part).glob("*.py")):
+    for part in (
+        "gateway",
+        "downstream",
+        "upstream",
+        "discovery",
+        "control",
+        "counter_client.py",
+        "policy",
+        "membership",
+        "registry",
+        "budgets",
+        "base",
+    ):
+        place = ROOT / "api_gateway" / part
+        files = [place] if place.is_file() else sorted(place.glob("*.py"))
+        assert files, place
+        for path in files:
+            module = ".".join(path.relative_to(ROOT / "api_gateway").with_suffix("").parts)
             for line in path.read_text().splitlines():
                 if names := re.match(r"([A-Z][A-Z_, ]*[A-Z]) = ", line):
                     found |= {
-                        f"{part}.{path.stem}.{name}"
+                        f"{module}.{name}"
                         for name in names[1].split(", ")
                         if name.startswith("MOST_") or name.endswith("_MOST") or name == "WATCHERS"
                     }
@@ -930,15 +946,15 @@
 
 def test_a_constant_that_is_gone_is_an_error():
     assert cells.constant("registry.core", "MOST_GONE") == 1000
-    assert cells.constant("net.keys", "MOST_BODY") == 512 * 1024
-    assert cells.constant("policy.fleet", "LIMIT_MOST") == 4.0
+    assert cells.constant("control.config_schema", "MOST_BODY") == 512 * 1024
+    assert cells.constant("policy.endpoints", "LIMIT_MOST") == 4.0
     with pytest.raises(KeyError):
         cells.constant("registry.core", "MOST_OF_NOTHING")
 
 
 def test_template_and_target_are_in_the_package():
     told = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["setuptools"]["package-data"]
-    assert {"page.md", "target.toml"} <= set(told["calicomast.lab.scale"])
+    assert {"page.md", "target.toml"} <= set(told["api_gateway.experiments.scale"])
 
 
 def test_what_an_event_tells_a_gateway_stands_against_its_limit(folder):
--- a/tests/test_scale_run.py
+++ b/tests/experiments/test_scale_run.py
@@ -11,23 +11,33 @@
 import pytest
 import uvloop
 
-from calicomast.lab.scale import __main__ as scale_main
-from calicomast.lab.scale import connects, events, leases, lessees, machine, processes, runs, service, swarm
-from calicomast.lab.scale.demand import RATE
-from calicomast.lab.scale.module import Case, Driver
-from calicomast.lab.scale.rig import Rig, run_module
-from calicomast.membership.core import PERIOD
-from calicomast.net.counter import LINES
-from calicomast.supervisor.fleet import StartFailed
-
-ROOT = Path(__file__).resolve().parent.parent
+from api_gateway.counter_client import LINES
+from api_gateway.experiments.scale import __main__ as scale_main
+from api_gateway.experiments.scale import (
+    connects,
+    events,
+    leases,
+    lessees,
+    machine,
+    processes,
+    runs,
+    service,
+    swarm,
+)
+from api_gateway.experiments.scale.demand import RATE
+from api_gateway.experiments.scale.module import Case, Driver
+from api_gateway.experiments.scale.rig import Rig, run_module
+from api_gateway.membership.core import PERIOD
+from api_gateway.supervisor.fleet import StartFailed
+
+ROOT = Path(__file__).resolve().parents[2]
 PATIENCE = 40  # s: far over what any play here needs
 PLAYS = 5  # of an event in processes, until its hosts lapse within one look of the service
 
 
 def scale(*args):
     done = subprocess.run(
-        [sys.executable, "-m", "calicomast.lab.scale", *args],
+        [sys.executable, "-m", "api_gateway.experiments.scale", *args],
         cwd=ROOT,
         text=True,
         capture_output=True,
@@ -88,7 +98,7 @@
         [
             sys.executable,
             "-m",
-            "calicomast.lab.scale",
+            "api_gateway.experiments.scale",
             "service-by-gateways",
             "--sizes",
             "10",
@@ -384,17 +394,17 @@
 
 
 def test_real_gateways_start_as_the_deploy_file_says():
-    assert run_module() == "calicomast.net"
+    assert run_module() == "api_gateway.gateway"
 
 
 def test_a_real_gateway_is_of_the_build_that_is_measured(tmp_path):
     tree, folder = tmp_path / "tree", tmp_path / "folder"
-    for place in (tree / "deploy", tree / "calicomast" / "other", folder):
+    for place in (tree / "deploy", tree / "api_gateway" / "other", folder):
         place.mkdir(parents=True)
-    (tree / "deploy" / "balancer.toml").write_text('run = "exec .venv/bin/python -B -m calicomast.other"\n')
-    (tree / "calicomast" / "__init__.py").touch()
-    (tree / "calicomast" / "other" / "__main__.py").write_text(
-        "import calicomast\nraise SystemExit(f'of {calicomast.__file__}')\n"
+    (tree / "deploy" / "balancer.toml").write_text('run = "exec .venv/bin/python -B -m api_gateway.other"\n')
+    (tree / "api_gateway" / "__init__.py").touch()
+    (tree / "api_gateway" / "other" / "__main__.py").write_text(
+        "import api_gateway\nraise SystemExit(f'of {api_gateway.__file__}')\n"
     )
 
     async def play():
--- a/tests/test_net_answers.py
+++ b/tests/gateway/test_answers.py
@@ -28,7 +28,7 @@
 
 LOST = 0.5  # s past its time after which a request counts as lost
 READY = 6.0  # s in which a restarted process has to be ready on the shortest days
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 ROUGH = {
     "serve": VALUE,
     "are silent": None,
@@ -118,7 +118,7 @@
             sys.executable,
             "-B",
             "-m",
-            "calicomast.net",
+            "api_gateway.gateway",
             cwd=ROOT,
             stderr=subprocess.PIPE,
             env={**os.environ, "RELAY_CONFIG": str(config), "TMPDIR": str(tmp_path)},
--- a/tests/test_net_descriptors.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -31,19 +31,19 @@
     until,
 )
 
-from calicomast import interface as api
-from calicomast.base.accepting import LASTING, TRIES_AT_ONCE
-from calicomast.net import control as control_net
-from calicomast.net import hosts
-from calicomast.net.bans import Bans
-from calicomast.net.listening import ReservedDescriptor
+from api_gateway import interface as api
+from api_gateway.base.accepting import LASTING, TRIES_AT_ONCE
+from api_gateway.control import server as control_net
+from api_gateway.control.host_overrides import Bans
+from api_gateway.downstream.listener import ReservedDescriptor
+from api_gateway.upstream import pool as hosts
 
 ROOM = 32  # connections of clients that 128 descriptors leave room for
 TURN = 16  # connections that may come before an end takes effect
 TIMED_OUT = re.compile(r"discovery: TimeoutError .*; the last list stays")
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PING, PONG, BUSY = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n", b"-BUSY"
-PROGRAM = [sys.executable, "-B", "-m", "calicomast.net"]
+PROGRAM = [sys.executable, "-B", "-m", "api_gateway.gateway"]
 EDGES = pytest.mark.parametrize("edge", [{}, {"edge": {}}], ids=["", "edge"])
 
 
@@ -527,13 +527,13 @@
     head = """
 import contextlib, os, resource, sys
 from pathlib import Path
-from calicomast import interface as api
-from calicomast.net import control as control_net
-from calicomast.base.accepting import LASTING, TRIES_AT_ONCE
-from calicomast.net import hosts
-from calicomast.net.bans import Bans
-from calicomast.net.listening import ReservedDescriptor
-from calicomast.net.lives import Lives
+from api_gateway import interface as api
+from api_gateway.control import server as control_net
+from api_gateway.base.accepting import LASTING, TRIES_AT_ONCE
+from api_gateway.upstream import pool as hosts
+from api_gateway.control.host_overrides import Bans
+from api_gateway.downstream.listener import ReservedDescriptor
+from api_gateway.gateway.instances import Lives
 resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 def full():
     taken = contextlib.ExitStack()
@@ -592,7 +592,7 @@
     """The files that the processes of a gateway share; the history is one."""
     without_descriptors(
         """
-from calicomast.net.bans import Kept
+from api_gateway.control.host_overrides import Kept
 one, two = Kept(folder / "x.json"), Kept(folder / "x.json")
 with one.locked():
     one.write("first")
@@ -615,8 +615,8 @@
     without_descriptors(
         """
 import asyncio
-from calicomast.base.listing import Listing
-from calicomast.net.replicas import Replicas
+from api_gateway.base.endpoint_list import Listing
+from api_gateway.discovery.replicas import Replicas
 async def play():
     made = Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None)
     def told(version):
--- a/tests/test_net_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -27,12 +27,12 @@
     until,
 )
 
-from calicomast.base.faults import ConfigError
-from calicomast.net.config import read_config, reread_config
+from api_gateway.base.errors import ConfigError
+from api_gateway.gateway.config import read_config, reread_config
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 PING = b"*1\r\n$4\r\nPING\r\n"
-PROGRAM = [sys.executable, "-B", "-m", "calicomast.net"]
+PROGRAM = [sys.executable, "-B", "-m", "api_gateway.gateway"]
 
 
 def spoilt(**kw):
@@ -61,7 +61,7 @@
         env["RELAY_CONFIG"] = str(tmp_path / "config.json")
     ended = subprocess.run(PROGRAM, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
     assert ended.returncode != 0
-    assert ended.stderr.startswith("calicomast: ") and ended.stderr.count("\n") == 1 and word in ended.stderr
+    assert ended.stderr.startswith("api_gateway: ") and ended.stderr.count("\n") == 1 and word in ended.stderr
 
 
 @on_loop
@@ -401,9 +401,11 @@
     """With a second address and membership the loop was away for most of a start, the clients' listener
     open: requests that came were read past their time. What views need is there with that key only."""
     code = (
-        "import sys, calicomast.net.clients as clients; from calicomast.net.__main__ import main\n"
-        "async def listen(*_): print(*(f'calicomast.{m}' in sys.modules for m in "
-        "('net.control', 'membership.service', 'net.views', 'base.views'))); raise OSError('seen')\n"
+        "import sys, api_gateway.downstream.client_connection as clients\n"
+        "from api_gateway.gateway.__main__ import main\n"
+        "async def listen(*_): print(*(f'api_gateway.{m}' in sys.modules for m in "
+        "('control.server', 'membership.service', 'discovery.subsets', 'base.subsets')));"
+        " raise OSError('seen')\n"
         "clients.ClientServer.listen = listen; main()"
     )
     tree = told([], 1, 2) | {
--- a/tests/test_net_gateway.py
+++ b/tests/gateway/test_node.py
@@ -7,8 +7,9 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, write
 
-from calicomast import interface as api
-from calicomast.net import gateway, requests
+from api_gateway import interface as api
+from api_gateway.gateway import node as gateway
+from api_gateway.gateway import requests
 
 
 @on_loop
--- a/tests/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -24,8 +24,8 @@
     until,
 )
 
-from calicomast.net import shutdown
-from calicomast.standins.host import VALUE
+from api_gateway.emulators.host import VALUE
+from api_gateway.gateway import shutdown
 
 S = 1_000_000_000
 CLIENTS, PAUSE = 200, 0.03  # connections; s for which each rests at most between two requests
--- a/tests/test_net_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -17,18 +17,20 @@
 from netkit import SETTINGS, Node, StubHost, command, on_loop, write
 from netkit import told as configured
 
-from calicomast import interface as api
-from calicomast.base.listing import read_list
-from calicomast.membership.core import read as read_datagram
-from calicomast.net import changes, keys, resp
-from calicomast.net.bans import read_bans
-from calicomast.net.counter import MOST_LINE, Call
-from calicomast.net.counter import Line as CounterLine
-from calicomast.net.fetch import Broken, Fetcher, Line
-from calicomast.net.hosts import Attempt, parse_report, read_reply
-from calicomast.net.requests import RESERVED, BadRequest, read_request
-from calicomast.net.resp import NO_REPLY, Reader
-from calicomast.settings import read_settings
+from api_gateway import interface as api
+from api_gateway.base import resp
+from api_gateway.base.endpoint_list import read_list
+from api_gateway.base.resp import NO_REPLY, Reader
+from api_gateway.control import config_changes as changes
+from api_gateway.control import config_schema as keys
+from api_gateway.control.host_overrides import read_bans
+from api_gateway.counter_client import MOST_LINE, Call
+from api_gateway.counter_client import Line as CounterLine
+from api_gateway.discovery.fetcher import Broken, Fetcher, Line
+from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
+from api_gateway.membership.core import read as read_datagram
+from api_gateway.settings_parser import read_settings
+from api_gateway.upstream.pool import Attempt, parse_report, read_reply
 
 ENDS = b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n"  # the value's end is no end
 DIGITS = set(b"0123456789")
--- a/tests/test_clock.py
+++ b/tests/gateway/test_wall_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from calicomast.net.clock import Clock
+from api_gateway.gateway.wall_clock import Clock
 
 HOUR = 3600.0
 
--- a/tests/test_wall_clock.py
+++ b/tests/gateway/test_wall_clock_steps.py
@@ -21,7 +21,7 @@
     told,
 )
 
-from calicomast.standins.host import WorkingHost
+from api_gateway.emulators.host import WorkingHost
 
 HOUR = 3600.0
 NEAR = [[0, 0.4]]  # windows of a second, 0.4 s apart: half a burst more passes at their turns
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -13,7 +13,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 INJECTED = ROOT / "tests" / "injected"
-PROGRAM = [sys.executable, "-B", "-m", "calicomast.net"]
+PROGRAM = [sys.executable, "-B", "-m", "api_gateway.gateway"]
 PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
 
 
--- a/tests/golden/service_process.py
+++ b/tests/golden/service_process.py
@@ -13,8 +13,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 DATA = Path(__file__).resolve().parent / "services"
-BUDGETS = "calicomast.budgets", "BUDGETS_CONFIG"
-REGISTRY = "calicomast.registry", "REGISTRY_CONFIG"
+BUDGETS = "api_gateway.budgets", "BUDGETS_CONFIG"
+REGISTRY = "api_gateway.registry", "REGISTRY_CONFIG"
 KEPT = ("content-type", "content-length", "retry-after")  # headers of an answer that are a part of its form
 
 
--- a/tests/golden/test_golden_budgets.py
+++ b/tests/golden/test_golden_budgets.py
@@ -16,8 +16,8 @@
 from netkit import on_loop
 from service_process import BUDGETS, DATA, json_headers, running, until
 
-from calicomast.budgets import config as config_module
-from calicomast.budgets.client import Client
+from api_gateway.budgets import config as config_module
+from api_gateway.budgets.client import Client
 
 # Names of the code under test that are used: only here
 
--- a/tests/golden/test_golden_experiments.py
+++ b/tests/golden/test_golden_experiments.py
@@ -19,11 +19,12 @@
 import msgspec
 import pytest
 
-from calicomast import adapter, cli
-from calicomast import interface as api
-from calicomast.lab.faults import scenario
-from calicomast.lab.scale import crowds, page, runs
-from calicomast.standins import counter, discovery, host, service
+from api_gateway import cli
+from api_gateway import interface as api
+from api_gateway import simulator_adapter as adapter
+from api_gateway.emulators import counter, discovery, host, service
+from api_gateway.experiments.faults import scenario
+from api_gateway.experiments.scale import crowds, page, runs
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 DATA = Path(__file__).resolve().parent / "experiments"
@@ -360,15 +361,15 @@
     ],
 }
 HELP = {
-    "lab.faults": "--events --folder --help --seed -h",
-    "lab.membership": "--help --losses --processes --seconds --seeds --sizes -h",
-    "lab.scale": "--edge --held --help --label --out --repeats --seconds --seed --sizes --tree --variant "
+    "faults": "--events --folder --help --seed -h",
+    "membership": "--help --losses --processes --seconds --seeds --sizes -h",
+    "scale": "--edge --held --help --label --out --repeats --seconds --seed --sizes --tree --variant "
     "--view -h",
-    "lab.scale page": "--check --help --out --runs --target -h",
-    "lab.scale plots": "--help --out --runs --target -h",
-    "lab.budgets": "--file --help --seconds --seeds -h",
-    "lab.crowd": "--help --kind --pairs --seconds -h",
-    "lab.budgets.holder": "--folder --grantor --help --index --meter --name --pace -h",
+    "scale page": "--check --help --out --runs --target -h",
+    "scale plots": "--help --out --runs --target -h",
+    "budgets": "--file --help --seconds --seeds -h",
+    "connection_load": "--help --kind --pairs --seconds -h",
+    "budgets.holder": "--folder --grantor --help --index --meter --name --pace -h",
 }
 
 
@@ -379,7 +380,7 @@
 @pytest.mark.parametrize("program", HELP)
 def test_options_of_an_experiment(program):
     module, *more = program.split()
-    command = [sys.executable, "-m", f"calicomast.{module}", *more, "--help"]
+    command = [sys.executable, "-m", f"api_gateway.experiments.{module}", *more, "--help"]
     text = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True, timeout=60).stdout
     found = re.findall(r"(?<![\w-])--?[a-z][a-z-]*", re.sub(r"python\s+-m", "", text))
     assert " ".join(sorted(set(found))) == HELP[program]
--- a/tests/golden/test_golden_gateway.py
+++ b/tests/golden/test_golden_gateway.py
@@ -25,12 +25,12 @@
 import pytest
 
 # Names of the program. Everything that a rename may touch stands here.
-MODULE = "calicomast.net"
+MODULE = "api_gateway.gateway"
 ROOT = Path(__file__).resolve().parents[2]
 
 
 def read_config(env):
-    from calicomast.net.config import read_config
+    from api_gateway.gateway.config import read_config
 
     return read_config(env)
 
--- a/tests/golden/test_golden_registry.py
+++ b/tests/golden/test_golden_registry.py
@@ -8,7 +8,7 @@
 import pytest
 from service_process import DATA, REGISTRY, json_headers, running
 
-from calicomast.base.views import View
+from api_gateway.base.subsets import View
 
 # Names of the code under test that are used: only here
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """A scripted world for one or several gateways: it answers nothing by itself."""
 
-from calicomast import interface as api
-from calicomast.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.policy import Gateway
 
 READ = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
 WRITE = api.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -4,9 +4,11 @@
 import threading
 from dataclasses import replace
 
-from calicomast.net import clients, gateway
-from calicomast.policy import attempts, fleet
-from calicomast.policy import quota as quota_layer
+from api_gateway.downstream import client_connection as clients
+from api_gateway.gateway import node as gateway
+from api_gateway.policy import endpoints as fleet
+from api_gateway.policy import quota_leases as quota_layer
+from api_gateway.policy import retries as attempts
 
 
 def lost():
--- a/tests/measure/changes.py
+++ b/tests/measure/changes.py
@@ -21,7 +21,7 @@
 import uvloop  # noqa: E402
 from netkit import SETTINGS, VALUE, Node, StubHost, command, entry, read_reply, told  # noqa: E402
 
-from calicomast.net.gateway import resident  # noqa: E402
+from api_gateway.gateway.node import resident  # noqa: E402
 
 PLANS, HOSTS = 200, 200
 SECONDS, EVERY, CLIENTS = 4.0, 0.05, 8
@@ -96,8 +96,8 @@
     config.write_text(json.dumps(told([], 1, 2)))
     code = """if True:
         import asyncio, resource, uvloop
-        from calicomast.net.config import read_config
-        from calicomast.net.gateway import GatewayNode
+        from api_gateway.gateway.config import read_config
+        from api_gateway.gateway.node import GatewayNode
         async def main():
             node = GatewayNode(read_config())
             await node.start()
--- a/tests/measure/gateway_view.py
+++ b/tests/measure/gateway_view.py
@@ -22,7 +22,7 @@
 import uvloop  # noqa: E402
 from netkit import SETTINGS, control, told  # noqa: E402
 
-from calicomast.standins.discovery import Discovery  # noqa: E402
+from api_gateway.emulators.discovery import Discovery  # noqa: E402
 
 SERVICES, ZONES, SIZE = 2600, "abcdef", 480
 KINDS = 80  # services that one gateway calls
@@ -141,7 +141,7 @@
     hosts, config = folder / "hosts.json", folder / "registry.json"
     hosts.write_text(json.dumps({"servers": [entry(n) for n in range(count) if n % EVERY]}))
     config.write_text(json.dumps({"listen": "127.0.0.1:0", "hosts": str(hosts)}))
-    service = await Program("-m", "calicomast.registry", env={"REGISTRY_CONFIG": str(config)}).start()
+    service = await Program("-m", "api_gateway.registry", env={"REGISTRY_CONFIG": str(config)}).start()
     lines = await asyncio.open_connection("127.0.0.1", service.port)
     for n in range(0, count, EVERY):
         await register(lines, n, 1)
@@ -200,7 +200,10 @@
         file.write_text(json.dumps(tree))
         began = time.monotonic()
         gateway = await Program(
-            "-m", "calicomast.net", env={"RELAY_CONFIG": str(file), "TMPDIR": name}, word="calls are taken"
+            "-m",
+            "api_gateway.gateway",
+            env={"RELAY_CONFIG": str(file), "TMPDIR": name},
+            word="calls are taken",
         ).start()
         while True:
             seen = (await control(gateway.port, "GET /status"))[1]
--- a/tests/measure/loop.py
+++ b/tests/measure/loop.py
@@ -25,11 +25,11 @@
 from gateway_view import Program  # noqa: E402
 from views import KINDS, SIZE, ZONES  # noqa: E402
 
-from calicomast.base.serving import run  # noqa: E402
-from calicomast.base.views import View  # noqa: E402
-from calicomast.registry.config import read_config  # noqa: E402
-from calicomast.registry.core import Registry  # noqa: E402
-from calicomast.registry.service import Service  # noqa: E402
+from api_gateway.base.serving import run  # noqa: E402
+from api_gateway.base.subsets import View  # noqa: E402
+from api_gateway.registry.config import read_config  # noqa: E402
+from api_gateway.registry.core import Registry  # noqa: E402
+from api_gateway.registry.service import Service  # noqa: E402
 
 TURN = 0.002  # s between two looks at the loop
 PART = 200  # connections that begin at once
--- a/tests/measure/module.py
+++ b/tests/measure/module.py
@@ -22,9 +22,9 @@
 
 from helpers import CELL, READ, WRITE, plan, settings  # noqa: E402
 
-from calicomast import interface as api  # noqa: E402
-from calicomast.policy import Gateway  # noqa: E402
-from calicomast.policy.accounts import stable_hash  # noqa: E402
+from api_gateway import interface as api  # noqa: E402
+from api_gateway.policy import Gateway  # noqa: E402
+from api_gateway.policy.customer_accounts import stable_hash  # noqa: E402
 
 GATEWAYS, RATE, CUSTOMERS, VIEW = 4200, 119.0, 1000, 480
 SIZES = (100, 1000, 10_000, 56_000)
--- a/tests/measure/registry.py
+++ b/tests/measure/registry.py
@@ -22,7 +22,7 @@
 import uvloop  # noqa: E402
 from changes import spread  # noqa: E402
 
-from calicomast.net.discovery import Discovery  # noqa: E402
+from api_gateway.discovery.client import Discovery  # noqa: E402
 
 HOSTS = WATCHERS = 200
 CHANGES = 20  # in a run
@@ -61,7 +61,7 @@
         self.program = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "calicomast.registry",
+            "api_gateway.registry",
             stderr=subprocess.PIPE,
             env={**os.environ, "REGISTRY_CONFIG": str(config), "PYTHONPATH": str(ROOT)},
         )
--- a/tests/measure/served.py
+++ b/tests/measure/served.py
@@ -1,6 +1,6 @@
 """What a view costs in service: python tests/measure/served.py [--json] [--hosts 200 1000] [--processes N]
 
-Gateways that are told of a view each (`base/views.py`) against the same ones told of all hosts, on one
+Gateways that are told of a view each (`base/subsets.py`) against the same ones told of all hosts, on one
 virtual clock with no sockets: the modules are the real ones, the rest is a model. Hosts lie in six zones and
 work on two requests at once; four more wait, and what comes then is turned away after 2 ms. Work is
 exponential, its mean by class. An attempt is worked on to its end, also when nobody waits for it any more. A
@@ -33,10 +33,10 @@
 
 from helpers import CELL, READ, WRITE, plan, settings  # noqa: E402
 
-from calicomast import interface as api  # noqa: E402
-from calicomast.base.views import Rings, View  # noqa: E402
-from calicomast.policy import Gateway  # noqa: E402
-from calicomast.policy.fleet import LIMIT_MOST, OWN_PART, VIEW_SPARE  # noqa: E402
+from api_gateway import interface as api  # noqa: E402
+from api_gateway.base.subsets import Rings, View  # noqa: E402
+from api_gateway.policy import Gateway  # noqa: E402
+from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART, VIEW_SPARE  # noqa: E402
 
 ZONES, SLOTS, QUEUE, SPREAD = 6, 2, 4, 6
 WORK = {READ.name: 0.2, WRITE.name: 0.4, CELL.name: 0.6}  # s, the mean of each class; each as frequent
--- a/tests/measure/views.py
+++ b/tests/measure/views.py
@@ -18,11 +18,11 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 sys.path[:0] = [str(ROOT)]
 
-from calicomast.base import views as base  # noqa: E402
-from calicomast.base.views import Rings, View  # noqa: E402
-from calicomast.registry.config import Config  # noqa: E402
-from calicomast.registry.core import Host, Registry  # noqa: E402
-from calicomast.registry.service import Service  # noqa: E402
+from api_gateway.base import subsets as base  # noqa: E402
+from api_gateway.base.subsets import Rings, View  # noqa: E402
+from api_gateway.registry.config import Config  # noqa: E402
+from api_gateway.registry.core import Host, Registry  # noqa: E402
+from api_gateway.registry.service import Service  # noqa: E402
 
 GATEWAYS, HOSTS, SIZE, ZONES, KINDS = 4200, 56_000, 480, "abcdef", 2600
 RACK = 40
--- a/tests/test_membership_service.py
+++ b/tests/membership/test_membership_service.py
@@ -11,8 +11,8 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, entry, on_loop, told, until
 
-from calicomast.membership import service
-from calicomast.membership.service import read_membership
+from api_gateway.membership import service
+from api_gateway.membership.service import read_membership
 
 
 def member(name, *seeds, cluster="c1"):
@@ -121,7 +121,7 @@
     (tmp_path / "config.json").write_text(json.dumps(tree))
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
     ended = subprocess.run(
-        [sys.executable, "-m", "calicomast.net"], env=env, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "api_gateway.gateway"], env=env, capture_output=True, text=True, timeout=60
     )
     assert ended.returncode == 2 and ended.stderr.count("\n") == 1
 
@@ -134,7 +134,7 @@
 @on_loop
 async def test_the_list_service_is_a_member_where_its_file_says_so(tmp_path):
     """Its own process: gateways see it come and see it leave. Off, nothing of it is imported."""
-    code = "import sys, calicomast.registry.__main__; sys.exit('calicomast.membership' in sys.modules)"
+    code = "import sys, api_gateway.registry.__main__; sys.exit('api_gateway.membership' in sys.modules)"
     assert (await asyncio.to_thread(subprocess.run, [sys.executable, "-c", code], timeout=60)).returncode == 0
     async with Node(path=tmp_path, more=member("a")) as node:
         tree = {"listen": "127.0.0.1:0", "learn_ms": 0, **member("", port(node))}
@@ -142,7 +142,7 @@
         (tmp_path / "registry.json").write_text(json.dumps(tree))
         env = {**os.environ, "REGISTRY_CONFIG": str(tmp_path / "registry.json")}
         process = subprocess.Popen(
-            [sys.executable, "-m", "calicomast.registry"], env=env, text=True, stderr=subprocess.PIPE
+            [sys.executable, "-m", "api_gateway.registry"], env=env, text=True, stderr=subprocess.PIPE
         )
         try:
             view = node.node.member.swim.view
--- a/tests/test_membership.py
+++ b/tests/membership/test_swim.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from calicomast.lab.membership.__main__ import Case, cost, detection, falsely, healing, load, pausing
-from calicomast.lab.membership.referee import Referee
-from calicomast.lab.membership.world import Cluster, play
-from calicomast.membership import core
-from calicomast.membership.core import ALIVE, DEAD, LEFT, SUSPECT, Swim
+from api_gateway.experiments.membership.__main__ import Case, cost, detection, falsely, healing, load, pausing
+from api_gateway.experiments.membership.referee import Referee
+from api_gateway.experiments.membership.world import Cluster, play
+from api_gateway.membership import core
+from api_gateway.membership.core import ALIVE, DEAD, LEFT, SUSPECT, Swim
 
 
 def settled(size, seed, loss=0.0):
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -8,13 +8,13 @@
 
 import uvloop
 
-from calicomast.net.config import read_config
-from calicomast.net.gateway import GatewayNode
-from calicomast.standins import site
-from calicomast.standins.counter import Counter as StubCounter
-from calicomast.standins.discovery import Discovery as StubDiscovery
-from calicomast.standins.host import VALUE
-from calicomast.standins.host import Host as StubHost
+from api_gateway.emulators import site
+from api_gateway.emulators.counter import Counter as StubCounter
+from api_gateway.emulators.discovery import Discovery as StubDiscovery
+from api_gateway.emulators.host import VALUE
+from api_gateway.emulators.host import Host as StubHost
+from api_gateway.gateway.config import read_config
+from api_gateway.gateway.node import GatewayNode
 
 PATIENCE = 20  # s for a test as a whole: far over what any needs
 TERMS = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
--- a/tests/test_fleet_time.py
+++ b/tests/policy/test_cluster_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from calicomast.policy.fleet_time import LIFETIME, FleetTime, wrapped
+from api_gateway.policy.cluster_clock import LIFETIME, FleetTime, wrapped
 
 HOUR = 3600.0
 TICK = 0.01  # s of virtual time
--- a/tests/test_module_streams.py
+++ b/tests/policy/test_decision_streams.py
@@ -3,7 +3,7 @@
 A stream is made by what the module does: its attempts end, its counts are answered and its timers fire, so
 one decision that differs changes all that follows. The digests are of the text that `repr` gave for the
 actions when they were recorded, so that text is written here by names of its own. Recorded by
-`python tests/test_module_streams.py FILE [SEEDS]` from the module that is first on PYTHONPATH.
+`python tests/policy/test_decision_streams.py FILE [SEEDS]` from the module that is first on PYTHONPATH.
 """
 
 import dataclasses
@@ -20,10 +20,10 @@
 import pytest
 from helpers import CELL, NOTE, READ, WRITE, plan, settings
 
-from calicomast import interface as api
-from calicomast.policy import Gateway
+from api_gateway import interface as api
+from api_gateway.policy import Gateway
 
-RECORDED = Path(__file__).resolve().parent / "module_streams.json"
+RECORDED = Path(__file__).resolve().parent / "decision_streams.json"
 STREAM = api.ServiceClass("stream", 1.0, 6.0, "safe", "all", 5.0, 1.0, 0.5, True, 0.0)
 CLASSES = (READ, WRITE, CELL, NOTE, STREAM)
 # The recorded text of each action: its class and its fields, in the order in which it holds their values.
--- a/tests/test_fleet_views.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -8,10 +8,9 @@
 import pytest
 from helpers import World, host, of, plan, settings
 
-from calicomast import interface as api
-from calicomast.adapter import WRITERS
-from calicomast.policy.accounts import stable_hash
-from calicomast.policy.fleet import (
+from api_gateway import interface as api
+from api_gateway.policy.customer_accounts import stable_hash
+from api_gateway.policy.endpoints import (
     EASY_SPAN,
     GOLDEN,
     GONE_LEAST,
@@ -23,6 +22,7 @@
     WIDEN_SPAN,
     Fleet,
 )
+from api_gateway.simulator_adapter import WRITERS
 
 BIG = plan(rate=1000.0, burst=4000.0)
 
--- a/tests/test_fleet.py
+++ b/tests/policy/test_endpoints.py
@@ -1,7 +1,7 @@
 import pytest
 from helpers import World, host, of, plan, settings
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 BIG = plan(rate=1000.0, burst=4000.0)
 
--- a/tests/test_quota.py
+++ b/tests/policy/test_quota_leases.py
@@ -1,8 +1,8 @@
 import pytest
 from helpers import World, of, plan, settings
 
-from calicomast import interface as api
-from calicomast.policy.accounts import PlanUse
+from api_gateway import interface as api
+from api_gateway.policy.customer_accounts import PlanUse
 
 
 def served(w, tries, **kw):
--- a/tests/test_quota_fleet.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -20,12 +20,12 @@
     until,
 )
 
-from calicomast.net.clock import Clock
-from calicomast.net.config import read_config
-from calicomast.net.gateway import GatewayNode
-from calicomast.policy.accounts import stable_hash
-from calicomast.policy.fleet_time import BEACON
-from calicomast.standins.service import Faults
+from api_gateway.emulators.service import Faults
+from api_gateway.gateway.config import read_config
+from api_gateway.gateway.node import GatewayNode
+from api_gateway.gateway.wall_clock import Clock
+from api_gateway.policy.cluster_clock import BEACON
+from api_gateway.policy.customer_accounts import stable_hash
 
 GATEWAYS, RATE, BURST = 4, 2.0, 24.0
 LENGTH = BURST / RATE  # s of a window
--- a/tests/test_retune.py
+++ b/tests/policy/test_settings_change.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import World, of, plan, settings
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 OLD = plan(rate=2.0, burst=20.0)
 FASTER = plan(rate=3.0, burst=20.0)  # its windows are shorter
--- a/tests/test_cold_fleet.py
+++ b/tests/policy/test_slow_start.py
@@ -14,8 +14,9 @@
 import pytest
 from helpers import host, of, plan, settings
 
-from calicomast import interface as api
-from calicomast.policy import Gateway, fleet
+from api_gateway import interface as api
+from api_gateway.policy import Gateway
+from api_gateway.policy import endpoints as fleet
 
 BIG = plan(rate=1e6, burst=1e6)
 LENGTH = 13.0  # s of a play
--- a/tests/test_net_turned_away.py
+++ b/tests/policy/test_slow_start_rejections.py
@@ -1,10 +1,13 @@
 """Gateways that serve nobody: on a calm day and in a release at most one in ten may turn away all that it
-gets (15 requests or more) for 4 s on end, with no attempt in between. Played as in test_cold_fleet.py."""
+gets (15 requests or more) for 4 s on end, with no attempt in between.
+
+Played as in policy/test_slow_start.py.
+"""
 
 import pytest
-from test_cold_fleet import START, Play
+from test_slow_start import START, Play
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 SPAN, LEAST = 4.0, 15  # s, requests
 CALM = dict(load=0.9, hosts=24)  # the burst of half as much again on 0.6
--- a/tests/test_registry.py
+++ b/tests/registry/test_registry.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from calicomast.registry import core
-from calicomast.registry.core import Host, Registry, Stale
+from api_gateway.registry import core
+from api_gateway.registry.core import Host, Registry, Stale
 
 
 def host(name, **kw):
--- a/tests/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -15,14 +15,14 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, entry, on_loop, until
 
-from calicomast.base import serving
-from calicomast.registry import service as module
-from calicomast.registry.config import Config, read_config
-from calicomast.registry.core import Registry
-from calicomast.registry.service import Service
+from api_gateway.base import serving
+from api_gateway.registry import service as module
+from api_gateway.registry.config import Config, read_config
+from api_gateway.registry.core import Registry
+from api_gateway.registry.service import Service
 
-ROOT = Path(__file__).resolve().parent.parent
-PROGRAM = [sys.executable, "-B", "-m", "calicomast.registry"]
+ROOT = Path(__file__).resolve().parents[2]
+PROGRAM = [sys.executable, "-B", "-m", "api_gateway.registry"]
 
 
 class Serving:
@@ -294,7 +294,7 @@
 
 SERVED_SHORT = """
 import asyncio, gc, os, signal, types
-from calicomast.base.serving import run
+from api_gateway.base.serving import run
 
 class Service:
     config = types.SimpleNamespace(listen=("h", 1))
@@ -346,7 +346,7 @@
 )
 def test_a_bad_configuration_is_one_plain_line_and_status_2(told, word, tmp_path):
     ended = start(tmp_path, told)
-    assert ended.returncode == 2 and ended.stderr.startswith("calicomast.registry: ")
+    assert ended.returncode == 2 and ended.stderr.startswith("api_gateway.registry: ")
     assert ended.stderr.count("\n") == 1 and word in ended.stderr
 
 
--- a/tests/test_registry_views.py
+++ b/tests/registry/test_registry_subsets.py
@@ -10,12 +10,13 @@
 from test_registry import host, settle
 from test_registry_service import Serving
 
-from calicomast.base.views import RING, View, place_of
-from calicomast.registry import core, views
-from calicomast.registry import service as module
-from calicomast.registry.config import read_config
-from calicomast.registry.core import Registry, Stale
-from calicomast.registry.views import TooMany
+from api_gateway.base.subsets import RING, View, place_of
+from api_gateway.registry import core
+from api_gateway.registry import service as module
+from api_gateway.registry import subsets as views
+from api_gateway.registry.config import read_config
+from api_gateway.registry.core import Registry, Stale
+from api_gateway.registry.subsets import TooMany
 
 
 def filled(count, zones="ab", kinds=("k",), most=8192):
--- a/tests/test_net_counter.py
+++ b/tests/test_counter_client.py
@@ -5,7 +5,7 @@
 import pytest
 from netkit import SERVED, Node, StubCounter, StubHost, command, on_loop
 
-from calicomast.net.counter import Counter, Line
+from api_gateway.counter_client import Counter, Line
 
 
 @on_loop
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -17,7 +17,7 @@
 def built(tmp_path):
     """A copy that was built, but for the packages: its environment is the one that runs the tests."""
     shutil.copytree(
-        ROOT / "calicomast", tmp_path / "calicomast", ignore=shutil.ignore_patterns("__pycache__")
+        ROOT / "api_gateway", tmp_path / "api_gateway", ignore=shutil.ignore_patterns("__pycache__")
     )
     binaries = tmp_path / ".venv" / "bin"
     binaries.mkdir(parents=True)
@@ -29,13 +29,13 @@
 
 
 def test_the_build_leaves_bytecode_that_a_start_uses(built):
-    sources = sorted((built / "calicomast").rglob("*.py"))
+    sources = sorted((built / "api_gateway").rglob("*.py"))
     compiled = [Path(importlib.util.cache_from_source(str(source))) for source in sources]
     assert compiled and all(path.is_file() for path in compiled)
     for source in sources:
         source.touch()  # a copy of the tree may have other times
     told = subprocess.run(
-        [sys.executable, "-B", "-v", "-c", "import calicomast.net.gateway"],
+        [sys.executable, "-B", "-v", "-c", "import api_gateway.gateway.node"],
         cwd=built,
         capture_output=True,
         text=True,
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from calicomast import interface as api
+from api_gateway import interface as api
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 PURE = {
     "__future__",
     "bisect",
-    "calicomast",
+    "api_gateway",
     "dataclasses",
     "enum",
     "hashlib",
@@ -28,7 +28,7 @@
 
 def test_module_stays_within_its_limits():
     files = [ROOT / name for name in DEPLOY["policy"]]
-    assert files == sorted((ROOT / "calicomast" / "policy").glob("*.py"))
+    assert files == sorted((ROOT / "api_gateway" / "policy").glob("*.py"))
     for file in files:
         lines = file.read_text().splitlines()
         assert len(lines) <= MODULE_FILE_LINES and all(len(line) <= 110 for line in lines), file
@@ -37,69 +37,94 @@
 
 def test_each_layer_of_the_module_uses_only_those_below():
     layers = [
-        "accounts",
-        "starts",
-        "health",
-        "fleet",
-        "fleet_time",
-        "work",
-        "attempts",
-        "shedding",
-        "quota",
-        "gateway",
+        "customer_accounts",
+        "slow_start",
+        "outlier_detection",
+        "endpoints",
+        "cluster_clock",
+        "request_state",
+        "retries",
+        "load_shedding",
+        "quota_leases",
+        "engine",
     ]
     for number, layer in enumerate(layers):
-        text = (ROOT / "calicomast" / "policy" / f"{layer}.py").read_text()
-        used = re.findall(r"^from calicomast\.policy\.(\w+) import", text, re.MULTILINE)
+        text = (ROOT / "api_gateway" / "policy" / f"{layer}.py").read_text()
+        used = re.findall(r"^from api_gateway\.policy\.(\w+) import", text, re.MULTILINE)
         assert set(used) <= set(layers[:number])
         assert set(re.findall(r"^(?:import|from) (\w+)", text, re.MULTILINE)) <= PURE
 
 
+# The gateway's packages: they may use each other, the module, and what lies below.
+GATEWAY = {
+    "gateway",
+    "downstream",
+    "upstream",
+    "discovery",
+    "control",
+    "counter_client",
+    "interface",
+    "settings_parser",
+    "policy",
+    "base",
+    "membership",
+}
 ALLOWED = {
     "base": {"interface"},
     "policy": {"interface"},
-    "net": {"interface", "settings", "policy", "base", "membership"},
+    "gateway": GATEWAY,
+    "downstream": GATEWAY,
+    "upstream": GATEWAY,
+    "discovery": GATEWAY,
+    "control": GATEWAY,
+    "counter_client.py": GATEWAY,
     "membership": {"base"},
     "registry": {"base", "membership"},
-    "standins": set(),
-    "supervisor": {"standins"},
-    "demo": {"supervisor", "standins"},
+    "emulators": set(),
+    "supervisor": {"emulators"},
+    "demo": {"supervisor", "emulators"},
     "budgets": {"base"},
-    "lab": {"demo", "supervisor", "standins", "budgets", "membership", "base"},
+    "experiments": {"demo", "supervisor", "emulators", "budgets", "membership", "base"},
 }
 
 
 # These run the gateway's own code, as hollow gateways and its module without sockets do. What starts them
 # does so as programs, so that the rest of the lab has the same bounds as before.
 DRIVERS = {
-    "lab/scale/module.py": {"interface", "policy"},
-    "lab/scale/stamped.py": {"interface", "net"},
-    "lab/scale/hollow.py": {"net", "base"},
-    "lab/scale/events.py": {"registry", "base", "net"},
-    "lab/scale/connects.py": {"interface", "net"},
-    "lab/scale/lessees.py": {"interface", "net", "base"},
+    "experiments/scale/module.py": {"interface", "policy"},
+    "experiments/scale/stamped.py": {"interface", "gateway", "downstream", "upstream"},
+    "experiments/scale/hollow.py": {"gateway", "discovery", "downstream", "base"},
+    "experiments/scale/events.py": {"registry", "base", "discovery"},
+    "experiments/scale/connects.py": {"interface", "upstream"},
+    "experiments/scale/lessees.py": {"interface", "counter_client", "base"},
 }
 
 
 @pytest.mark.parametrize("package", ALLOWED)
 def test_packages_beside_the_gateway_import_nothing_of_it(package):
-    for file in (ROOT / "calicomast" / package).rglob("*.py"):
-        driver = DRIVERS.get(file.relative_to(ROOT / "calicomast").as_posix())
+    for file in files_of(ROOT / "api_gateway" / package):
+        driver = DRIVERS.get(file.relative_to(ROOT / "api_gateway").as_posix())
         assert imports(file) - {package} <= (driver or ALLOWED[package]), file
 
 
+def files_of(path):
+    files = [path] if path.is_file() else list(path.rglob("*.py"))
+    assert files, path
+    return files
+
+
 def imports(file):
     text = file.read_text()
-    used = set(re.findall(r"^\s*(?:from|import) calicomast\.(\w+)", text, re.MULTILINE))
-    return used | set(re.findall(r"^\s*from calicomast import (\w+)", text, re.MULTILINE))
+    used = set(re.findall(r"^\s*(?:from|import) api_gateway\.(\w+)", text, re.MULTILINE))
+    return used | set(re.findall(r"^\s*from api_gateway import (\w+)", text, re.MULTILINE))
 
 
 def test_nothing_imports_what_drives_the_gateway():
     """It is started as a program: by an import the lab would have the gateway's packages after all.
     Only what drives it too may import it, since that has them anyway."""
     names = "|".join(Path(name).stem for name in DRIVERS)
-    told = rf"^\s*(?:from|import) calicomast\.lab\.scale(?:\.| import .*\b)(?:{names})\b"
-    files = set((ROOT / "calicomast").rglob("*.py")) - {ROOT / "calicomast" / name for name in DRIVERS}
+    told = rf"^\s*(?:from|import) api_gateway\.experiments\.scale(?:\.| import .*\b)(?:{names})\b"
+    files = set((ROOT / "api_gateway").rglob("*.py")) - {ROOT / "api_gateway" / name for name in DRIVERS}
     for file in files:
         assert not re.search(told, file.read_text(), re.MULTILINE), file
 
--- a/tests/test_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,7 +1,7 @@
 import io
 import re
 
-from calicomast.adapter import Adapter
+from api_gateway.simulator_adapter import Adapter
 
 OPTIONS = (
     "group_size=1 index=0 limits.cancel=true limits.second_copies=true limits.max_attempts=3 locality=a "
--- a/tests/test_net_connects.py
+++ b/tests/upstream/test_connect_limits.py
@@ -8,8 +8,8 @@
 import pytest
 from netkit import Node, StubHost, command, on_loop, read_reply, until
 
-from calicomast.net.connects import SharedPool, shared
-from calicomast.net.hosts import Attempt, Hosts
+from api_gateway.upstream.connect_limits import SharedPool, shared
+from api_gateway.upstream.pool import Attempt, Hosts
 
 
 class Line:
--- a/tests/test_net_hosts.py
+++ b/tests/upstream/test_pool.py
@@ -22,8 +22,8 @@
     write,
 )
 
-from calicomast import interface as api
-from calicomast.net.hosts import Attempt, Hosts, Pool
+from api_gateway import interface as api
+from api_gateway.upstream.pool import Attempt, Hosts, Pool
 
 
 @on_loop
