--- a/api_gateway/base/endpoint_list.py
+++ b/api_gateway/base/endpoint_list.py
@@ -43,7 +43,7 @@
 class Listing:
     """A list as the decision module takes it, and where each host listens."""
 
-    hosts: api.HostList
+    hosts: api.EndpointList
     addresses: dict[str, Address]
     epoch: str = ""  # the life of the service that told it, where it names one
     view: bool = False  # whether it is the part of the hosts that was asked for
@@ -55,7 +55,7 @@
     costs that entry of a whole list, where a host that is not named gets nothing; of changes it costs all of
     them: from their version on that change would never be told again. Of a host that is named twice the last
     entry counts, as the change that came last."""
-    listing, entries, odd = read_beside(told, mode), dict[str, tuple[api.Host, Address | None]](), Odd()
+    listing, entries, odd = read_beside(told, mode), dict[str, tuple[api.Endpoint, Address | None]](), Odd()
     try:
         servers = read(told["servers"], list)
     except (KeyError, TypeError) as err:
@@ -67,11 +67,11 @@
     return with_hosts(listing, entries.values())
 
 
-def with_hosts(listing: Listing, entries: Iterable[tuple[api.Host, Address | None]]) -> Listing:
+def with_hosts(listing: Listing, entries: Iterable[tuple[api.Endpoint, Address | None]]) -> Listing:
     entries = list(entries)
     return replace(
         listing,
-        hosts=replace(listing.hosts, hosts=tuple(host for host, _ in entries)),
+        hosts=replace(listing.hosts, endpoints=tuple(host for host, _ in entries)),
         addresses={host.id: address for host, address in entries if address is not None},
     )
 
@@ -85,7 +85,7 @@
         total = read_whole(told.get("total", 0)) if view else 0
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
         raise ValueError(f"not a list of hosts: {type(err).__name__} {err}") from err
-    return Listing(api.HostList(kind, version, (), total), {}, epoch, view)
+    return Listing(api.EndpointList(kind, version, (), total), {}, epoch, view)
 
 
 class Odd:
@@ -94,7 +94,7 @@
     def __init__(self) -> None:
         self.count, self.last = 0, ""
 
-    def read(self, entry: Any) -> tuple[api.Host, Address | None] | None:
+    def read(self, entry: Any) -> tuple[api.Endpoint, Address | None] | None:
         try:
             return read_entry(entry)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
@@ -111,16 +111,16 @@
             )
 
 
-def read_entry(told: dict[str, Any]) -> tuple[api.Host, Address | None]:
+def read_entry(told: dict[str, Any]) -> tuple[api.Endpoint, Address | None]:
     started, place = told.get("started_ms"), told.get("addr")
-    host = api.Host(
+    host = api.Endpoint(
         id=read(told["id"], str),
         zone=read(told.get("zone", ""), str),
         cell=read_whole(told.get("cell", 0)),
         weight=read_number(told.get("weight", 1.0)),
         kind=read(told.get("kind", ""), str),
         state=STATE[told["state"]],
-        started=0.0 if started is None else read_number(started) / 1000,
+        started_at=0.0 if started is None else read_number(started) / 1000,
     )
     if not host.id:
         raise ValueError("an empty id")
--- a/api_gateway/control/config_schema.py
+++ b/api_gateway/control/config_schema.py
@@ -146,7 +146,7 @@
     Key("settings.services.*.slo", TIME, True, NEXT),
     Key("settings.services.*.deadline", TIME, True, NEXT),
     Key("settings.services.*.effect", one_of(*EFFECT), True, NEXT),
-    Key("settings.services.*.dedup_scope", one_of(*api.SCOPES), True, NEXT),
+    Key("settings.services.*.dedup_scope", one_of(*api.DEDUP_SCOPES), True, NEXT),
     Key("settings.services.*.memory_span", SPAN, True, NEXT),
     Key("settings.services.*.gain", AMOUNT, True, NEXT),
     Key("settings.services.*.late_value", AMOUNT, True, NEXT),
--- a/api_gateway/control/host_overrides.py
+++ b/api_gateway/control/host_overrides.py
@@ -24,7 +24,7 @@
     """No list has named this host."""
 
 
-def read_bans(text: str) -> dict[str, api.Ban]:
+def read_bans(text: str) -> dict[str, api.EndpointOverride]:
     """Raises ValueError if it is not what write() makes."""
     told = json.loads(text)
     if not isinstance(told, dict):
@@ -36,7 +36,7 @@
         at = entry.get("at")
         if isinstance(at, bool) or not isinstance(at, int | float) or not abs(at) <= sys.float_info.max:
             raise ValueError(f"{host!r} has no time")
-        bans[host] = api.Ban(host, entry["out"], float(at))
+        bans[host] = api.EndpointOverride(host, entry["out"], float(at))
     return bans
 
 
@@ -99,10 +99,10 @@
     def __init__(self, folder: Path | None, name: str) -> None:
         self.kept = Kept(folder / f"{name}-hosts-out.json" if folder else None)
         self.changed = self.kept.changed
-        self.known: dict[str, api.Ban] = {}
+        self.known: dict[str, api.EndpointOverride] = {}
         self.unread = False  # the file is there and cannot be read
 
-    def read(self) -> dict[str, api.Ban]:
+    def read(self) -> dict[str, api.EndpointOverride]:
         """All that is known; a file that cannot be read, or is torn or foreign, changes nothing."""
         try:
             self.take()
@@ -121,10 +121,10 @@
             log.error("%s: %s; the hosts out stay as they were", self.kept.path, err)
         self.unread = False
 
-    def say(self, ban: api.Ban) -> None:
+    def say(self, ban: api.EndpointOverride) -> None:
         """Raises OSError where it cannot be kept."""
         with self.kept.locked():
             self.take()  # else those that others said would be written over
-            known = {**self.known, ban.host: ban}
-            self.known = {h: b for h, b in known.items() if b.out or ban.at - b.at < KEEP_BACK}
-            self.kept.write(json.dumps({h: {"out": b.out, "at": b.at} for h, b in self.known.items()}))
+            known = {**self.known, ban.endpoint_id: ban}
+            self.known = {h: b for h, b in known.items() if b.ejected or ban.at - b.at < KEEP_BACK}
+            self.kept.write(json.dumps({h: {"out": b.ejected, "at": b.at} for h, b in self.known.items()}))
--- a/api_gateway/discovery/client.py
+++ b/api_gateway/discovery/client.py
@@ -167,7 +167,7 @@
             self.take(listing)
             self.heard = monotonic()
             self.answered.set()
-        return self.version != last or bool(listing.hosts.hosts)
+        return self.version != last or bool(listing.hosts.endpoints)
 
     async def call(
         self,
@@ -185,7 +185,7 @@
     def early(self, listing: Listing) -> None:
         """What a whole list says beside its hosts, or drains out of it, before the rest of it is read."""
         self.check(listing)
-        if listing.hosts.hosts:
+        if listing.hosts.endpoints:
             self.told(replace(listing, hosts=replace(listing.hosts, mode="delta")))
 
     def check(self, listing: Listing) -> None:
@@ -212,20 +212,20 @@
     def remember(self, listing: Listing) -> Listing:
         """The list as it counts here."""
         told, older = listing.hosts, self.is_older(listing)
-        hosts = tuple(self.counts(host, older) for host in told.hosts)
+        hosts = tuple(self.counts(host, older) for host in told.endpoints)
         while len(self.leaving) > LEAVING_MOST:
             del self.leaving[next(iter(self.leaving))]
         self.last = told.version
-        return replace(listing, hosts=replace(told, hosts=hosts))
+        return replace(listing, hosts=replace(told, endpoints=hosts))
 
-    def counts(self, host: api.Host, older: bool) -> api.Host:
+    def counts(self, host: api.Endpoint, older: bool) -> api.Endpoint:
         """A host as it counts here. A whole list that is no newer than the last, as another address or a
         service that lags may tell it, does not bring back one that was told to leave and has not started
         since."""
         if host.state != "up":
             self.leaving.pop(host.id, None)
-            self.leaving[host.id] = host.started
-        elif older and host.started <= self.leaving.get(host.id, -1.0):
+            self.leaving[host.id] = host.started_at
+        elif older and host.started_at <= self.leaving.get(host.id, -1.0):
             return replace(host, state="leaving")
         else:
             self.leaving.pop(host.id, None)
@@ -258,7 +258,7 @@
         if self.viewing.reading:  # a list that counts once it is whole
             self.shifting = asyncio.get_running_loop().call_later(TURN, self.shifted)
         elif self.viewing.shelf is not None:  # else another service told a view meanwhile
-            listing = self.viewing.shift(Listing(api.HostList("delta", self.last, ()), {}))
+            listing = self.viewing.shift(Listing(api.EndpointList("delta", self.last, ()), {}))
             self.note(listing)
             self.told(self.remember(listing))
 
--- a/api_gateway/discovery/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -44,7 +44,7 @@
         super().__init__(address, *args)
         self.places, self.at = [address, *others], 0
         self.epoch, self.newest = "", 0  # of the last list; its version
-        self.list: dict[str, tuple[api.Host, Address | None]] = {}
+        self.list: dict[str, tuple[api.Endpoint, Address | None]] = {}
         self.kept = Kept(folder / f"{name}-list.json" if folder else None)
         self.writing: asyncio.TimerHandle | None = None
 
@@ -59,7 +59,7 @@
         except (OSError, ValueError, KeyError, TypeError, OverflowError, RecursionError) as err:
             log.error("%s: %s; it is passed over", self.kept.path, err)
             return None
-        if not listing.hosts.hosts:
+        if not listing.hosts.endpoints:
             return None
         self.note(listing)
         self.heard = time.monotonic() - max(0.0, self.clock() - at)
@@ -67,7 +67,7 @@
             self.version = self.newest
         else:
             self.waits = True  # the view is another one now
-        return replace(listing, hosts=replace(listing.hosts, mode="cached", total=total))
+        return replace(listing, hosts=replace(listing.hosts, mode="cached", available_total=total))
 
     async def get(self, params: Params, limit: float) -> bool:
         known = {"epoch": quote(self.epoch, "")} if self.epoch and params else {}
@@ -104,7 +104,7 @@
         self.epoch, self.newest = listing.epoch, listing.hosts.version
         if listing.hosts.mode != "delta":
             self.list = {}
-        for host in listing.hosts.hosts:
+        for host in listing.hosts.endpoints:
             if host.state == "down":
                 self.list.pop(host.id, None)
             else:
@@ -120,7 +120,7 @@
                 "cell": h.cell,
                 "state": WORD[h.state],
                 "weight": h.weight,
-                "started_ms": h.started * 1000,
+                "started_ms": h.started_at * 1000,
                 **({"addr": write_address(address)} if address else {}),
             }
             for h, address in self.list.values()
--- a/api_gateway/discovery/subsets.py
+++ b/api_gateway/discovery/subsets.py
@@ -29,7 +29,7 @@
 GROWTH = 8  # times its size to which a view grows at most, where `most` is not given
 UNKNOWN = (400, 404, 414)  # statuses by which a service may tell that it knows no views
 
-Found = tuple[api.Host, Address | None]
+Found = tuple[api.Endpoint, Address | None]
 Early = Callable[[Listing], None]
 
 log = logging.getLogger(__name__)
@@ -121,7 +121,7 @@
                     return there, ring, spots, at
         return None
 
-    def lay(self, host: api.Host, address: Address | None) -> None:
+    def lay(self, host: api.Endpoint, address: Address | None) -> None:
         if host.state == "down" or (self.kinds and host.kind not in self.kinds):
             self.drop(host.id)
             return
@@ -186,13 +186,15 @@
                 yield [self.name(spot) for spot in spots[at : at + LOOK] if fits(self.named_in(spot))]
 
 
-def write_host(host: api.Host, address: Address | None) -> bytes:
-    return encode([host.zone, host.cell, host.weight, host.kind, host.state, host.started, address]).encode()
+def write_host(host: api.Endpoint, address: Address | None) -> bytes:
+    return encode(
+        [host.zone, host.cell, host.weight, host.kind, host.state, host.started_at, address]
+    ).encode()
 
 
 def read_host(name: str, text: bytes) -> Found:
     *told, address = json.loads(text)
-    return api.Host(name, *told), tuple(address) if address else None
+    return api.Endpoint(name, *told), tuple(address) if address else None
 
 
 class Viewing:
@@ -341,12 +343,14 @@
         what was laid there already is laid there once more."""
         if self.shelf is None or listing.hosts.mode != "delta":
             return
-        for number, host in enumerate(listing.hosts.hosts, 1):
+        for number, host in enumerate(listing.hosts.endpoints, 1):
             self.shelf.lay(host, listing.addresses.get(host.id))
             if number % SLICE == 0:
                 await self.turn()
 
-    def take(self, listing: Listing, counts: Callable[[api.Host], api.Host], left: Iterable[str]) -> Listing:
+    def take(
+        self, listing: Listing, counts: Callable[[api.Endpoint], api.Endpoint], left: Iterable[str]
+    ) -> Listing:
         """What of it the module is to be told. `counts` tells a host as it counts here, as a list that lags
         may bring back those that `left`."""
         if listing.hosts.mode != "delta":
@@ -355,7 +359,7 @@
         shelf = self.shelf
         if shelf is None:
             return self.note(listing)
-        for host in listing.hosts.hosts:  # changes, which lie on the shelf
+        for host in listing.hosts.endpoints:  # changes, which lie on the shelf
             counts(host)
         if listing.shelf is not None:
             for host, address in [found for name in (*shelf.leaving(), *left) if (found := shelf.get(name))]:
@@ -364,8 +368,8 @@
 
     def note(self, listing: Listing) -> Listing:
         """What the service told as the view."""
-        self.total = listing.hosts.total
-        for host in listing.hosts.hosts:
+        self.total = listing.hosts.available_total
+        for host in listing.hosts.endpoints:
             if host.state == "down":
                 self.used.pop(host.id, None)
             else:
@@ -394,7 +398,7 @@
         if groups:
             self.total = shelf.total(view)
         told = with_hosts(listing, [*fresh, *gone])
-        return replace(told, hosts=replace(told.hosts, total=self.total))
+        return replace(told, hosts=replace(told.hosts, available_total=self.total))
 
     def forget(self) -> None:
         """What the module was told: the next list is a whole one."""
@@ -409,8 +413,8 @@
         """Of a list that is known from before."""
         self.forget()
         self.shelf = Shelf(self.view.kinds)
-        for host in listing.hosts.hosts:
+        for host in listing.hosts.endpoints:
             self.shelf.lay(host, listing.addresses.get(host.id))
         cut, self.shelf = self.shift(listing), None
-        self.total = max(self.total, listing.hosts.total)  # the list may be of a view itself
-        return replace(cut, hosts=replace(cut.hosts, total=self.total))
+        self.total = max(self.total, listing.hosts.available_total)  # the list may be of a view itself
+        return replace(cut, hosts=replace(cut.hosts, available_total=self.total))
--- a/api_gateway/experiments/scale/connects.py
+++ b/api_gateway/experiments/scale/connects.py
@@ -35,16 +35,18 @@
         return int(self.now - BEGIN)
 
     def act(self, action: object) -> None:
-        if isinstance(action, api.Send):
-            self.take(action.host)
-        elif isinstance(action, api.Probe):
+        if isinstance(action, api.SendAttempt):
+            self.take(action.endpoint_id)
+        elif isinstance(action, api.CheckHealth):
             self.probes[self.second()] += 1
-            self.put(0.004, "probed", api.Probed(action.host, "ok", 0.004, {"inflight": 1.0}))
+            self.put(
+                0.004, "probed", api.HealthCheckEnded(action.endpoint_id, "ok", 0.004, {"inflight": 1.0})
+            )
         super().act(action)
 
     def handle(self, kind: str, event: Any) -> None:
         if kind == "outcome":
-            self.idle[event.host].append(self.now)
+            self.idle[event.endpoint_id].append(self.now)
         super().handle(kind, event)
 
     def take(self, host: str) -> None:
--- a/api_gateway/experiments/scale/hollow.py
+++ b/api_gateway/experiments/scale/hollow.py
@@ -101,9 +101,9 @@
         self.counted = self.discovery.fetcher = Counted()
 
     def told(self, listing: Listing) -> None:
-        if listing.hosts.hosts:  # else the watch ended without news
+        if listing.hosts.endpoints:  # else the watch ended without news
             self.version, self.at = listing.hosts.version, time.monotonic()
-        self.hosts = max(self.hosts, len(listing.hosts.hosts))
+        self.hosts = max(self.hosts, len(listing.hosts.endpoints))
 
     def failed(self) -> None:
         self.failures += 1
--- a/api_gateway/experiments/scale/lessees.py
+++ b/api_gateway/experiments/scale/lessees.py
@@ -41,7 +41,7 @@
 
     def act(self, action: object) -> None:
         super().act(action)
-        if isinstance(action, api.Count):
+        if isinstance(action, api.AddToCounter):
             self.calls.append((self.now, action.name, action.amount, action.lifetime))
 
 
--- a/api_gateway/experiments/scale/module.py
+++ b/api_gateway/experiments/scale/module.py
@@ -59,35 +59,35 @@
         f"p{n}": api.Plan(f"p{n}", 10.0, 40.0, 0, 1.0, 0.0, 0.5, 0.0, 0.0, 0.0) for n in range(case.plans)
     }
     return api.Settings(
-        index=min(1234, case.gateways - 1),
-        gateways=case.gateways,
+        gateway_index=min(1234, case.gateways - 1),
+        gateway_count=case.gateways,
         zone="z1",
         classes=classes,
         plans=plans,
         limits=api.Limits(True, False, True, False, True, 3, 2.0),
         rules=api.Rules(0.008, 1.0, 0.2, 1.0, 2.0, 1.0, 0.0),
         prices={"cross_zone": 0.005},
-        counter=True,
+        has_counter=True,
         counter_price=0.01,
         counter_timeout=0.08,
         meter_period=0.0,
-        settles=False,
-        most_units=1.0,
-        discovery="push",
-        reports=("inflight",),
-        weights="none",
+        settles_units=False,
+        max_units=1.0,
+        discovery_mode="push",
+        load_report_fields=("inflight",),
+        weight_kind="none",
     )
 
 
-def hosts_of(case: Case) -> list[api.Host]:
+def hosts_of(case: Case) -> list[api.Endpoint]:
     """Those that the gateway is told of: all, or the ones that follow its place on the ring."""
     every = [
-        api.Host(f"h{n}", f"z{n % 3 + 1}", n % case.cells, 1.0, f"k{n % case.kinds}", "up", 0.0)
+        api.Endpoint(f"h{n}", f"z{n % 3 + 1}", n % case.cells, 1.0, f"k{n % case.kinds}", "up", 0.0)
         for n in range(case.hosts)
     ]
     if not case.view:
         return every
-    place = int((settings(case).index * GOLDEN) % 1.0 * 2**63)
+    place = int((settings(case).gateway_index * GOLDEN) % 1.0 * 2**63)
     return sorted(every, key=lambda h: (stable_hash(h.id, "place") - place) % 2**63)[: case.view]
 
 
@@ -117,21 +117,31 @@
 
     def act(self, action: object) -> None:
         match action:
-            case api.Send():
-                number, took = self.tries.get(action.id, 0), 0.004 + 0.008 * self.rng.random()
-                self.tries[action.id], self.sent = number + 1, self.sent + 1
+            case api.SendAttempt():
+                number, took = self.tries.get(action.request_id, 0), 0.004 + 0.008 * self.rng.random()
+                self.tries[action.request_id], self.sent = number + 1, self.sent + 1
                 self.put(
                     took,
                     "outcome",
-                    api.Outcome(action.id, number, action.host, "ok", took, True, report={"inflight": 1.0}),
+                    api.AttemptEnded(
+                        action.request_id,
+                        number,
+                        action.endpoint_id,
+                        "ok",
+                        took,
+                        True,
+                        load_report={"inflight": 1.0},
+                    ),
                 )
-            case api.Count():
+            case api.AddToCounter():
                 self.counts += 1
-                self.put(0.002, "counted", api.Counted(action.name, "ok", max(0.0, action.amount), 0.002))
+                self.put(
+                    0.002, "counted", api.CounterReply(action.name, "ok", max(0.0, action.amount), 0.002)
+                )
             case api.SetTimer():
-                self.put(action.delay, "timer", api.Timer(action.label))
-            case api.Refuse() | api.Fail():
-                self.tries.pop(action.id, None)
+                self.put(action.delay, "timer", api.TimerFired(action.label))
+            case api.RejectRequest() | api.FailRequest():
+                self.tries.pop(action.request_id, None)
             case _:
                 self.widened += type(action).__name__ == "Widen"
 
@@ -140,11 +150,11 @@
             self.now, _, kind, event = heapq.heappop(self.events)
             self.handle(kind, event)
             if kind == "outcome":
-                self.tries.pop(event.id, None)
+                self.tries.pop(event.request_id, None)
         self.now = until
 
     def begin(self) -> None:
-        self.handle("list", api.HostList("full", 1, tuple(self.listed), **self.more))
+        self.handle("list", api.EndpointList("full", 1, tuple(self.listed), **self.more))
 
     def ask(self, kind: str, customer: int) -> None:
         cls, plan = self.rng.randrange(self.case.classes), customer % self.case.plans
@@ -167,10 +177,10 @@
         self.version += 1
         state, started = ("down", 0.0) if self.version % 2 else ("up", self.now)
         hosts = tuple(
-            api.Host(old.id, old.zone, old.cell, 1.0, old.kind, state, started)
+            api.Endpoint(old.id, old.zone, old.cell, 1.0, old.kind, state, started)
             for old in self.rng.sample(self.listed, min(self.case.changes, len(self.listed)))
         )
-        self.handle("change", api.HostList("delta", self.version, hosts, **self.more))
+        self.handle("change", api.EndpointList("delta", self.version, hosts, **self.more))
 
     def steps(self, seconds: float, changes: bool = False) -> None:
         at, end, change_at = self.now, self.now + seconds, self.now + CHANGE_EVERY
--- a/api_gateway/experiments/scale/stamped.py
+++ b/api_gateway/experiments/scale/stamped.py
@@ -95,8 +95,8 @@
 
     def read(self, act: Callable[..., Any], node: Any, *args: Any) -> Any:
         request = act(node, *args)
-        if self.taking is not None and request.id not in node.in_flight:
-            self.open[request.id] = self.taking
+        if self.taking is not None and request.request_id not in node.in_flight:
+            self.open[request.request_id] = self.taking
         return request
 
     # The module
@@ -107,31 +107,33 @@
 
         def handled(now: float, event: api.Event) -> list[api.Action]:
             began = monotonic()
-            asked = event.id if isinstance(event, api.Request) else None
+            asked = event.request_id if isinstance(event, api.Request) else None
             trace = self.open.get(asked) if asked is not None else None
             if trace is not None:
                 trace.at("module", began)
             actions = handle(now, event)
             ended = monotonic()
             for action in actions:
-                if isinstance(action, api.Send | api.Refuse | api.Fail):
+                if isinstance(action, api.SendAttempt | api.RejectRequest | api.FailRequest):
                     self.decided(action, began, ended)
             if trace is not None and trace.part == "module" and asked in jobs:
                 trace.at(WAITS[jobs[asked].stage], ended)
             return actions
 
         def enqueued(now: float, job: Any) -> None:
-            trace = self.open.get(job.req.id)
+            trace = self.open.get(job.req.request_id)
             if trace is not None and trace.part == "lease":
                 trace.at("queue", monotonic())
             enqueue(now, job)
 
         node.module.handle, node.module.enqueue = handled, enqueued
 
-    def decided(self, action: api.Send | api.Refuse | api.Fail, began: float, ended: float) -> None:
-        if (trace := self.open.get(action.id)) is not None:
+    def decided(
+        self, action: api.SendAttempt | api.RejectRequest | api.FailRequest, began: float, ended: float
+    ) -> None:
+        if (trace := self.open.get(action.request_id)) is not None:
             trace.at("module", began)
-            trace.at("send" if isinstance(action, api.Send) else "answer", ended)
+            trace.at("send" if isinstance(action, api.SendAttempt) else "answer", ended)
 
     # Connections to hosts
 
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -119,7 +119,7 @@
     limits = tree["limits"]
     settings = read_settings(tree)
     counter, control = told.get("counter"), env.get("RELAY_CONTROL") or told.get("control")
-    if settings.counter and not counter:
+    if settings.has_counter and not counter:
         raise ValueError("the settings allow a counter but no address is given")
     inherited, scratch = env.get("RELAY_SOCKET_FD"), env.get("TMPDIR")
     others, keep = read_replicas(told.get("replicas", {}))
--- a/api_gateway/gateway/node.py
+++ b/api_gateway/gateway/node.py
@@ -1,7 +1,8 @@
 """Feeds what happens on the sockets to the one decision module and carries out what it decides.
 
 Nothing here decides. This file owns the timers and each request's single final answer. Each event and action
-of interface.py has its place here, but for Began and Message: the sockets know no streams and no peers.
+of interface/ has its place here, but for ResponseStarted and PeerMessage: the sockets know no streams
+and no peers.
 """
 
 from __future__ import annotations
@@ -68,12 +69,14 @@
         self.feeding = self.ready = False
         self.gives_up = False  # the process is at its end and forwards nothing more
         # Whether this gateway may have another time than the fleet, as far as is known.
-        self.synchronizing = config.counter is not None and config.settings.gateways > 1
+        self.synchronizing = config.counter is not None and config.settings.gateway_count > 1
         self.clock_checked = asyncio.Event()  # whether it has been compared, as far as the counter answers
         self.state = "active"  # or standby: clients are sent away; or stopping, which is for good
         self.bans, self.lives = Bans(config.scratch, config.name), Lives(config.scratch, config.name)
-        self.said: dict[str, api.Ban] = {}  # the last word on each host that an operator had one on
-        self.unkept: dict[str, api.Ban] = {}  # of these, what could not be written down yet
+        self.said: dict[
+            str, api.EndpointOverride
+        ] = {}  # the last word on each host that an operator had one on
+        self.unkept: dict[str, api.EndpointOverride] = {}  # of these, what could not be written down yet
         self.known: set[str] = set()  # hosts of the last list
         self.looking: asyncio.TimerHandle | None = None
         self.clients = ClientServer(self, 0)
@@ -89,8 +92,8 @@
         self.counter = Counter(config.counter, self.settings.counter_timeout) if config.counter else None
         # Where lists are pushed, asking costs nothing; else what is known need not be told again.
         known = config.known.hosts
-        version = known.version if known.hosts and self.settings.discovery == "ask" else None
-        args = version, self.listed, self.list_failed, self.settings.gateways, config.seed
+        version = known.version if known.endpoints and self.settings.discovery_mode == "ask" else None
+        args = version, self.listed, self.list_failed, self.settings.gateway_count, config.seed
         self.first = config.known  # the list to begin with
         if config.replicas:
             self.discovery = self.replicas(config.discovery, *args, None, self.viewing())
@@ -101,24 +104,24 @@
         for caller in (self.hosts, self.discovery.fetcher, *(self.counter.lines if self.counter else ())):
             caller.reclaim_descriptor = self.reclaim_descriptor
         self.actions: dict[type[api.Action], Callable[[Any], object]] = {
-            api.Send: self.send,
-            api.Refuse: self.refuse,
-            api.Fail: self.fail,
-            api.Cancel: self.cancel,
-            api.Count: self.count,
+            api.SendAttempt: self.send,
+            api.RejectRequest: self.refuse,
+            api.FailRequest: self.fail,
+            api.CancelAttempt: self.cancel,
+            api.AddToCounter: self.count,
             api.SetTimer: self.set_timer,
-            api.Probe: self.probe,
-            api.Close: lambda a: self.hosts.close_idle(a.host),
-            api.Fetch: lambda a: self.discovery.fetch(),
-            api.Widen: lambda a: self.discovery.widen(a.hosts),
-            api.Watch: lambda a: self.discovery.watch(a.on),
-            api.Synchronizing: self.synchronized,
-            api.Log: lambda a: log.info("module: %s", a.text),
+            api.CheckHealth: self.probe,
+            api.CloseIdleConnections: lambda a: self.hosts.close_idle(a.host),
+            api.FetchEndpoints: lambda a: self.discovery.fetch(),
+            api.ResizeSubset: lambda a: self.discovery.widen(a.endpoint_count),
+            api.WatchEndpoints: lambda a: self.discovery.watch(a.enabled),
+            api.ClusterClockChanged: self.synchronized,
+            api.LogMessage: lambda a: log.info("module: %s", a.text),
         }
 
     def agent_grace(self, settings: api.Settings) -> float | None:
         """The drain's, where lists are pushed to an agent beside this process."""
-        pushed = settings.discovery == "push" and not self.config.replicas
+        pushed = settings.discovery_mode == "push" and not self.config.replicas
         return settings.rules.drain_grace if pushed else None
 
     def viewing(self) -> Any:
@@ -127,7 +130,7 @@
             return None
         from api_gateway.discovery.subsets import Viewing
 
-        return Viewing(self.config.view, self.settings.index, self.settings.zone)
+        return Viewing(self.config.view, self.settings.gateway_index, self.settings.zone)
 
     def replicas(self, address: Address, *args: Any) -> Discovery:
         from api_gateway.discovery.replicas import Replicas
@@ -154,7 +157,7 @@
         if self.counter:
             self.counter.start()
             await self.check_clock()
-        if self.settings.discovery == "push":
+        if self.settings.discovery_mode == "push":
             self.discovery.watch(True)
         if self.agent_grace(self.settings) is not None:  # what it has counts as told from the first moment
             await self.discovery.first()
@@ -173,7 +176,7 @@
         self.looking = self.loop.call_later(LOOK, self.look)
         if self.clock.wall_stepped():
             log.warning("the wall clock is %+.1f s off since this process began", self.clock.wall_offset)
-            self.feed(api.ClockStepped(self.clock.wall_offset))
+            self.feed(api.WallClockStepped(self.clock.wall_offset))
         with suppress(OSError):
             self.keep_bans()
         self.read_bans()
@@ -220,8 +223,8 @@
             actions = self.module.handle(self.clock(), event)
         except Exception:  # one request must not take the others along
             log.exception("the module failed on %r", event)
-            if isinstance(event, api.Request | api.Outcome) and event.id in self.in_flight:
-                self.abandon(self.in_flight[event.id])
+            if isinstance(event, api.Request | api.AttemptEnded) and event.request_id in self.in_flight:
+                self.abandon(self.in_flight[event.request_id])
             return
         for action in actions:
             try:
@@ -234,17 +237,17 @@
         self.finish(work, FAILED)
         for attempt in list(work.live.values()):
             self.hosts.give_up(attempt, "cancelled")
-        self.feed(api.Gone(work.id))
+        self.feed(api.ClientDisconnected(work.id))
 
     def listed(self, listing: Listing) -> None:
         """The module hears of it between new hosts and those that go: what ends with a host that goes is then
         not sent there once more."""
-        named = {h.id for h in listing.hosts.hosts}
+        named = {h.id for h in listing.hosts.endpoints}
         if listing.hosts.mode != "delta":
             self.known = set()
         self.known |= named
-        self.known -= {h.id for h in listing.hosts.hosts if h.state == "down"}
-        up = {h.id for h in listing.hosts.hosts if h.state == "up"}
+        self.known -= {h.id for h in listing.hosts.endpoints if h.state == "down"}
+        up = {h.id for h in listing.hosts.endpoints if h.state == "up"}
         for host in up & listing.addresses.keys():
             self.hosts.listed(host, listing.addresses[host])
         self.feed(listing.hosts)
@@ -257,8 +260,8 @@
         self.ready = self.ready or bool(self.hosts.pools) and not self.synchronizing
 
     def list_failed(self) -> None:
-        if self.settings.discovery == "ask":
-            self.feed(api.HostList("failed", self.discovery.version or 0, ()))
+        if self.settings.discovery_mode == "ask":
+            self.feed(api.EndpointList("failed", self.discovery.version or 0, ()))
 
     # Clients
 
@@ -278,17 +281,19 @@
         """Raises BadRequest where the command is none."""
         now = time.monotonic()
         request = self.read_request(command, now - slot.client.heard)
-        if request.id in self.in_flight:
+        if request.request_id in self.in_flight:
             raise BadRequest("this id is in work")
         if self.gives_up or len(self.in_flight) >= self.config.max_open or self.held > MOST_HELD:
             slot.reply(BUSY)
             return
-        taken = InFlightRequest(request.id, slot, command, now + request.left, self.settings.limits)
+        taken = InFlightRequest(
+            request.request_id, slot, command, now + request.time_left, self.settings.limits
+        )
         slot.token = taken
-        self.in_flight[request.id] = taken
+        self.in_flight[request.request_id] = taken
         if taken.body is None:
             self.held += len(command[-1])
-        wait = max(0.0, request.left + RESERVED - GUARD)
+        wait = max(0.0, request.time_left + RESERVED - GUARD)
         taken.guard = self.loop.call_later(wait, self.overdue, taken)
         self.feed(request)
 
@@ -301,7 +306,7 @@
         work = slot.token
         if work is not None and not work.finished:
             self.finish(work, b"")
-            self.feed(api.Gone(work.id))
+            self.feed(api.ClientDisconnected(work.id))
             if work.stream is not None:
                 self.hosts.give_up(work.stream, "cancelled")
 
@@ -336,35 +341,35 @@
 
     # Actions
 
-    def refuse(self, action: api.Refuse) -> None:
-        if action.id in self.in_flight:
+    def refuse(self, action: api.RejectRequest) -> None:
+        if action.request_id in self.in_flight:
             wait = math.ceil(action.retry_after * 1000)
-            if action.pressed:
-                self.in_flight[action.id].slot.client.pressed()
-            self.finish(self.in_flight[action.id], b"-BUSY %d\r\n" % wait if wait > 0 else BUSY)
+            if action.overloaded:
+                self.in_flight[action.request_id].slot.client.pressed()
+            self.finish(self.in_flight[action.request_id], b"-BUSY %d\r\n" % wait if wait > 0 else BUSY)
 
-    def fail(self, action: api.Fail) -> None:
-        if action.id in self.in_flight:
-            self.finish(self.in_flight[action.id], FAILED)
+    def fail(self, action: api.FailRequest) -> None:
+        if action.request_id in self.in_flight:
+            self.finish(self.in_flight[action.request_id], FAILED)
 
-    def send(self, action: api.Send) -> None:
-        work = self.in_flight.get(action.id)
+    def send(self, action: api.SendAttempt) -> None:
+        work = self.in_flight.get(action.request_id)
         if work is None or work.finished:
             return
         number, left = work.sends, work.deadline - time.monotonic()
         work.sends += 1
-        if left <= 0 or number >= work.limits.max_attempts or (work.live and not work.limits.second_copies):
-            self.feed(api.Outcome(work.id, number, action.host, "moot", 0.0, False))
+        if left <= 0 or number >= work.limits.max_attempts or (work.live and not work.limits.hedging):
+            self.feed(api.AttemptEnded(work.id, number, action.endpoint_id, "moot", 0.0, False))
             return
         wait = min(left, action.timeout) if action.timeout > 0 else left
         attempt = Attempt(
-            action.host,
+            action.endpoint_id,
             partial(self.goes_out, work),
             self.attempt_done,
             (work, number),
             work.body,
             self.value_begins,
-            action.within,
+            action.send_within,
         )
         work.live[number] = attempt
         self.hosts.send(attempt, wait)
@@ -394,7 +399,7 @@
             head = b""
 
         attempt.sink = sink
-        self.feed(api.Began(work.id, number, attempt.host, attempt.elapsed()))
+        self.feed(api.ResponseStarted(work.id, number, attempt.host, attempt.elapsed()))
         return attempt.result == ""
 
     def attempt_done(self, attempt: Attempt) -> None:
@@ -407,37 +412,37 @@
             self.finish(work, bulk(attempt.value))
         self.forget(work)
         self.feed(
-            api.Outcome(
+            api.AttemptEnded(
                 work.id,
                 number,
                 attempt.host,
                 result,
                 attempt.elapsed(),
                 work.finished,
-                used=attempt.used,
-                report=attempt.report,
+                metered_use=attempt.used,
+                load_report=attempt.report,
             )
         )
 
-    def cancel(self, action: api.Cancel) -> None:
-        work = self.in_flight.get(action.id)
+    def cancel(self, action: api.CancelAttempt) -> None:
+        work = self.in_flight.get(action.request_id)
         if work is not None and action.attempt in work.live:
             self.hosts.give_up(work.live[action.attempt], "cancelled")
 
-    def probe(self, action: api.Probe) -> None:
-        self.hosts.probe(action.host, self.probed)
+    def probe(self, action: api.CheckHealth) -> None:
+        self.hosts.probe(action.endpoint_id, self.probed)
 
     def probed(self, attempt: Attempt) -> None:
-        self.feed(api.Probed(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
+        self.feed(api.HealthCheckEnded(attempt.host, attempt.result, attempt.elapsed(), attempt.report))
 
-    def count(self, action: api.Count) -> None:
+    def count(self, action: api.AddToCounter) -> None:
         if self.counter is None:
             self.loop.call_soon(self.counted, action.name, "connect_failed", 0.0, 0.0)
         else:
             self.counter.add(action.name, action.amount, action.lifetime, self.counted)
 
     def counted(self, name: int, result: str, total: float, elapsed: float) -> None:
-        self.feed(api.Counted(name, result, total, elapsed))
+        self.feed(api.CounterReply(name, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
         self.loop.call_later(action.delay, self.due, action.label, self.clock() + action.delay)
@@ -449,23 +454,23 @@
         if left > 0:
             self.loop.call_later(left + 0.001, self.due, label, at)
         else:
-            self.feed(api.Timer(label))
+            self.feed(api.TimerFired(label))
 
-    def synchronized(self, action: api.Synchronizing) -> None:
-        self.synchronizing = action.on
+    def synchronized(self, action: api.ClusterClockChanged) -> None:
+        self.synchronizing = action.synchronizing
         self.clock_checked.set()
         self.become_ready()
 
     async def check_clock(self) -> None:
         """Compares this clock with the fleet's; waits for CLOCK_CHECK at most: the counter may be silent."""
-        self.feed(api.CheckClock())
+        self.feed(api.ClusterClockNeeded())
         if not self.synchronizing:
             return
         try:
             async with asyncio.timeout(CLOCK_CHECK):
                 await self.clock_checked.wait()
         except TimeoutError:
-            self.synchronized(api.Synchronizing(False))
+            self.synchronized(api.ClusterClockChanged(False))
 
     # Reconfiguration
 
@@ -486,10 +491,10 @@
         """Another configuration is in force from here on; `listing` is what its discovery has told."""
         last, self.config, self.settings = self.config, fresh, fresh.settings
         self.hosts.retune(fresh.connect_timeout, fresh.idle_close)
-        self.feed(api.Retune(fresh.settings))
+        self.feed(api.SettingsChanged(fresh.settings))
         if (grace := self.agent_grace(fresh.settings)) is not None:
             self.discovery.retune(grace)
-        self.discovery.place(fresh.settings.index, fresh.settings.zone)
+        self.discovery.place(fresh.settings.gateway_index, fresh.settings.zone)
         if fresh.discovery != last.discovery:
             self.discovery.move(fresh.discovery, listing)
         if self.counter and fresh.counter:
@@ -560,7 +565,7 @@
             raise UnknownHost(host)
         if out == (host in self.hosts.out):
             return
-        ban = api.Ban(host, out, self.clock())
+        ban = api.EndpointOverride(host, out, self.clock())
         self.ban(ban)
         self.unkept[host] = ban
         self.keep_bans()
@@ -571,17 +576,17 @@
             self.bans.say(ban)
             del self.unkept[host]
 
-    def ban(self, ban: api.Ban) -> None:
-        if self.said.get(ban.host) == ban:
+    def ban(self, ban: api.EndpointOverride) -> None:
+        if self.said.get(ban.endpoint_id) == ban:
             return
-        self.said[ban.host] = ban
+        self.said[ban.endpoint_id] = ban
         ban = replace(ban, at=self.clock())  # another process may have said it by another wall clock
-        log.info("host %s is %s", ban.host, "out by hand" if ban.out else "used again")
-        if ban.out:  # what ends with its connections is not to be sent there once more
+        log.info("host %s is %s", ban.endpoint_id, "out by hand" if ban.ejected else "used again")
+        if ban.ejected:  # what ends with its connections is not to be sent there once more
             self.feed(ban)
-            self.hosts.take_out(ban.host, True)
+            self.hosts.take_out(ban.endpoint_id, True)
         else:
-            self.hosts.take_out(ban.host, False)
+            self.hosts.take_out(ban.endpoint_id, False)
             self.feed(ban)
 
     def drain(self, on: bool) -> bool:
@@ -594,7 +599,7 @@
             log.info(
                 "drain %s: %d client connections", "begins" if on else "is over", len(self.clients.clients)
             )
-            self.feed(api.Drain(on))
+            self.feed(api.DrainChanged(on))
             self.clients.drain(on)
         return True
 
--- a/api_gateway/gateway/requests.py
+++ b/api_gateway/gateway/requests.py
@@ -102,21 +102,21 @@
         raise BadRequest("missing or odd field") from err
     if cls is None or plan not in settings.plans:
         raise BadRequest("unknown class or plan")
-    if write == (cls.effect == "safe") or (cls.effect == "keyed" and not fields.get(b"k")):
+    if write == (cls.idempotency == "safe") or (cls.idempotency == "keyed" and not fields.get(b"k")):
         raise BadRequest("class does not go with this command")
     # The module weighs a request by its units against the mean of all: one of 1e12 spoils that for long.
-    in_range = 0 < units <= settings.most_units and milliseconds <= 1000 * LONGEST_WAIT
-    if not in_range or not 1 <= spread <= settings.gateways or first >= settings.gateways:
+    in_range = 0 < units <= settings.max_units and milliseconds <= 1000 * LONGEST_WAIT
+    if not in_range or not 1 <= spread <= settings.gateway_count or first >= settings.gateway_count:
         raise BadRequest("field out of range")
     return api.Request(
-        id=name.decode("latin-1"),
-        left=milliseconds / 1000 - RESERVED - waited,
+        request_id=name.decode("latin-1"),
+        time_left=milliseconds / 1000 - RESERVED - waited,
         customer=customer.decode(),
         plan=plan,
-        cls=cls.name,
+        service_class=cls.name,
         units=units,
-        first=first,
-        spread=spread,
-        repeat=fields.get(b"r") == b"1",
-        write=write,
+        first_gateway=first,
+        gateway_spread=spread,
+        is_retry=fields.get(b"r") == b"1",
+        is_write=write,
     )
--- a/api_gateway/gateway/shutdown.py
+++ b/api_gateway/gateway/shutdown.py
@@ -38,7 +38,7 @@
     if not node.succeeded():
         await asyncio.sleep(ACCEPT_FOR)
         await node.clients.take_last(ACCEPT_LAST)
-    node.feed(api.Drain(True))
+    node.feed(api.DrainChanged(True))
     node.clients.finish(end - time.monotonic())
     if not await all_answered(node, end):
         await give_up(node)
--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -59,7 +59,7 @@
         offset: float = 0.0,
     ) -> None:
         """`offset`: s by which the fleet's time, which names the windows, is ahead of `now`."""
-        self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.spread, 0
+        self.name, self.plan, self.spread, self.open_here = req.customer, plan, req.gateway_spread, 0
         self.thin = 0 < plan.burst < self.spread  # an even part of the burst is less than a unit
         self.length = plan.burst / plan.rate if plan.rate else 1.0
         self.phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.length
@@ -146,11 +146,17 @@
     def __init__(self, settings: api.Settings) -> None:
         self.retune(settings)
         self.fails, self.retry_at = int(not self.on), 0.0
-        self.slow = 0.5 * settings.gateways / (settings.gateways + CROWD_OF)  # many start as in a crowd
+        self.slow = (
+            0.5 * settings.gateway_count / (settings.gateway_count + CROWD_OF)
+        )  # many start as in a crowd
         self.wrong_time = False  # counts by this gateway's time would be another window's for the rest
 
     def retune(self, settings: api.Settings) -> None:
-        self.on, self.timeout, self.price = settings.counter, settings.counter_timeout, settings.counter_price
+        self.on, self.timeout, self.price = (
+            settings.has_counter,
+            settings.counter_timeout,
+            settings.counter_price,
+        )
 
     def usable(self, now: float) -> bool:
         return self.on and not self.wrong_time and (now >= self.retry_at or self.fails < SILENT_AT)
@@ -193,4 +199,4 @@
         self.at = now
 
     def mistake(self, plan: api.Plan) -> float:
-        return (1 - self.share) * max(LOAD_COST, plan.over_cost - plan.over_worth)
+        return (1 - self.share) * max(LOAD_COST, plan.over_quota_cost - plan.over_quota_weight)
--- a/api_gateway/policy/endpoints.py
+++ b/api_gateway/policy/endpoints.py
@@ -61,7 +61,7 @@
 
 
 class Server:
-    def __init__(self, host: api.Host, now: float, credit: float, began: float) -> None:
+    def __init__(self, host: api.Endpoint, now: float, credit: float, began: float) -> None:
         self.host, self.up = host, host.state == "up"
         self.out: dict[tuple[str, int], float] = {}  # attempts out: when sent
         self.began = began  # when it started, as far as is known; 0: long ago
@@ -71,10 +71,15 @@
         self.place = stable_hash(host.id, "place")  # on the ring that gateways take their hosts from
 
     def warmth(self, now: float, rules: api.Rules) -> float:
-        if not self.began > 0 or now - self.began >= rules.cold_time:
+        if not self.began > 0 or now - self.began >= rules.slow_start_duration:
             return 1.0
         age = max(0.0, now - self.began)
-        return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time if rules.cold_time else 1.0
+        return (
+            rules.slow_start_min_capacity
+            + (1 - rules.slow_start_min_capacity) * age / rules.slow_start_duration
+            if rules.slow_start_duration
+            else 1.0
+        )
 
 
 class Fleet:
@@ -111,41 +116,43 @@
         self.gauge()
         for c in settings.classes.values():
             if c.name not in self.mean:
-                self.mean[c.name] = self.dev[c.name] = min(c.aim / 5, c.deadline)
+                self.mean[c.name] = self.dev[c.name] = min(c.latency_objective / 5, c.deadline)
                 self.seen[c.name] = PRIOR
 
     def gauge(self) -> None:
         """How many gateways share the hosts that are listed here."""
         listed = len(self.up) + sum(s is not None and s.up for s in map(self.servers.get, self.banned))
         self.total = self.given if self.given > listed else 0
-        self.crowd = max(1.0, self.set.gateways * listed / self.total) if self.total else self.set.gateways
+        self.crowd = (
+            max(1.0, self.set.gateway_count * listed / self.total) if self.total else self.set.gateway_count
+        )
         self.limit = max(1.0, LIMIT_MOST / self.crowd)
 
-    def listed(self, now: float, event: api.HostList) -> None:
+    def listed(self, now: float, event: api.EndpointList) -> None:
         whole = event.mode not in ("delta", "failed")
         if whole:
-            named = {h.id for h in event.hosts}
+            named = {h.id for h in event.endpoints}
             for name, server in self.servers.items():
                 if server.up and name not in named:
                     server.up, self.gone[name] = False, now
-        bulk = whole or len(event.hosts) * BULK > len(self.up)
-        for host in event.hosts:
-            self.hear(now, host, bulk, event.total > 0)
+        bulk = whole or len(event.endpoints) * BULK > len(self.up)
+        for host in event.endpoints:
+            self.hear(now, host, bulk, event.available_total > 0)
         self.starts.heard(now, event.mode)
-        self.given = self.given if event.mode == "failed" else event.total
+        self.given = self.given if event.mode == "failed" else event.available_total
         if bulk:
             self.sort(now)
         self.refresh(now)
 
-    def hear(self, now: float, host: api.Host, bulk: bool, view: bool) -> None:
+    def hear(self, now: float, host: api.Endpoint, bulk: bool, view: bool) -> None:
         old = self.servers.get(host.id)
         if old is None and host.state != "up" and view:
             return  # it is in other views
         if old is not None and not bulk:
             self.leave(old)
-        if old is None or (host.state == "up" and host.started > old.host.started):
+        if old is None or (host.state == "up" and host.started_at > old.host.started_at):
             # Credit starts anywhere below one send: first sends of many gateways are spread over time.
-            cold_time = self.set.rules.cold_time
+            cold_time = self.set.rules.slow_start_duration
             began = self.starts.began(now, host, old.host if old else None, view, cold_time)
             self.know(Server(host, now, self.rng.random(), began), old)
         else:
@@ -160,27 +167,27 @@
         self.servers[server.host.id] = server
         self.health.forget(server.host.id)  # what its last life did says nothing of this one
 
-    def ban(self, now: float, event: api.Ban) -> None:
+    def ban(self, now: float, event: api.EndpointOverride) -> None:
         """What is known of a host ends with its ban: it was restarted meanwhile, or may have been."""
-        old = self.servers.get(event.host)
+        old = self.servers.get(event.endpoint_id)
         if old is not None:
             self.leave(old)
-        since = self.banned.pop(event.host, event.at)
-        if event.out:
-            self.banned[event.host] = event.at
-        if old is not None and not event.out:
-            began = old.began if old.host.started > since else min(event.at, now)
+        since = self.banned.pop(event.endpoint_id, event.at)
+        if event.ejected:
+            self.banned[event.endpoint_id] = event.at
+        if old is not None and not event.ejected:
+            began = old.began if old.host.started_at > since else min(event.at, now)
             self.know(Server(old.host, now, self.rng.random(), began), old)
-            self.servers[event.host].up = old.up
-            self.enter(self.servers[event.host])
+            self.servers[event.endpoint_id].up = old.up
+            self.enter(self.servers[event.endpoint_id])
         self.refresh(now)
 
     def clock_stepped(self, now: float, offset: float) -> None:
         """The wall clock may be off by `offset` seconds: what is cold by either reading of it is cold."""
         for server in self.up:
-            if server.host.started > 0:
+            if server.host.started_at > 0:
                 server.began = later_start(
-                    now, server.began, server.host.started, offset, self.set.rules.cold_time
+                    now, server.began, server.host.started_at, offset, self.set.rules.slow_start_duration
                 )
                 if server.warmth(now, self.set.rules) < 1.0:
                     self.cold[server.host.id] = server
@@ -268,8 +275,8 @@
         if warm == 1.0:
             return True
         # A cold host falls over when all gateways together send more than it bears: credit is saved up.
-        rate = warm * rules.fall_multiple * COLD_PART * self.bears(s, now)
-        s.credit = min(s.credit + (now - s.credit_at) * rate, max(1.0, rate * rules.fall_time))
+        rate = warm * rules.overload_multiple * COLD_PART * self.bears(s, now)
+        s.credit = min(s.credit + (now - s.credit_at) * rate, max(1.0, rate * rules.overload_window))
         s.credit_at = now
         return s.credit >= 1.0
 
@@ -305,7 +312,7 @@
 
     def need(self) -> float:
         """Whole hosts that a gateway uses."""
-        return OWN_PART * max(1.0, LIMIT_MOST * (self.total or len(self.up)) / self.set.gateways)
+        return OWN_PART * max(1.0, LIMIT_MOST * (self.total or len(self.up)) / self.set.gateway_count)
 
     def part(self, keys: tuple[str, ...], now: float, able: dict[str, float]) -> list[Server]:
         """The hosts that this gateway uses: of many gateways each sees little of a host, learns it late and
@@ -314,7 +321,7 @@
         total, need, rules, own = len(self.ring), self.need(), self.set.rules, list[Server]()
         if need >= total:
             return self.up
-        at = self.entry(need) if self.total else total * self.set.index // self.set.gateways
+        at = self.entry(need) if self.total else total * self.set.gateway_index // self.set.gateway_count
         usual = self.health.health("", keys, now)
         for n in range(at - total, at):
             if need <= 0:
@@ -329,10 +336,10 @@
         """Rank from which on the hosts of a view are used. The rank of its place among all is not told, but
         how many follow on the arc that those used should fill: half of what is too many there is passed
         over, which halves the variance of the gateways to a host, and what its own place is off by."""
-        place = self.set.index * GOLDEN % 1.0
+        place = self.set.gateway_index * GOLDEN % 1.0
         if self.ahead is None:
-            before = sum(n * GOLDEN % 1.0 < place for n in range(self.set.gateways))
-            self.ahead = before / self.set.gateways - place
+            before = sum(n * GOLDEN % 1.0 < place for n in range(self.set.gateway_count))
+            self.ahead = before / self.set.gateway_count - place
         at, end = (
             bisect.bisect_left(self.ring, (int(x % 1.0 * 2**63), -1), key=BY_PLACE)
             for x in (place, place + need / self.total)
@@ -372,7 +379,7 @@
         if self.full(now, keys):
             return None
         pool = self.own if fits is None else fits
-        few = max(2, math.ceil(CHOICES * len(pool) / self.set.gateways))
+        few = max(2, math.ceil(CHOICES * len(pool) / self.set.gateway_count))
         if few < len(pool) or len(pool) > LOOK_MOST:
             some = (pool[int(self.rng.random() * len(pool))] for _ in range(DRAWS))
             fit = (s for s in some if self.rng.random() < self.weight(s, keys, now) and self.may_send(s, now))
@@ -393,23 +400,23 @@
         self.out -= s is not None and s.out.pop(key, None) is not None
 
     def answered(
-        self, now: float, event: api.Outcome, cls: api.ServiceClass | None, keys: tuple[str, ...]
+        self, now: float, event: api.AttemptEnded, cls: api.ServiceClass | None, keys: tuple[str, ...]
     ) -> None:
-        s = self.servers.get(event.host)
+        s = self.servers.get(event.endpoint_id)
         if s is None:
             return  # a late word of one that is forgotten: it tells of nobody that is here
         out, high = len(s.out), event.result == "timeout"
-        self.ended(event.host, (event.id, event.attempt))
-        if event.report:
-            waiting, util = event.report.get("queue", 0.0), event.report.get("util", 0.0)
-            held = event.report.get("inflight", waiting + SERVERS_OF_HOST * util)
+        self.ended(event.endpoint_id, (event.request_id, event.attempt))
+        if event.load_report:
+            waiting, util = event.load_report.get("queue", 0.0), event.load_report.get("util", 0.0)
+            held = event.load_report.get("inflight", waiting + SERVERS_OF_HOST * util)
             s.others, s.others_at = max(0.0, held - out), now
             self.held += (QUICK if self.reports else 1.0) * (held - self.held)
             self.reports, high = True, held > CONGESTED
         if event.result in ("connect_failed", "full", "error", "reset", "ok"):
             level = keys[:1] if event.result == "connect_failed" else keys
-            self.health.record(event.host, level, event.result != "ok", now)
-        if event.report or event.result in ("ok", "timeout"):
+            self.health.record(event.endpoint_id, level, event.result != "ok", now)
+        if event.load_report or event.result in ("ok", "timeout"):
             gain = max(QUICK / 2, 1 - math.exp((self.answer_at - now) / PRESS_SPAN))
             self.pressure, self.answer_at = self.pressure + min(gain, 0.5) * (high - self.pressure), now
         if event.result == "ok" and s.warmth(now, self.set.rules) == 1.0:
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -22,49 +22,49 @@
         match event:
             case api.Request():
                 self.request(now, event)
-            case api.Outcome():
+            case api.AttemptEnded():
                 self.outcome(now, event)
-            case api.Counted(name=name) if name == BEACON:
+            case api.CounterReply(name=name) if name == BEACON:
                 self.fleet_time_counted(now, event)
-            case api.Counted():
+            case api.CounterReply():
                 self.counted(now, event)
-            case api.Timer():
+            case api.TimerFired():
                 self.tick(now)
-            case api.HostList():
+            case api.EndpointList():
                 self.fleet.listed(now, event)
                 if event.mode == "failed":
                     self.watch_at = now + 1.0
-                elif event.mode == "cached" and self.set.discovery == "ask":
-                    self.out.append(api.Watch(True))
-            case api.Began() if event.id in self.jobs:
-                self.began(self.jobs[event.id], event)
-            case api.Ban():
+                elif event.mode == "cached" and self.set.discovery_mode == "ask":
+                    self.out.append(api.WatchEndpoints(True))
+            case api.ResponseStarted() if event.request_id in self.jobs:
+                self.began(self.jobs[event.request_id], event)
+            case api.EndpointOverride():
                 self.fleet.ban(now, event)
-            case api.CheckClock() if self.counter.on:
+            case api.ClusterClockNeeded() if self.counter.on:
                 self.fleet_time.start(now)
-            case api.ClockStepped():
+            case api.WallClockStepped():
                 self.fleet.clock_stepped(now, event.offset)
-            case api.Drain():
-                self.draining = event.on
-            case api.Retune():
+            case api.DrainChanged():
+                self.draining = event.draining
+            case api.SettingsChanged():
                 self.retune(now, event.settings)
-            case api.Gone() if event.id in self.jobs:
-                self.close(now, self.jobs[event.id])
+            case api.ClientDisconnected() if event.request_id in self.jobs:
+                self.close(now, self.jobs[event.request_id])
         self.drain_queue(now)
         if self.fleet.wish:
-            self.out.append(api.Widen(self.fleet.wish))
+            self.out.append(api.ResizeSubset(self.fleet.wish))
             self.fleet.wish = 0
         while self.due and self.due[0][1] not in self.jobs:
             heapq.heappop(self.due)
         if now >= self.fleet_time.due:
-            self.out.append(api.Count(BEACON, self.fleet_time.call(now), LIFETIME))
+            self.out.append(api.AddToCounter(BEACON, self.fleet_time.call(now), LIFETIME))
         at = min(self.due[0][0] if self.due else math.inf, self.watch_at, self.fleet_time.due)
         if at < self.timer_at:  # what is due next; nothing when idle
             self.timer_at = at
             self.out.append(api.SetTimer(max(0.0, at - now), 0))
         return self.out
 
-    def fleet_time_counted(self, now: float, event: api.Counted) -> None:
+    def fleet_time_counted(self, now: float, event: api.CounterReply) -> None:
         """Windows are named by the fleet's time; where that is another than here, hosts' starts are, too."""
         time, before, first = self.fleet_time, self.fleet_time.offset, not self.time_checked
         if event.result == "late":
@@ -72,10 +72,10 @@
         self.time_checked = True
         time.counted(now, event.result == "ok", event.total)
         if first or time.synchronizing != self.counter.wrong_time:
-            self.out.append(api.Synchronizing(time.synchronizing))
+            self.out.append(api.ClusterClockChanged(time.synchronizing))
         self.counter.wrong_time = time.synchronizing
         if time.offset != before:
-            self.out.append(api.Log(f"the fleet's time is {time.offset:+.1f} s from this gateway's"))
+            self.out.append(api.LogMessage(f"the fleet's time is {time.offset:+.1f} s from this gateway's"))
             self.fleet.clock_stepped(now, time.offset)
 
     def retune(self, now: float, settings: api.Settings) -> None:
@@ -83,13 +83,13 @@
         self.set = settings
         self.fleet.retune(settings)
         self.counter.retune(settings)
-        self.fleet_time.gateways = settings.gateways
+        self.fleet_time.gateways = settings.gateway_count
         for key in itertools.product(settings.plans, (0, 1)):
             self.uses.setdefault(key, PlanUse(now, GRANT_PRIOR[key[1]]))
-        self.top = max(c.worth for c in settings.classes.values())
+        self.top = max(c.priority_weight for c in settings.classes.values())
 
     def request(self, now: float, req: api.Request) -> None:
-        cls, plan = self.set.classes[req.cls], self.set.plans[req.plan]
+        cls, plan = self.set.classes[req.service_class], self.set.plans[req.plan]
         acct = self.accounts.pop(req.customer, None)
         if acct is None or acct.plan != plan or acct.offset != self.fleet_time.offset:
             acct = self.account(now, req, plan, acct)
@@ -97,21 +97,21 @@
         oldest = next(iter(self.accounts.values()))
         if now - oldest.seen_at > IDLE_MOST and not (oldest.call or oldest.open_here):
             del self.accounts[oldest.name]
-        worth = cls.worth * plan.price * req.units
+        worth = cls.priority_weight * plan.price_factor * req.units
         self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
-        job = self.jobs[req.id] = Job(
+        job = self.jobs[req.request_id] = Job(
             req,
             cls,
             plan,
             acct,
             now,
-            now + req.left,
+            now + req.time_left,
             worth,
             worth / max(self.fleet.mean[cls.name], 1e-6),
             ("host", "class " + cls.name, "plan " + plan.name),
             self.set.limits,
         )
-        if req.left < 2 * TICK or self.shed(now, job):  # no check would come round in time, or no room
+        if req.time_left < 2 * TICK or self.shed(now, job):  # no check would come round in time, or no room
             self.refuse(now, job, 0.0)
         elif acct.ceiling_room(now) < req.units:
             self.refuse(now, job, (req.units - acct.cap) * acct.spread / plan.ceiling_rate)
@@ -125,7 +125,7 @@
             self.timer_at = math.inf
         if now >= self.watch_at:
             self.watch_at = math.inf
-            self.out.append(api.Watch(True))
+            self.out.append(api.WatchEndpoints(True))
         while self.due and self.due[0][0] <= now + 1e-6:
             name = heapq.heappop(self.due)[1]
             if name in self.jobs:
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -24,12 +24,15 @@
             self.pass_share = max(SHED_LEAST, self.pass_share * math.exp(-SHED_FAST * min(step, 1.0)))
         else:
             self.pass_share = min(1.0, self.pass_share + SHED_BACK * step)
-        luck, most = self.rng.random(), (1 - self.pass_share) * len(ranks) * (self.set.gateways > LIMIT_MOST)
+        luck, most = (
+            self.rng.random(),
+            (1 - self.pass_share) * len(ranks) * (self.set.gateway_count > LIMIT_MOST),
+        )
         return most > 0 and luck * ranks.count(job.value) + sum(v < job.value for v in ranks) < most
 
     def beyond(self, now: float, job: Job, wait: float) -> None:
         clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
-        if job.plan.over_worth > job.plan.over_cost and clear:
+        if job.plan.over_quota_weight > job.plan.over_quota_cost and clear:
             job.beyond = True
             self.enqueue(now, job)
         else:
@@ -43,13 +46,13 @@
         acct.cap -= units  # spent before sending
         job.stage = "queue"
         bisect.insort(self.queue, job, key=lambda j: (not j.beyond, j.value))
-        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * job.cls.aim)
+        most = max(QUEUE_LEAST, self.fleet.own_rate(now) * QUEUE_HOLD * job.cls.latency_objective)
         self.queue = [j for j in self.queue if not j.done] if len(self.queue) > most else self.queue
         if len(self.queue) > most:
             self.refuse(now, self.queue.pop(0), 0.0)
         self.drain_queue(now)
         if job.stage == "queue" and not job.done:
-            self.look(now + QUEUE_HOLD * job.cls.aim, job)
+            self.look(now + QUEUE_HOLD * job.cls.latency_objective, job)
 
     def drain_queue(self, now: float) -> None:
         while self.queue:
@@ -59,5 +62,5 @@
                     return  # nothing was sent for it yet, so no server has room for any other either
                 clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
                 share = RETRY_SPARE if clear else RETRY_SHARE
-                self.budget = min(max(2.0, RETRY_MOST / self.set.gateways), self.budget + share)
+                self.budget = min(max(2.0, RETRY_MOST / self.set.gateway_count), self.budget + share)
             self.queue.pop()
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -46,7 +46,7 @@
 
     def kept(self, job: Job) -> float:
         """Kept for classes that earn more with a unit; binds near the end of a quota only."""
-        return RESERVE * job.plan.burst * (1 - job.cls.worth / self.top) if self.top else 0.0
+        return RESERVE * job.plan.burst * (1 - job.cls.priority_weight / self.top) if self.top else 0.0
 
     def spare(self, now: float, job: Job) -> float:
         return job.acct.room(now) - self.kept(job) - job.req.units
@@ -70,7 +70,7 @@
 
     def want_units(self, now: float, job: Job) -> None:
         job.acct.roll(now)
-        use = self.uses[job.plan.name, job.req.repeat]
+        use = self.uses[job.plan.name, job.req.is_retry]
         gain = job.worth / max(self.worth, 1e-9) * min(use.share, use.mistake(job.plan))
         chance = self.counter.chance(gain)
         self.decide(now, job, self.rng.random() < chance)
@@ -83,13 +83,13 @@
         if now < acct.full_until or self.spare(now, job) < 0:
             self.beyond(now, job, (job.req.units - room) / acct.plan.rate)
         elif ask and self.counter.usable(now):
-            acct.waiting.append(job.req.id)
+            acct.waiting.append(job.req.request_id)
             self.look(now + 2 * self.counter.timeout + TICK, job)
         else:
             self.unasked(now, job)
 
     def unasked(self, now: float, job: Job) -> None:
-        use, units = self.uses[job.plan.name, job.req.repeat], job.req.units
+        use, units = self.uses[job.plan.name, job.req.is_retry], job.req.units
         use.refill(now)
         if job.acct.thin and use.credit >= units and use.share > use.mistake(job.plan):
             use.credit -= units
@@ -119,7 +119,7 @@
         acct.uncharged = 0.0
         self.count(stable_hash(acct.name, acct.k), ask + call.charge + call.extra, 3 * acct.length, call)
 
-    def counted(self, now: float, event: api.Counted) -> None:
+    def counted(self, now: float, event: api.CounterReply) -> None:
         if event.result == "late":
             self.counted_late(now, event)
         if event.result == "late" or event.name not in self.calls:
@@ -147,7 +147,7 @@
         elif isinstance(call, SlotCall):
             self.slot_counted(now, event, call)
 
-    def counted_late(self, now: float, event: api.Counted) -> None:
+    def counted_late(self, now: float, event: api.CounterReply) -> None:
         """The lease is in the count, so it is spent here: left alone, it would fill the count for nobody."""
         call = self.unheard.pop(event.name, None)
         if call is not None:
@@ -172,7 +172,7 @@
         acct.lease += call.ask - over
         need = sum(j.req.units for j in jobs)
         if need:
-            use = self.uses[acct.plan.name, jobs[0].req.repeat]
+            use = self.uses[acct.plan.name, jobs[0].req.is_retry]
             use.note(now, need * call.sample, min(need, acct.lease) * call.sample)
         if self.rng.random() < self.counter.chance(SIDE_CALL):  # in a crowd the excess stays counted
             extra -= over
@@ -195,11 +195,11 @@
         """Own even part of the open limit; the rest is shared by a count, asked for what that changes, or
         judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
         acct, plan = job.acct, job.plan
-        own, shared = divmod(plan.open_limit, acct.spread)
+        own, shared = divmod(plan.max_concurrent, acct.spread)
         rate = max(acct.total, acct.used) / max(now - acct.start, acct.length / 4)
         mean = min(rate, plan.rate or rate) / max(job.req.units, 1e-9) * self.fleet.mean[job.cls.name]
-        over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.open_limit))
-        cost = max(0.0, plan.over_cost - plan.over_worth)
+        over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.max_concurrent))
+        cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
         job.stage = "slot"
         if own and sum(a.open_here for a in (acct, *acct.past)) < own:
             job.slot = -1
@@ -213,16 +213,16 @@
             self.count_open(acct, int((now + self.fleet_time.offset) / OPEN_EPOCH) + 1, 1, job)
             self.look(job.deadline, job)
             return
-        elif plan.open_limit and (plan.open_limit >= acct.spread or over * cost >= 1 - over):
+        elif plan.max_concurrent and (plan.max_concurrent >= acct.spread or over * cost >= 1 - over):
             self.beyond(now, job, 0.0)
             return
         self.enqueue(now, job)
 
-    def slot_counted(self, now: float, event: api.Counted, call: SlotCall) -> None:
+    def slot_counted(self, now: float, event: api.CounterReply, call: SlotCall) -> None:
         job, acct, ok = call.job, call.acct, event.result == "ok"
-        if ok and (job.done or event.total > acct.plan.open_limit % acct.spread):
+        if ok and (job.done or event.total > acct.plan.max_concurrent % acct.spread):
             self.count_open(acct, call.window, -1)
-        if ok and not job.done and event.total > acct.plan.open_limit % acct.spread:
+        if ok and not job.done and event.total > acct.plan.max_concurrent % acct.spread:
             self.beyond(now, job, 0.0)
         elif not job.done:
             job.slot = call.window if ok else 0
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -34,13 +34,13 @@
     slot: int = 0  # open attempt held: own part -1, or the epoch of the shared count
     sends: int = 0
     streaming: bool = False
-    live: dict[int, tuple[api.Host, float]] = field(default_factory=dict)
-    ran: list[tuple[api.Host, float]] = field(default_factory=list)  # ended, but may have run
+    live: dict[int, tuple[api.Endpoint, float]] = field(default_factory=dict)
+    ran: list[tuple[api.Endpoint, float]] = field(default_factory=list)  # ended, but may have run
     late: set[int] = field(default_factory=set)  # attempts whose silence was noted
     avoid: set[str] = field(default_factory=set)
     done: bool = False
 
-    def unproven(self) -> list[tuple[api.Host, float]]:
+    def unproven(self) -> list[tuple[api.Endpoint, float]]:
         """Attempts that may have run, or may yet."""
         return self.ran + list(self.live.values())
 
@@ -51,15 +51,15 @@
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
         self.set, self.born, self.rng = settings, now, random.Random(seed)
-        self.fleet_time = FleetTime(settings.gateways, self.rng)
+        self.fleet_time = FleetTime(settings.gateway_count, self.rng)
         self.fleet, self.counter = Fleet(settings, self.rng), Counter(settings)
         self.uses = {(p, again): PlanUse(now, GRANT_PRIOR[again]) for p in self.set.plans for again in (0, 1)}
         self.accounts: dict[str, Account] = {}  # in order of their last request
         self.jobs, self.queue = dict[str, Job](), list[Job]()
         self.calls: dict[int, list[Call]] = {}  # by count name, in order of the calls
         self.unheard: dict[int, Call] = {}  # the last that timed out, by count name
-        self.budget = RETRY_START / settings.gateways
-        self.top = max(c.worth for c in settings.classes.values())
+        self.budget = RETRY_START / settings.gateway_count
+        self.top = max(c.priority_weight for c in settings.classes.values())
         self.due: list[tuple[float, str]] = []  # when which job is to be looked at
         self.timer_at = self.watch_at = math.inf
         self.time_checked = False  # whether the counter has been asked for the fleet's time
@@ -69,29 +69,33 @@
         self.out: list[api.Action] = []
 
     def look(self, at: float, job: Job) -> None:
-        heapq.heappush(self.due, (min(at, job.deadline - 2 * TICK), job.req.id))
+        heapq.heappush(self.due, (min(at, job.deadline - 2 * TICK), job.req.request_id))
 
     def count(self, name: int, amount: float, life: float, call: Call) -> None:
         self.calls.setdefault(name, []).append(call)
-        self.out.append(api.Count(name, amount, min(60.0, max(life, 1.0))))
+        self.out.append(api.AddToCounter(name, amount, min(60.0, max(life, 1.0))))
 
     def count_open(self, acct: Account, epoch: int, amount: int, job: Job | None = None) -> None:
         call = SlotCall(acct, "slot", epoch, job=job) if job is not None else Call(acct, "void", epoch)
         self.count(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_EPOCH, call)
 
     def refuse(self, now: float, job: Job, wait: float) -> None:
-        ran = job.cls.effect != "safe" and (job.cls.effect, job.cls.scope) != ("keyed", "all")
+        ran = job.cls.idempotency != "safe" and (job.cls.idempotency, job.cls.dedup_scope) != ("keyed", "all")
         if not (ran and (job.ran or job.live)):
-            most = job.limits.max_retry_after if job.limits.retry_after else 0.0
-            self.out.append(api.Refuse(job.req.id, min(max(wait, 0.0), most), job.stage == "queue"))
+            most = job.limits.max_retry_after if job.limits.sends_retry_after else 0.0
+            self.out.append(
+                api.RejectRequest(job.req.request_id, min(max(wait, 0.0), most), job.stage == "queue")
+            )
         else:
-            self.out.append(api.Fail(job.req.id))
+            self.out.append(api.FailRequest(job.req.request_id))
         self.close(now, job)
 
     def close(self, now: float, job: Job) -> None:
         job.done = True
-        self.jobs.pop(job.req.id, None)
-        self.out += [api.Cancel(job.req.id, number) for number in job.live if job.limits.cancel]
+        self.jobs.pop(job.req.request_id, None)
+        self.out += [
+            api.CancelAttempt(job.req.request_id, number) for number in job.live if job.limits.can_cancel
+        ]
         if job.slot > 0:
             self.count_open(job.acct, job.slot, -1)
         job.acct.open_here -= job.slot < 0
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -16,17 +16,17 @@
     """Sends what waits for it, hears how it ended, and tries again where the class and the budget allow."""
 
     def fits(self, job: Job, s: Server, now: float) -> bool:
-        if s.host.id in job.avoid or job.cls.effect == "safe" or not job.unproven():
+        if s.host.id in job.avoid or job.cls.idempotency == "safe" or not job.unproven():
             return s.host.id not in job.avoid
-        if job.cls.effect == "unsafe" or self.window(now, job) <= 0:
+        if job.cls.idempotency == "unsafe" or self.window(now, job) <= 0:
             return False
-        scope = job.cls.scope
+        scope = job.cls.dedup_scope
         return scope == "all" or all(getattr(h, scope) == getattr(s.host, scope) for h, _ in job.unproven())
 
     def window(self, now: float, job: Job) -> float:
         """How long another attempt may go out: hosts know a key so long after the first that may have run."""
         first = min((t for _, t in job.unproven()), default=math.inf)
-        return first + job.cls.memory - TICK - now if job.cls.effect == "keyed" else math.inf
+        return first + job.cls.dedup_window - TICK - now if job.cls.idempotency == "keyed" else math.inf
 
     def choose(self, now: float, job: Job) -> Server | None:
         fits = [x for x in self.fleet.some(self.fleet.own) if self.fits(job, x, now)] if job.avoid else None
@@ -36,27 +36,27 @@
 
     def send(self, now: float, job: Job) -> bool:
         more = job.sends < job.limits.max_attempts and not job.streaming
-        s = self.choose(now, job) if more and (job.limits.second_copies or not job.live) else None
+        s = self.choose(now, job) if more and (job.limits.hedging or not job.live) else None
         if s is None:
             return False
-        self.out.append(api.Send(job.req.id, s.host.id, within=self.window(now, job)))
+        self.out.append(api.SendAttempt(job.req.request_id, s.host.id, send_within=self.window(now, job)))
         job.live[job.sends] = (s.host, now)
-        self.fleet.sent(s, (job.req.id, job.sends), now)
+        self.fleet.sent(s, (job.req.request_id, job.sends), now)
         job.sends += 1
         job.avoid.add(s.host.id)
         job.stage = "sent"
         self.look(now + self.fleet.patience(job.cls.name), job)
         return True
 
-    def outcome(self, now: float, event: api.Outcome) -> None:
-        job = self.jobs.get(event.id)
+    def outcome(self, now: float, event: api.AttemptEnded) -> None:
+        job = self.jobs.get(event.request_id)
         self.fleet.answered(now, event, job.cls if job else None, job.keys if job else ("host",))
         if job is None:
             return
         sent = job.live.pop(event.attempt, None)
-        if event.actual and self.set.settles and job.plan.rate and not job.beyond:
-            job.acct.uncharged += event.actual - job.req.units
-        if event.final:
+        if event.actual_units and self.set.settles_units and job.plan.rate and not job.beyond:
+            job.acct.uncharged += event.actual_units - job.req.units
+        if event.is_final:
             self.close(now, job)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
@@ -70,16 +70,20 @@
         else:
             self.budget -= cost
 
-    def began(self, job: Job, event: api.Began) -> None:
+    def began(self, job: Job, event: api.ResponseStarted) -> None:
         """The answer flows: its host's work is done, so it holds no place there at its client's pace."""
         job.streaming = True
-        self.fleet.ended(event.host, (event.id, event.attempt))
-        if job.limits.cancel:
-            self.out += [api.Cancel(event.id, number) for number in job.live if number != event.attempt]
+        self.fleet.ended(event.endpoint_id, (event.request_id, event.attempt))
+        if job.limits.can_cancel:
+            self.out += [
+                api.CancelAttempt(event.request_id, number) for number in job.live if number != event.attempt
+            ]
 
     def check(self, now: float, job: Job) -> None:
         ending = now >= job.deadline - 2 * TICK - 1e-6
-        most = {"units": 2 * self.counter.timeout, "queue": QUEUE_HOLD * job.cls.aim}.get(job.stage, math.inf)
+        most = {"units": 2 * self.counter.timeout, "queue": QUEUE_HOLD * job.cls.latency_objective}.get(
+            job.stage, math.inf
+        )
         if job.stage != "sent" and (ending or now - job.arrived >= most - 1e-6):
             self.refuse(now, job, 0.0)
         elif job.stage == "sent" and not ending and not job.streaming:
@@ -92,13 +96,15 @@
         late = [n for n, (_, sent) in job.live.items() if now - sent >= patience]
         for number in set(late) - job.late:
             host = job.live[number][0].id
-            self.fleet.ended(host, (job.req.id, number))  # a silent one holds no other's place
+            self.fleet.ended(host, (job.req.request_id, number))  # a silent one holds no other's place
             self.fleet.health.record(host, job.keys, True, now)
         job.late.update(late)
         self.look(now + max(2 * TICK, self.fleet.dev[job.cls.name]), job)
-        if not late or len(job.live) > 1 or job.cls.effect == "unsafe" or self.budget < 1.0:
+        if not late or len(job.live) > 1 or job.cls.idempotency == "unsafe" or self.budget < 1.0:
             return
-        if job.limits.second_copies:
+        if job.limits.hedging:
             self.budget -= self.send(now, job)
-        elif job.limits.cancel and job.sends < job.limits.max_attempts and self.choose(now, job):
-            self.out.append(api.Cancel(job.req.id, late[0]))  # its outcome starts the next attempt
+        elif job.limits.can_cancel and job.sends < job.limits.max_attempts and self.choose(now, job):
+            self.out.append(
+                api.CancelAttempt(job.req.request_id, late[0])
+            )  # its outcome starts the next attempt
--- a/api_gateway/policy/slow_start.py
+++ b/api_gateway/policy/slow_start.py
@@ -34,21 +34,23 @@
         longest = now - self.heard_at + delay if news else math.inf
         return -CLOCKS_APART <= age <= longest
 
-    def is_news(self, old: api.Host | None, host: api.Host, view: bool) -> bool:
+    def is_news(self, old: api.Endpoint | None, host: api.Endpoint, view: bool) -> bool:
         """Whether the list before would have told this start, had it been then already.
 
         In a view a host that was not listed may have run for long: it was in others' views.
         """
         if old is None:
             return not view
-        return host.started > old.started
+        return host.started_at > old.started_at
 
-    def began(self, now: float, host: api.Host, old: api.Host | None, view: bool, cold_time: float) -> float:
+    def began(
+        self, now: float, host: api.Endpoint, old: api.Endpoint | None, view: bool, cold_time: float
+    ) -> float:
         """The start by the module's clock: now, which is the safe side, where what is told cannot be."""
-        if host.started <= 0:
+        if host.started_at <= 0:
             return 0.0
-        credible = self.is_credible(now, host.started, self.is_news(old, host, view), cold_time)
-        return host.started if credible else now
+        credible = self.is_credible(now, host.started_at, self.is_news(old, host, view), cold_time)
+        return host.started_at if credible else now
 
 
 def later_start(now: float, began: float, started: float, offset: float, cold_time: float) -> float:
--- a/api_gateway/simulator_adapter.py
+++ b/api_gateway/simulator_adapter.py
@@ -53,72 +53,75 @@
     return read_report(pair.split(":", 1) for pair in f.get("server_stats", "").split(",") if ":" in pair)
 
 
-def _host(f: dict[str, str]) -> api.Host:
-    return api.Host(
+def _host(f: dict[str, str]) -> api.Endpoint:
+    return api.Endpoint(
         id=f["host"],
         zone=f.get("zone", ""),
         cell=int(f.get("unit_group", 0)),
         weight=float(f.get("heft", 1)),
         kind=f.get("flavor", ""),
         state=STATE[f["availability"]],
-        started=seconds(f.get("ready_at", "0")),
+        started_at=seconds(f.get("ready_at", "0")),
     )
 
 
 def _work_item(f: dict[str, str]) -> api.Request:
     marks = int(f.get("marks", 0))
     return api.Request(
-        id=f["txn"],
-        left=seconds(f["patience_left"]),
+        request_id=f["txn"],
+        time_left=seconds(f["patience_left"]),
         customer=f["customer"],
         plan=f["tier"],
-        cls=f["type"],
+        service_class=f["type"],
         units=float(f["cost_units"]),
-        first=int(float(f.get("first", 0))),
-        spread=int(float(f["n_entries"])),
-        repeat=bool(marks & 2),
-        write=bool(marks & 4),
+        first_gateway=int(float(f.get("first", 0))),
+        gateway_spread=int(float(f["n_entries"])),
+        is_retry=bool(marks & 2),
+        is_write=bool(marks & 4),
     )
 
 
-def _outcome(f: dict[str, str]) -> api.Outcome:
-    return api.Outcome(
-        id=f["txn"],
+def _outcome(f: dict[str, str]) -> api.AttemptEnded:
+    return api.AttemptEnded(
+        request_id=f["txn"],
         attempt=int(f["attempt"]),
-        host=f["host"],
+        endpoint_id=f["host"],
         result=RESULT[f["reason"]],
         elapsed=seconds(f.get("time_taken", "0")),
-        final=flag(f, "terminal"),
-        used=int(float(f.get("fleet_use", 0))),
-        actual=float(f.get("actual", 0)),
-        report=_stats(f),
+        is_final=flag(f, "terminal"),
+        metered_use=int(float(f.get("fleet_use", 0))),
+        actual_units=float(f.get("actual", 0)),
+        load_report=_stats(f),
     )
 
 
-def _memo(f: dict[str, str]) -> api.Message:
-    return api.Message(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
+def _memo(f: dict[str, str]) -> api.PeerMessage:
+    return api.PeerMessage(sender=int(f["from"]), data=bytes.fromhex(f["octets"].strip("-")))
 
 
 READERS: dict[str, Callable[[dict[str, str]], api.Event]] = {
     "WORK_ITEM": _work_item,
     "REPORT_BACK": _outcome,
-    "ADDED": lambda f: api.Counted(
+    "ADDED": lambda f: api.CounterReply(
         name=int(f["entry_name"]),
         result=RESULT[f["reason"]],
         total=float(f.get("now_at", 0)),
         elapsed=seconds(f.get("time_taken", "0")),
     ),
-    "PING_RESULT": lambda f: api.Probed(
-        host=f["host"],
+    "PING_RESULT": lambda f: api.HealthCheckEnded(
+        endpoint_id=f["host"],
         result=RESULT[f["reason"]],
         elapsed=seconds(f.get("time_taken", "0")),
-        report=_stats(f),
+        load_report=_stats(f),
     ),
-    "DUE": lambda f: api.Timer(label=int(f["label"])),
-    "BEGUN": lambda f: api.Began(
-        id=f["txn"], attempt=int(f["attempt"]), host=f["host"], elapsed=seconds(f.get("time_taken", "0"))
+    "DUE": lambda f: api.TimerFired(label=int(f["label"])),
+    "BEGUN": lambda f: api.ResponseStarted(
+        request_id=f["txn"],
+        attempt=int(f["attempt"]),
+        endpoint_id=f["host"],
+        elapsed=seconds(f.get("time_taken", "0")),
     ),
-    "DROPPED": lambda f: api.Gone(id=f["txn"]),
+    "DROPPED": lambda f: api.ClientDisconnected(request_id=f["txn"]),
     "MEMO": _memo,
 }
 
@@ -128,21 +131,27 @@
 
 
 WRITERS = {
-    api.Send: lambda i, a: f"ASSIGN i={i} txn={a.id} timeout={_ns(a.timeout)} host={a.host}",
-    api.Refuse: lambda i, a: f"DECLINE i={i} txn={a.id} hold_off={_ns(a.retry_after)}",
-    api.Fail: lambda i, a: f"DROP_REQUEST i={i} txn={a.id}",
-    api.Cancel: lambda i, a: f"REVOKE i={i} txn={a.id} attempt={a.attempt}",
-    api.Count: lambda i, a: (
+    api.SendAttempt: lambda i, a: (
+        f"ASSIGN i={i} txn={a.request_id} timeout={_ns(a.timeout)} host={a.endpoint_id}"
+    ),
+    api.RejectRequest: lambda i, a: f"DECLINE i={i} txn={a.request_id} hold_off={_ns(a.retry_after)}",
+    api.FailRequest: lambda i, a: f"DROP_REQUEST i={i} txn={a.request_id}",
+    api.CancelAttempt: lambda i, a: f"REVOKE i={i} txn={a.request_id} attempt={a.attempt}",
+    api.AddToCounter: lambda i, a: (
         f"CHARGE_COUNTER i={i} entry_name={a.name} by={a.amount:.7g} forget_after={_ns(a.lifetime)}"
     ),
     api.SetTimer: lambda i, a: f"AFTER i={i} sleep_for={_ns(a.delay)} label={a.label}",
-    api.Probe: lambda i, a: f"TOUCH i={i} host={a.host}",
-    api.Close: lambda i, a: f"RELEASE i={i} host={a.host}",
-    api.Fetch: lambda i, a: f"PULL i={i}",
-    api.Watch: lambda i, a: f"WATCH i={i} active={int(a.on)}",
-    api.Widen: lambda i, a: f"REMARK i={i} words=a view of {a.hosts} hosts is wanted",  # lists here are whole
-    api.Synchronizing: lambda i, a: f"REMARK i={i} words=synchronizing: {a.on}",  # its clock needs none
-    api.Log: lambda i, a: f"REMARK i={i} words={a.text}",
+    api.CheckHealth: lambda i, a: f"TOUCH i={i} host={a.endpoint_id}",
+    api.CloseIdleConnections: lambda i, a: f"RELEASE i={i} host={a.endpoint_id}",
+    api.FetchEndpoints: lambda i, a: f"PULL i={i}",
+    api.WatchEndpoints: lambda i, a: f"WATCH i={i} active={int(a.enabled)}",
+    api.ResizeSubset: lambda i, a: (
+        f"REMARK i={i} words=a view of {a.endpoint_count} hosts is wanted"
+    ),  # lists here are whole
+    api.ClusterClockChanged: lambda i, a: (
+        f"REMARK i={i} words=synchronizing: {a.synchronizing}"
+    ),  # its clock needs none
+    api.LogMessage: lambda i, a: f"REMARK i={i} words={a.text}",
 }
 
 
@@ -169,7 +178,7 @@
         self.line = line.rstrip("\r\n")
         return self.line
 
-    def _hosts(self, count: int) -> tuple[api.Host, ...]:
+    def _hosts(self, count: int) -> tuple[api.Endpoint, ...]:
         hosts = []
         for _ in range(count):
             line = self._next() or ""
@@ -194,10 +203,10 @@
                 self.gateways.pop(inst, None)
                 return
             elif word == "TARGETS":
-                event = api.HostList(
+                event = api.EndpointList(
                     mode=f["mode"],
                     version=int(f.get("index", 0)),
-                    hosts=self._hosts(int(f.get("rows_in", 0))),
+                    endpoints=self._hosts(int(f.get("rows_in", 0))),
                 )
             elif word in READERS:
                 event = READERS[word](f)
--- a/tests/control/test_host_overrides.py
+++ b/tests/control/test_host_overrides.py
@@ -16,14 +16,18 @@
 def test_what_one_process_says_another_reads(tmp_path):
     one, two = Bans(tmp_path, "n0"), Bans(tmp_path, "n0")
     assert not two.changed()
-    one.say(api.Ban("h1", True, 5.0))
-    two.say(api.Ban("h2", True, 6.0))
+    one.say(api.EndpointOverride("h1", True, 5.0))
+    two.say(api.EndpointOverride("h2", True, 6.0))
     assert one.changed() and not two.changed()
-    assert one.read() == two.known == {"h1": api.Ban("h1", True, 5.0), "h2": api.Ban("h2", True, 6.0)}
-    one.say(api.Ban("h1", False, 7.0))
-    assert two.read()["h1"] == api.Ban("h1", False, 7.0)
-    one.say(api.Ban("h3", True, 1000.0))
-    assert "h1" not in two.read() and two.known["h2"].out  # a return is forgotten in time, a ban never
+    assert (
+        one.read()
+        == two.known
+        == {"h1": api.EndpointOverride("h1", True, 5.0), "h2": api.EndpointOverride("h2", True, 6.0)}
+    )
+    one.say(api.EndpointOverride("h1", False, 7.0))
+    assert two.read()["h1"] == api.EndpointOverride("h1", False, 7.0)
+    one.say(api.EndpointOverride("h3", True, 1000.0))
+    assert "h1" not in two.read() and two.known["h2"].ejected  # a return is forgotten in time, a ban never
 
 
 @pytest.mark.parametrize(
@@ -43,18 +47,20 @@
 )
 def test_a_torn_or_foreign_file_changes_nothing_and_is_written_over(text, tmp_path):
     bans = Bans(tmp_path, "n0")
-    bans.say(api.Ban("h1", True, 5.0))
+    bans.say(api.EndpointOverride("h1", True, 5.0))
     bans.kept.path.write_text(text, encoding="latin-1")
-    assert bans.changed() and bans.read() == {"h1": api.Ban("h1", True, 5.0)} and not bans.changed()
+    assert (
+        bans.changed() and bans.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not bans.changed()
+    )
     (tmp_path / "n0-hosts-out.new").write_text("left behind")
-    bans.say(api.Ban("h2", True, 6.0))
+    bans.say(api.EndpointOverride("h2", True, 6.0))
     assert Bans(tmp_path, "n0").read().keys() == {"h1", "h2"}
 
 
 def test_without_a_folder_bans_last_as_long_as_the_process():
     bans = Bans(None, "n0")
-    bans.say(api.Ban("h1", True, 5.0))
-    assert bans.read() == {"h1": api.Ban("h1", True, 5.0)} and not bans.changed()
+    bans.say(api.EndpointOverride("h1", True, 5.0))
+    assert bans.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not bans.changed()
 
 
 def test_a_folder_that_cannot_be_written_to_does_not_keep_a_process_from_serving(tmp_path):
@@ -108,7 +114,7 @@
             assert (await node.call("POST /maintenance/enter?host=h1"))[0] == 500
             assert "h1" in node.node.hosts.out and not Bans(tmp_path, "n0").read()
         await until(lambda: Bans(tmp_path, "n0").read().get("h1"))
-        assert not node.node.unkept and Bans(tmp_path, "n0").read()["h1"].out
+        assert not node.node.unkept and Bans(tmp_path, "n0").read()["h1"].ejected
 
 
 def full(*_):
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -72,11 +72,11 @@
         class Sender:
             def handle(self, now, event):
                 seen.append(type(event))
-                if isinstance(event, api.Outcome):
+                if isinstance(event, api.AttemptEnded):
                     seen.append(event.result)
                     done.set()
-                    return [api.Fail(event.id)]
-                return [api.Send(event.id, "h1")] if isinstance(event, api.Request) else []
+                    return [api.FailRequest(event.request_id)]
+                return [api.SendAttempt(event.request_id, "h1")] if isinstance(event, api.Request) else []
 
         node.node.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
@@ -86,7 +86,7 @@
         seen.clear()
         node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
         await done.wait()
-        assert seen == [api.HostList, api.Outcome, "connect_failed"]
+        assert seen == [api.EndpointList, api.AttemptEnded, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
 
 
@@ -433,7 +433,7 @@
         told, taken = discovery.Discovery.take, []
 
         def taking(self, listing):
-            taken.append([host.id for host in listing.hosts.hosts])
+            taken.append([host.id for host in listing.hosts.endpoints])
             told(self, listing)
 
         monkey = pytest.MonkeyPatch()
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -60,7 +60,7 @@
     seen, handle = [], node.node.module.handle
 
     def handling(now, event):
-        if isinstance(event, api.HostList):
+        if isinstance(event, api.EndpointList):
             seen.append(event)
         return handle(now, event)
 
@@ -100,17 +100,17 @@
         out = next(entry for entry in lists.servers if entry["id"] not in own)
         lists.change([out | {"state": "draining"}])
         await lists.watched()
-        assert [event.hosts for event in seen] == [()] and pools(node) == own  # no host of the view
-        assert [event.total for event in seen] == [total - (out["kind"] in groups)]
+        assert [event.endpoints for event in seen] == [()] and pools(node) == own  # no host of the view
+        assert [event.available_total for event in seen] == [total - (out["kind"] in groups)]
         lists.change([entry | {"state": "draining"} for entry in lists.named(own[3])])
         await lists.watched()
         after = viewed(lists.servers, 20, kinds)
-        states = {host.id: host.state for host in seen[-1].hosts}
+        states = {host.id: host.state for host in seen[-1].endpoints}
         assert states.pop(own[3]) == "leaving" and set(states.values()) <= {"up"}
         assert pools(node) == after and own[3] not in after and len(after) == len(own)
         lists.change([entry | {"state": "removed"} for entry in lists.named(own[3])])
         await lists.watched()
-        assert {host.id: host.state for host in seen[-1].hosts} == {own[3]: "down"}
+        assert {host.id: host.state for host in seen[-1].endpoints} == {own[3]: "down"}
         shown = (await node.call("GET /status"))[1]["list"]["view"]
         assert shown["shelf"] == total - 1 and not shown["by_service"]  # hosts of other kinds never come in
 
@@ -164,7 +164,7 @@
         await lists.watched()
         seen = told(node)
         for asked, size in ((20, 20), (1000, 30), (30, 30), (3, 6)):
-            node.node.actions[api.Widen](api.Widen(asked))
+            node.node.actions[api.ResizeSubset](api.ResizeSubset(asked))
             await until(lambda size=size: pools(node) == viewed(lists.servers, size))
         assert [event.mode for event in seen] == ["delta"] * 3  # one for each that changes it
         assert not lists.calls  # discovery was not asked
@@ -272,8 +272,8 @@
         handle = node.node.module.handle
 
         def handling(now, event):
-            if isinstance(event, api.HostList):
-                left = {host.id: host.state for host in event.hosts if host.state != "up"}
+            if isinstance(event, api.EndpointList):
+                left = {host.id: host.state for host in event.endpoints if host.state != "up"}
                 seen.append((event.mode, viewing.reading, left))
             return handle(now, event)
 
@@ -319,7 +319,7 @@
 
 def laid(shelf, name, **kw):
     shelf.lay(
-        api.Host(
+        api.Endpoint(
             name,
             kw.pop("zone", "a"),
             0,
@@ -379,7 +379,7 @@
     try:
         for n, name in enumerate(names):
             shelf.lay(
-                api.Host(name, "abcdef"[n % 6], n % 7, 1.0, f"svc-{n % 3 + 1}", "up", 0.0),
+                api.Endpoint(name, "abcdef"[n % 6], n % 7, 1.0, f"svc-{n % 3 + 1}", "up", 0.0),
                 (f"10.1.{n // 250}.{n % 250}", 6379),
             )
         assert tracemalloc.get_traced_memory()[0] / len(names) < most
@@ -444,7 +444,7 @@
         servers = [e | {"state": "draining"} if e["id"] == own[0] else e for e in servers]
         rewrite(serving, servers)
         await until(lambda: pools(node) == viewed(servers, 20, kinds))
-        states = {host.id: host.state for event in seen for host in event.hosts}
+        states = {host.id: host.state for event in seen for host in event.endpoints}
         assert states.pop(own[0]) == "leaving" and set(states.values()) == {"up"}
         rewrite(serving, servers[:30])
         await until(lambda: pools(node) == viewed(servers[:30], 20, kinds))
@@ -459,7 +459,7 @@
         Node(path=tmp_path, more=by_service(serving, size=6, most=30)) as node,
     ):
         for asked, size in ((6, 6), (20, 20), (1000, 30), (3, 6)):
-            node.node.actions[api.Widen](api.Widen(asked))
+            node.node.actions[api.ResizeSubset](api.ResizeSubset(asked))
             await until(lambda size=size: pools(node) == viewed(servers, size) and serving.service.waiting)
         assert node.node.discovery.viewing.known
 
@@ -476,7 +476,7 @@
         node.node.discovery.version = 1  # what changed since then is not remembered
         node.node.discovery.restart()
         await until(lambda: seen)
-        assert seen[0].mode == "full" and sorted(host.id for host in seen[0].hosts) == pools(node)
+        assert seen[0].mode == "full" and sorted(host.id for host in seen[0].endpoints) == pools(node)
         assert node.node.discovery.viewing.known
 
 
@@ -579,12 +579,14 @@
     def tell(event):
         if event.mode == "full":
             mirror.clear()
-        for host in event.hosts:
+        for host in event.endpoints:
             mirror.pop(host.id, None) if host.state == "down" else mirror.__setitem__(host.id, host.state)
         rings = Rings()
         for entry in every.values():
             rings.put(entry["id"], entry["kind"], entry["zone"], entry["state"] == "up")
-        assert mirror.keys() == rings.members(viewing.view) and event.total == rings.total(viewing.view)
+        assert mirror.keys() == rings.members(viewing.view) and event.available_total == rings.total(
+            viewing.view
+        )
         assert all((every[name]["state"] == "up") == (state == "up") for name, state in mirror.items())
 
     for step in range(60):
--- a/tests/discovery/test_replicas.py
+++ b/tests/discovery/test_replicas.py
@@ -192,7 +192,7 @@
 )
 def test_an_entry_that_cannot_be_read_costs_that_entry(bad, caplog):
     read = read_list({"version": 1, "full": True, "servers": [entry(None, "a", port=9), bad]})
-    assert [h.id for h in read.hosts.hosts] == ["a"] and "1 of 2 entries" in caplog.text
+    assert [h.id for h in read.hosts.endpoints] == ["a"] and "1 of 2 entries" in caplog.text
     with pytest.raises(ValueError, match="list of hosts"):
         read_list({"version": 1, "full": True, "servers": [bad]})
 
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -85,8 +85,8 @@
     places = [policy.stable_hash(h.id, "place") for h in ring]
     for n, gateways in enumerate(groups):
         at = sum(place < int(n * GOLDEN % 1.0 * 2**63) for place in places)
-        w = World(settings(plans=[BIG], gateways=gateways, index=n), [], seed=n + 1)
-        w.do(api.HostList("full", 1, tuple((ring + ring)[at : at + view]), total))
+        w = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=n), [], seed=n + 1)
+        w.do(api.EndpointList("full", 1, tuple((ring + ring)[at : at + view]), total))
         w.ask()
         used.update(s.host.id for s in w.gw.fleet.own)
     return [used[h.id] for h in hosts_]
@@ -239,7 +239,7 @@
         monkeypatch.setattr(module, "place_of", place)
     r, shelf, rings = filled(40, zones="abc"), net.Shelf(()), Rings()
     for name, entry in sorted(r.entries.items(), reverse=True):
-        shelf.lay(api.Host(name, entry.host.zone, 0, 1.0, "k", "up", 0.0), None)
+        shelf.lay(api.Endpoint(name, entry.host.zone, 0, 1.0, "k", "up", 0.0), None)
         rings.put(name, "k", entry.host.zone, True)
     for n in range(12):
         view = View(n, size, "abc"[n % 3])
@@ -256,9 +256,11 @@
 
 def test_of_hosts_of_equal_hash_the_module_uses_as_many_as_of_others(monkeypatch):
     def used():
-        w = World(settings(plans=[BIG], gateways=40, index=3), [])
-        w.do(api.HostList("full", 1, tuple(host(f"h{n}") for n in range(30)), 60))
-        held = {send.host for _ in range(60) for send in of(w.ask()[1], api.Send)}  # none is answered
+        w = World(settings(plans=[BIG], gateway_count=40, gateway_index=3), [])
+        w.do(api.EndpointList("full", 1, tuple(host(f"h{n}") for n in range(30)), 60))
+        held = {
+            send.endpoint_id for _ in range(60) for send in of(w.ask()[1], api.SendAttempt)
+        }  # none is answered
         own = [s.host.id for s in w.gw.fleet.own]
         return own, held
 
@@ -275,11 +277,13 @@
 
 def part(hosts_, index, gateways, view, **kw):
     w = World(
-        settings(plans=[plan(rate=2.0, burst=24.0)], gateways=gateways, index=index, **kw), [], seed=index + 1
+        settings(plans=[plan(rate=2.0, burst=24.0)], gateway_count=gateways, gateway_index=index, **kw),
+        [],
+        seed=index + 1,
     )
     at = int(index * GOLDEN % 1.0 * 2**63)
     near = sorted(hosts_, key=lambda h: (policy.stable_hash(h.id, "place") - at) % 2**63)
-    w.do(api.HostList("full", 1, tuple(near[:view]), len(hosts_)))
+    w.do(api.EndpointList("full", 1, tuple(near[:view]), len(hosts_)))
     return w
 
 
@@ -296,14 +300,14 @@
         for _ in range(100):
             now += 0.02
             w.now = now
-            w.do(api.Timer(0))
-            for send in of(w.ask(customer="t", spread=1)[1], api.Send):
-                sent[turn % 2].append(send.host)
+            w.do(api.TimerFired(0))
+            for send in of(w.ask(customer="t", spread=1)[1], api.SendAttempt):
+                sent[turn % 2].append(send.endpoint_id)
                 w.end(send)
             # The gateway that it left answers nothing for it any longer.
             other = (second, first)[turn % 2]
             other.now = now
-            other.do(api.Timer(0))
+            other.do(api.TimerFired(0))
         assert not w.gw.fleet.out
     assert all(len(some) > 4 and set(some) <= views[n] for n, some in enumerate(sent))
     seconds = 100 * 0.02 * 6
@@ -311,7 +315,7 @@
     alone = part(hosts_, 1, 100, 20)  # planted: it knows nothing of what was spent at the first
     for _ in range(100):
         alone.now += 0.02
-        for send in of(alone.ask(customer="t", spread=1)[1], api.Send):
+        for send in of(alone.ask(customer="t", spread=1)[1], api.SendAttempt):
             alone.end(send)
     assert sum(alone.counts.values()) >= 24  # so a full burst would have passed there as well
 
--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -83,7 +83,7 @@
         work = node.node.in_flight["r1"]
         (attempt,) = work.live.values()
         client, pool = work.slot.client, node.node.hosts.pools[other(attempt)]
-        work.limits = replace(work.limits, second_copies=True)
+        work.limits = replace(work.limits, hedging=True)
         if paused:
             client.pause_writing()
             assert client.reading_paused
@@ -92,7 +92,7 @@
             attempt.conn.data_received(BUSY)
         elif cause == "copy":
             peer.end(how)
-            node.node.send(api.Send("r1", other(attempt)))
+            node.node.send(api.SendAttempt("r1", other(attempt)))
         elif cause == "connect":
             held, open_ = asyncio.Event(), pool.open
 
@@ -103,13 +103,13 @@
                 return conn
 
             pool.open = opened
-            node.node.send(api.Send("r1", other(attempt)))
+            node.node.send(api.SendAttempt("r1", other(attempt)))
             assert len(pool.coming) == 1
             held.set()
         else:
             (resting,) = pool.idle
             pool.pace, pool.settle = 1e6, 1000.0
-            node.node.send(api.Send("r1", other(attempt)))
+            node.node.send(api.SendAttempt("r1", other(attempt)))
             ((settling, (conn, timer)),) = pool.settling.items()
             assert conn is resting
             pool.settle = 0.0
@@ -151,14 +151,14 @@
         peer.sock.sendall(command())
         await until(lambda: one.commands or two.commands)
         work, sends = node.node.in_flight["r1"], []
-        send = node.node.actions[api.Send]
-        node.node.actions[api.Send] = lambda action: (sends.append(action), send(action))
+        send = node.node.actions[api.SendAttempt]
+        node.node.actions[api.SendAttempt] = lambda action: (sends.append(action), send(action))
         peer.end(how)
         while not sends:
             ahead[0] += 0.05
             assert ahead[0] < 2.5 and labels
             for label in list(labels):
-                node.node.feed(api.Timer(label))
+                node.node.feed(api.TimerFired(label))
         assert work.finished
         assert await sent_on(node, one, two) == [b"r1"]
         peer.sock.close()
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -142,7 +142,7 @@
                 patched.setattr(gw.node.module.fleet, "full", lambda *args: True)
                 gw.counter.answer_all()
                 await until(lambda: any(trace.part == "queue" for trace in stamps.open.values()))
-            gw.node.feed(api.Timer(0))
+            gw.node.feed(api.TimerFired(0))
             await asyncio.gather(*asked)
             assert len(stamps.done) == 40
             for name in stamps.done:
@@ -163,7 +163,7 @@
                 asked = asyncio.create_task(gw.ask(command()))
                 await until(lambda: "r1" in stamps.open and stamps.open["r1"].part == "queue")
                 clock.fault()
-            gw.node.feed(api.Timer(0))
+            gw.node.feed(api.TimerFired(0))
             assert await asked == SERVED
             summed(stamps.told_of("r1"))
             shown_in(stamps.told_of("r1"), "queue")
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -238,7 +238,7 @@
             await discovery.__aexit__(None, None, None)
             others += [idle_socket(gateway.port, b"") for _ in range(20)]
             others += [idle_socket(gateway.control_port, b"") for _ in range(20)]
-            Bans(tmp_path, "n0").say(api.Ban("h9", True, 5.0))
+            Bans(tmp_path, "n0").say(api.EndpointOverride("h9", True, 5.0))
             began, cpu = monotonic(), gateway.cpu()
             while monotonic() - began < 1.0:  # what is measured: the CPU of a second
                 for peer in rests:
@@ -441,7 +441,7 @@
                 began = loop.time()
                 assert (await node.ask(command(b"r%d" % n))).startswith(BUSY)
                 assert loop.time() - began < 1.0
-        assert {event.result for event in outcomes if isinstance(event, api.Outcome)} == {"moot"}
+        assert {event.result for event in outcomes if isinstance(event, api.AttemptEnded)} == {"moot"}
         assert "h1" not in node.node.module.fleet.health.hosts
         assert await node.ask(command(b"r9")) == SERVED
 
@@ -573,15 +573,15 @@
     without_descriptors(
         """
 one, two = Bans(folder, "n0"), Bans(folder, "n0")
-one.say(api.Ban("h1", True, 5.0))
+one.say(api.EndpointOverride("h1", True, 5.0))
 with full():
     assert two.changed() and not two.read() and two.changed()
     with contextlib.suppress(OSError):
-        two.say(api.Ban("h2", True, 6.0))
+        two.say(api.EndpointOverride("h2", True, 6.0))
         raise AssertionError
     assert not two.known
-assert two.read() == {"h1": api.Ban("h1", True, 5.0)} and not two.changed()
-two.say(api.Ban("h2", True, 6.0))
+assert two.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not two.changed()
+two.say(api.EndpointOverride("h2", True, 6.0))
 assert one.read().keys() == {"h1", "h2"}
 """,
         tmp_path,
@@ -620,7 +620,8 @@
 async def play():
     made = Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None)
     def told(version):
-        made.note(Listing(api.HostList("full", version, (api.Host("h1", "a", 0, 1.0, "k", "up", 0.0),)), {}))
+        endpoint = api.Endpoint("h1", "a", 0, 1.0, "k", "up", 0.0)
+        made.note(Listing(api.EndpointList("full", version, (endpoint,)), {}))
         made.keep()
         return Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None).recall().hosts.version
     assert told(1) == 1
--- a/tests/gateway/test_node.py
+++ b/tests/gateway/test_node.py
@@ -53,7 +53,7 @@
 
         class Broken:
             def handle(self, now, event):
-                if getattr(event, "id", "") == "bad":
+                if getattr(event, "request_id", "") == "bad":
                     raise RuntimeError("broken")
                 return real(now, event)
 
@@ -137,10 +137,10 @@
 
             def handle(self, now, event):
                 if isinstance(event, api.Request):
-                    return [api.Send(event.id, "h1"), api.Send(event.id, "h2")]
-                if isinstance(event, api.Outcome):
+                    return [api.SendAttempt(event.request_id, "h1"), api.SendAttempt(event.request_id, "h2")]
+                if isinstance(event, api.AttemptEnded):
                     self.results.append(event.result)
-                    return [api.Fail(event.id)]
+                    return [api.FailRequest(event.request_id)]
                 return []
 
         node.node.module = Doubler()
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -78,7 +78,7 @@
         reader, writer = await node.connect()
         writer.write(command())
         assert await reader.read() == b"$70000\r\n" + b"v" * 100 + b"\r\n"  # and the end of the connection
-        assert [event.result for event in outcomes if isinstance(event, api.Outcome)] == ["reset"]
+        assert [event.result for event in outcomes if isinstance(event, api.AttemptEnded)] == ["reset"]
 
 
 def pieces_of(stream, cuts):
@@ -310,7 +310,11 @@
         return None
     if (verb == "API.WRITE") != (fields["c"] != "read") or fields["c"] == "write" and not fields.get("k"):
         return None
-    if not 0 < units <= SET.most_units or not 1 <= spread <= SET.gateways or not 0 <= first < SET.gateways:
+    if (
+        not 0 < units <= SET.max_units
+        or not 1 <= spread <= SET.gateway_count
+        or not 0 <= first < SET.gateway_count
+    ):
         return None
     return fields["c"], fields["t"], left, units, first, spread, fields.get("r") == "1"
 
@@ -391,13 +395,13 @@
         assert slow is None
         return
     assert slow == (
-        read.cls,
+        read.service_class,
         read.plan,
-        round(1000 * (read.left + RESERVED)),
+        round(1000 * (read.time_left + RESERVED)),
         read.units,
-        read.first,
-        read.spread,
-        read.repeat,
+        read.first_gateway,
+        read.gateway_spread,
+        read.is_retry,
     )
 
 
@@ -773,9 +777,9 @@
         id: f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
         for id, (host, port) in read.addresses.items()
     }
-    hosts = read.hosts.hosts
+    hosts = read.hosts.endpoints
     assert len({host.id for host in hosts}) == len(hosts)
-    assert all(math.isfinite(host.weight) and math.isfinite(host.started) for host in hosts)
+    assert all(math.isfinite(host.weight) and math.isfinite(host.started_at) for host in hosts)
     return read.hosts.version, {host.id: (words[host.state], places.get(host.id)) for host in hosts}
 
 
@@ -824,7 +828,9 @@
 @seeded
 def test_bans_are_read_as_a_slow_reader_does(told):
     sound = isinstance(told, dict) and all(map(slow_ban, told.values()))
-    bans = sound and {host: api.Ban(host, entry["out"], float(entry["at"])) for host, entry in told.items()}
+    bans = sound and {
+        host: api.EndpointOverride(host, entry["out"], float(entry["at"])) for host, entry in told.items()
+    }
     assert taken(read_bans, json.dumps(told)) == (bans if sound else None)
 
 
--- a/tests/golden/test_golden_experiments.py
+++ b/tests/golden/test_golden_experiments.py
@@ -31,7 +31,7 @@
 
 # Names of the code
 
-HOST, HOST_LIST = api.Host, api.HostList
+HOST, HOST_LIST = api.Endpoint, api.EndpointList
 WORDS_IN = {*adapter.READERS, "TARGETS"}
 KINDS_OUT = set(adapter.WRITERS)
 STAND_INS = {
@@ -41,20 +41,20 @@
 }
 CALLS = service.Calls
 ACTIONS = [  # by position
-    (api.Send("t/1", "h1", 0.25), "ASSIGN i=3 txn=t/1 timeout=250000000 host=h1"),
-    (api.Send("t/1", "h1"), "ASSIGN i=3 txn=t/1 timeout=0 host=h1"),
-    (api.Refuse("t/1", 0.5, True), "DECLINE i=3 txn=t/1 hold_off=500000000"),
-    (api.Fail("t/1"), "DROP_REQUEST i=3 txn=t/1"),
-    (api.Cancel("t/1", 2), "REVOKE i=3 txn=t/1 attempt=2"),
-    (api.Count(7, 1.5, 60.0), "CHARGE_COUNTER i=3 entry_name=7 by=1.5 forget_after=60000000000"),
+    (api.SendAttempt("t/1", "h1", 0.25), "ASSIGN i=3 txn=t/1 timeout=250000000 host=h1"),
+    (api.SendAttempt("t/1", "h1"), "ASSIGN i=3 txn=t/1 timeout=0 host=h1"),
+    (api.RejectRequest("t/1", 0.5, True), "DECLINE i=3 txn=t/1 hold_off=500000000"),
+    (api.FailRequest("t/1"), "DROP_REQUEST i=3 txn=t/1"),
+    (api.CancelAttempt("t/1", 2), "REVOKE i=3 txn=t/1 attempt=2"),
+    (api.AddToCounter(7, 1.5, 60.0), "CHARGE_COUNTER i=3 entry_name=7 by=1.5 forget_after=60000000000"),
     (api.SetTimer(0.125, 4), "AFTER i=3 sleep_for=125000000 label=4"),
-    (api.Probe("h1"), "TOUCH i=3 host=h1"),
-    (api.Close("h1"), "RELEASE i=3 host=h1"),
-    (api.Fetch(), "PULL i=3"),
-    (api.Watch(True), "WATCH i=3 active=1"),
-    (api.Widen(40), "REMARK i=3 words=a view of 40 hosts is wanted"),
-    (api.Synchronizing(True), "REMARK i=3 words=synchronizing: True"),
-    (api.Log("some words"), "REMARK i=3 words=some words"),
+    (api.CheckHealth("h1"), "TOUCH i=3 host=h1"),
+    (api.CloseIdleConnections("h1"), "RELEASE i=3 host=h1"),
+    (api.FetchEndpoints(), "PULL i=3"),
+    (api.WatchEndpoints(True), "WATCH i=3 active=1"),
+    (api.ResizeSubset(40), "REMARK i=3 words=a view of 40 hosts is wanted"),
+    (api.ClusterClockChanged(True), "REMARK i=3 words=synchronizing: True"),
+    (api.LogMessage("some words"), "REMARK i=3 words=some words"),
 ]
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,10 +13,10 @@
     base = dict(
         rate=2.0,
         burst=8.0,
-        open_limit=0,
-        price=1.0,
-        over_worth=0.0,
-        over_cost=1.0,
+        max_concurrent=0,
+        price_factor=1.0,
+        over_quota_weight=0.0,
+        over_quota_cost=1.0,
         ceiling_rate=0.0,
         ceiling_burst=0.0,
         ceiling_slack=0.0,
@@ -26,47 +26,47 @@
 
 def settings(plans=None, limits=None, rules=None, **kw):
     lim = dict(
-        cancel=True,
-        second_copies=True,
-        probes=False,
-        peers=False,
-        retry_after=True,
+        can_cancel=True,
+        hedging=True,
+        health_checks=False,
+        peer_messages=False,
+        sends_retry_after=True,
         max_attempts=4,
         max_retry_after=1.0,
     )
     rul = dict(
         answer_slack=0.01,
         drain_grace=1.0,
-        cold_share=0.2,
-        cold_time=10.0,
-        fall_multiple=2.0,
-        fall_time=2.0,
-        ask_within=10.0,
+        slow_start_min_capacity=0.2,
+        slow_start_duration=10.0,
+        overload_multiple=2.0,
+        overload_window=2.0,
+        poll_deadline=10.0,
     )
     base = dict(
-        index=0,
-        gateways=2,
+        gateway_index=0,
+        gateway_count=2,
         zone="z1",
         classes={c.name: c for c in (READ, WRITE, CELL, NOTE)},
         plans={p.name: p for p in (plans or [plan()])},
         limits=api.Limits(**{**lim, **(limits or {})}),
         rules=api.Rules(**{**rul, **(rules or {})}),
         prices={"cross_zone": 0.02},
-        counter=True,
+        has_counter=True,
         counter_price=0.01,
         counter_timeout=0.05,
         meter_period=0.0,
-        settles=False,
-        most_units=4.0,
-        discovery="push",
-        reports=("queue",),
-        weights="none",
+        settles_units=False,
+        max_units=4.0,
+        discovery_mode="push",
+        load_report_fields=("queue",),
+        weight_kind="none",
     )
     return api.Settings(**{**base, **kw})
 
 
 def host(name, zone="z1", cell=0, state="up", started=0.0):
-    return api.Host(name, zone, cell, 1.0, "k", state, started)
+    return api.Endpoint(name, zone, cell, 1.0, "k", state, started)
 
 
 class World:
@@ -77,21 +77,21 @@
         self.counts = {}
         self.mode = "answer"  # or "silent", "refuse", "hold"
         listed = tuple(hosts if hosts is not None else [host("h1"), host("h2")])
-        self.do(api.HostList("cached", 1, listed))
+        self.do(api.EndpointList("cached", 1, listed))
 
     def do(self, event):
         """Hands one event over, answers counter calls as `mode` says, returns all actions."""
         acts = self.gw.handle(self.now, event)
         self.log += [(self.now, a) for a in acts]
-        for call in [a for a in acts if isinstance(a, api.Count)]:
+        for call in [a for a in acts if isinstance(a, api.AddToCounter)]:
             if self.mode == "answer":
                 total = self.counts[call.name] = self.counts.get(call.name, 0) + call.amount
-                acts = acts + self.do(api.Counted(call.name, "ok", total, 0.002))
+                acts = acts + self.do(api.CounterReply(call.name, "ok", total, 0.002))
             elif self.mode == "silent":
                 self.now += 0.05
-                acts = acts + self.do(api.Counted(call.name, "timeout", 0, 0.05))
+                acts = acts + self.do(api.CounterReply(call.name, "timeout", 0, 0.05))
             elif self.mode == "refuse":
-                acts = acts + self.do(api.Counted(call.name, "full", 0, 0.001))
+                acts = acts + self.do(api.CounterReply(call.name, "full", 0, 0.001))
         return acts
 
     def ask(self, customer="c", plan="p", cls="read", units=1, spread=2, left=3.0):
@@ -103,13 +103,19 @@
         acts, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
-            acts += self.do(api.Timer(0))
+            acts += self.do(api.TimerFired(0))
         return acts
 
     def end(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
         return self.do(
-            api.Outcome(
-                send.id, attempt, send.host, result, elapsed, result == "ok" if final is None else final, **kw
+            api.AttemptEnded(
+                send.request_id,
+                attempt,
+                send.endpoint_id,
+                result,
+                elapsed,
+                result == "ok" if final is None else final,
+                **kw,
             )
         )
 
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -35,8 +35,8 @@
     listed = gateway.GatewayNode.listed
 
     def deaf(self, listing):
-        up = tuple(replace(host, state="up") for host in listing.hosts.hosts)
-        listed(self, replace(listing, hosts=replace(listing.hosts, hosts=up)))
+        up = tuple(replace(host, state="up") for host in listing.hosts.endpoints)
+        listed(self, replace(listing, hosts=replace(listing.hosts, endpoints=up)))
 
     gateway.GatewayNode.listed = deaf
 
--- a/tests/measure/module.py
+++ b/tests/measure/module.py
@@ -55,16 +55,22 @@
 
     def act(self, action: object) -> None:
         match action:
-            case api.Send():
-                number, took = self.sends.get(action.id, 0), 0.004 + 0.008 * self.rng.random()
-                self.sends[action.id], self.sent = number + 1, self.sent + 1
-                self.put(took, "outcome", api.Outcome(action.id, number, action.host, "ok", took, True))
-            case api.Count():
-                self.put(0.002, "counted", api.Counted(action.name, "ok", max(0.0, action.amount), 0.002))
+            case api.SendAttempt():
+                number, took = self.sends.get(action.request_id, 0), 0.004 + 0.008 * self.rng.random()
+                self.sends[action.request_id], self.sent = number + 1, self.sent + 1
+                self.put(
+                    took,
+                    "outcome",
+                    api.AttemptEnded(action.request_id, number, action.endpoint_id, "ok", took, True),
+                )
+            case api.AddToCounter():
+                self.put(
+                    0.002, "counted", api.CounterReply(action.name, "ok", max(0.0, action.amount), 0.002)
+                )
             case api.SetTimer():
-                self.put(action.delay, "timer", api.Timer(action.label))
-            case api.Refuse() | api.Fail():
-                self.sends.pop(action.id, None)
+                self.put(action.delay, "timer", api.TimerFired(action.label))
+            case api.RejectRequest() | api.FailRequest():
+                self.sends.pop(action.request_id, None)
             case _:
                 self.widened += type(action).__name__ == "Widen"
 
@@ -77,7 +83,7 @@
         self.now = until
 
 
-def in_view(hosts: list[api.Host], index: int, view: int) -> list[api.Host]:
+def in_view(hosts: list[api.Endpoint], index: int, view: int) -> list[api.Endpoint]:
     """The hosts that follow a gateway's place on the ring."""
     place = int((index * GOLDEN) % 1.0 * 2**63)
     return sorted(hosts, key=lambda h: (stable_hash(h.id, "place") - place) % 2**63)[:view]
@@ -93,15 +99,15 @@
 ) -> dict[str, float]:
     """CPU in ms of the module for a request with all that follows from it, and for a change of one host."""
     rng = random.Random(seed)
-    conf = settings(plans=[plan(rate=10.0, burst=40.0)], gateways=gateways, index=index)
-    listed = [api.Host(f"h{n}", f"z{n % 3 + 1}", n % 7, 1.0, "k", "up", 0.0) for n in range(hosts)]
+    conf = settings(plans=[plan(rate=10.0, burst=40.0)], gateway_count=gateways, gateway_index=index)
+    listed = [api.Endpoint(f"h{n}", f"z{n % 3 + 1}", n % 7, 1.0, "k", "up", 0.0) for n in range(hosts)]
     more = {}
     if view is not None:
         listed, more = in_view(listed, index, view), {"total": hosts}
     tracemalloc.start()
     gateway = Gateway(conf, seed, 1000.0)
     driver = Driver(gateway, rng)
-    driver.handle("list", api.HostList("full", 1, tuple(listed), **more))
+    driver.handle("list", api.EndpointList("full", 1, tuple(listed), **more))
     held = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     names = itertools.count()
@@ -120,8 +126,8 @@
                 change_at, version = change_at + CHANGE_EVERY, version + 1
                 old = rng.choice(listed)
                 state, started = ("down", 0.0) if version % 2 else ("up", at)
-                new = api.Host(old.id, old.zone, old.cell, 1.0, "k", state, started)
-                driver.handle("change", api.HostList("delta", version, (new,), **more))
+                new = api.Endpoint(old.id, old.zone, old.cell, 1.0, "k", state, started)
+                driver.handle("change", api.EndpointList("delta", version, (new,), **more))
                 ask("request after a change")
             else:
                 ask("request")
@@ -161,7 +167,7 @@
     parser.add_argument("--runs", type=int, default=5)
     parser.add_argument("--whole", action="store_true", help="no views")
     args = parser.parse_args()
-    views = not args.whole and "total" in api.HostList.__dataclass_fields__
+    views = not args.whole and "total" in api.EndpointList.__dataclass_fields__
     shapes = [
         (hosts, view)
         for hosts in args.hosts
--- a/tests/measure/served.py
+++ b/tests/measure/served.py
@@ -60,8 +60,8 @@
     def begin(self, now: float, started: float) -> None:
         self.started, self.free, self.ends = started, [now] * SLOTS, list[float]()
 
-    def listed(self, state: str = "up") -> api.Host:
-        return api.Host(self.name, self.zone, self.cell, 1.0, "k", state, self.started)
+    def listed(self, state: str = "up") -> api.Endpoint:
+        return api.Endpoint(self.name, self.zone, self.cell, 1.0, "k", state, self.started)
 
     def holds(self, now: float) -> int:
         while self.ends and self.ends[0] <= now:
@@ -75,8 +75,11 @@
         begins = max(now, heapq.heappop(self.free))
         age = now - self.started
         warm = 1.0
-        if self.started and age < rules.cold_time:
-            warm = rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time
+        if self.started and age < rules.slow_start_duration:
+            warm = (
+                rules.slow_start_min_capacity
+                + (1 - rules.slow_start_min_capacity) * age / rules.slow_start_duration
+            )
         ends = begins + work / warm
         heapq.heappush(self.free, ends)
         heapq.heappush(self.ends, ends)
@@ -103,7 +106,8 @@
             self.rings.put(m.name, "k", m.zone, True)
         self.size = min(hosts, math.ceil(VIEW_SPARE * OWN_PART * max(1.0, LIMIT_MOST * hosts / gateways)))
         confs = [
-            settings(plans=[BIG], gateways=gateways, index=n, zone=f"z{n % ZONES}") for n in range(gateways)
+            settings(plans=[BIG], gateway_count=gateways, gateway_index=n, zone=f"z{n % ZONES}")
+            for n in range(gateways)
         ]
         self.rules, self.version = confs[0].rules, 1
         self.gateways = [Gateway(conf, self.luck.getrandbits(32), START) for conf in confs]
@@ -172,7 +176,7 @@
     def tell_all(self, n: int) -> None:
         self.known[n], total = self.members(n)
         hosts = tuple(m.listed() for m in self.machines.values() if m.name in self.known[n])
-        self.tell(n, api.HostList("full", self.version, hosts, total))
+        self.tell(n, api.EndpointList("full", self.version, hosts, total))
 
     def tell_changes(self, n: int) -> None:
         old = self.known[n]
@@ -183,7 +187,7 @@
             for m in self.machines.values()
             if (m.name in new) != (m.name in old)
         )
-        self.tell(n, api.HostList("delta", self.version, hosts, total))
+        self.tell(n, api.EndpointList("delta", self.version, hosts, total))
 
     def widen(self, n: int, size: int) -> None:
         self.views[n] = replace(self.views[n], size=size)
@@ -211,47 +215,49 @@
         self.late += asked.arrived >= START + WARM
         for number in range(asked.tries):
             self.cancel(n, name, number)
-        self.tell(n, api.Gone(name))
+        self.tell(n, api.ClientDisconnected(name))
 
     def tell(self, n: int, event: api.Event) -> None:
         for action in self.gateways[n].handle(self.now, event):
             match action:
-                case api.Send():
+                case api.SendAttempt():
                     self.send(n, action)
                 case api.SetTimer():
-                    self.at(self.now + action.delay, self.tell, n, api.Timer(action.label))
-                case api.Count():
+                    self.at(self.now + action.delay, self.tell, n, api.TimerFired(action.label))
+                case api.AddToCounter():
                     total = self.counts[action.name] = self.counts.get(action.name, 0.0) + action.amount
-                    self.at(self.now + COUNTED, self.tell, n, api.Counted(action.name, "ok", total, COUNTED))
-                case api.Refuse() | api.Fail():
-                    asked = self.asked[n].pop(action.id, None)
+                    self.at(
+                        self.now + COUNTED, self.tell, n, api.CounterReply(action.name, "ok", total, COUNTED)
+                    )
+                case api.RejectRequest() | api.FailRequest():
+                    asked = self.asked[n].pop(action.request_id, None)
                     self.refused += asked is not None and asked.arrived >= START + WARM
-                case api.Cancel():
-                    self.at(self.now, self.cancel, n, action.id, action.attempt)
-                case api.Widen():
+                case api.CancelAttempt():
+                    self.at(self.now, self.cancel, n, action.request_id, action.attempt)
+                case api.ResizeSubset():
                     self.widened += 1
-                    self.at(self.now + WIDENED, self.widen, n, action.hosts)
+                    self.at(self.now + WIDENED, self.widen, n, action.endpoint_count)
 
-    def send(self, n: int, send: api.Send) -> None:
-        asked, machine = self.asked[n][send.id], self.machines[send.host]
+    def send(self, n: int, send: api.SendAttempt) -> None:
+        asked, machine = self.asked[n][send.request_id], self.machines[send.endpoint_id]
         number, asked.tries = asked.tries, asked.tries + 1
-        self.live[send.id, number] = (send.host, self.now)
+        self.live[send.request_id, number] = (send.endpoint_id, self.now)
         if self.counts_now:
             machine.came += 1
             if not number:
                 self.waits.append(self.now - asked.arrived)
         if self.now >= START + LENGTH[self.event] - CONNECTED:
-            self.senders[send.host].add(n)
+            self.senders[send.endpoint_id].add(n)
         if machine.silent:
             return
         taken = machine.take(self.now, self.luck.expovariate(1.0 / WORK[asked.cls]), self.rules)
         if taken is None:
             self.turned += self.counts_now
-            self.at(self.now + TURNED_AWAY, self.answer, n, send.id, number, "full")
+            self.at(self.now + TURNED_AWAY, self.answer, n, send.request_id, number, "full")
             return
         if self.counts_now:
             self.queued.append(taken[0] - self.now)
-        self.at(taken[1], self.answer, n, send.id, number, "ok")
+        self.at(taken[1], self.answer, n, send.request_id, number, "ok")
 
     def answer(self, n: int, name: str, number: int, result: str) -> None:
         """What a host says; nothing where it fell silent meanwhile or its attempt was given up."""
@@ -266,12 +272,12 @@
             self.answers[int(self.now - START)] += 1
         report = {"inflight": float(self.machines[host].holds(self.now))}
         final = asked is not None
-        self.tell(n, api.Outcome(name, number, host, result, self.now - sent, final, report=report))
+        self.tell(n, api.AttemptEnded(name, number, host, result, self.now - sent, final, load_report=report))
 
     def cancel(self, n: int, name: str, number: int) -> None:
         host, sent = self.live.pop((name, number), ("", 0.0))
         if host:
-            self.tell(n, api.Outcome(name, number, host, "cancelled", self.now - sent, False))
+            self.tell(n, api.AttemptEnded(name, number, host, "cancelled", self.now - sent, False))
 
     # What came of it
 
--- a/tests/policy/test_decision_streams.py
+++ b/tests/policy/test_decision_streams.py
@@ -28,19 +28,19 @@
 CLASSES = (READ, WRITE, CELL, NOTE, STREAM)
 # The recorded text of each action: its class and its fields, in the order in which it holds their values.
 TEXTS = {
-    api.Send: "Send(id={!r}, host={!r}, timeout={!r}, within={!r})",
-    api.Refuse: "Refuse(id={!r}, retry_after={!r}, pressed={!r})",
-    api.Fail: "Fail(id={!r})",
-    api.Cancel: "Cancel(id={!r}, attempt={!r})",
-    api.Count: "Count(name={!r}, amount={!r}, lifetime={!r})",
+    api.SendAttempt: "Send(id={!r}, host={!r}, timeout={!r}, within={!r})",
+    api.RejectRequest: "Refuse(id={!r}, retry_after={!r}, pressed={!r})",
+    api.FailRequest: "Fail(id={!r})",
+    api.CancelAttempt: "Cancel(id={!r}, attempt={!r})",
+    api.AddToCounter: "Count(name={!r}, amount={!r}, lifetime={!r})",
     api.SetTimer: "SetTimer(delay={!r}, label={!r})",
-    api.Probe: "Probe(host={!r})",
-    api.Close: "Close(host={!r})",
-    api.Fetch: "Fetch()",
-    api.Watch: "Watch(on={!r})",
-    api.Widen: "Widen(hosts={!r})",
-    api.Synchronizing: "Synchronizing(on={!r})",
-    api.Log: "Log(text={!r})",
+    api.CheckHealth: "Probe(host={!r})",
+    api.CloseIdleConnections: "Close(host={!r})",
+    api.FetchEndpoints: "Fetch()",
+    api.WatchEndpoints: "Watch(on={!r})",
+    api.ResizeSubset: "Widen(hosts={!r})",
+    api.ClusterClockChanged: "Synchronizing(on={!r})",
+    api.LogMessage: "Log(text={!r})",
 }
 KEEPS = 30.0  # s after which a host that left returns no more
 RESULTS = ("error", "full", "timeout", "connect_failed", "reset")
@@ -81,7 +81,7 @@
         for _ in range(count):
             self.start(0.0 if self.rng.random() >= cold else self.now - 12 * self.rng.random())
         self.conf = self.configure()
-        self.index = self.conf.index
+        self.index = self.conf.gateway_index
         self.gw = Gateway(self.conf, seed, self.now)
         self.digest, self.events, self.kinds = hashlib.sha256(), 0, {}
         self.due, self.open, self.bad, self.counts = [], {}, {}, {}
@@ -90,22 +90,24 @@
         rng = self.rng
         plans = [
             plan("small", rate=2.0, burst=8.0),
-            plan("wide", rate=50.0, burst=200.0, price=2.0),
-            plan("even", rate=1.0 + rng.randrange(3), burst=6.0, over_worth=0.5, over_cost=0.2),
-            plan("capped", rate=20.0, burst=40.0, open_limit=12, ceiling_rate=30.0, ceiling_burst=90.0),
+            plan("wide", rate=50.0, burst=200.0, price_factor=2.0),
+            plan("even", rate=1.0 + rng.randrange(3), burst=6.0, over_quota_weight=0.5, over_quota_cost=0.2),
+            plan("capped", rate=20.0, burst=40.0, max_concurrent=12, ceiling_rate=30.0, ceiling_burst=90.0),
         ]
-        rules = dict(cold_time=rng.choice((5.0, 10.0, 18.0)), cold_share=rng.choice((0.0, 0.2)))
-        limits = dict(second_copies=rng.random() < 0.7, cancel=rng.random() < 0.8)
+        rules = dict(
+            slow_start_duration=rng.choice((5.0, 10.0, 18.0)), slow_start_min_capacity=rng.choice((0.0, 0.2))
+        )
+        limits = dict(hedging=rng.random() < 0.7, can_cancel=rng.random() < 0.8)
         index = getattr(self, "index", rng.randrange(self.gateways))
         return settings(
             plans,
             limits,
             rules,
-            index=index,
-            gateways=self.gateways,
+            gateway_index=index,
+            gateway_count=self.gateways,
             zone=self.zones[0],
             classes={c.name: c for c in CLASSES},
-            discovery=self.discovery,
+            discovery_mode=self.discovery,
         )
 
     def put(self, after, make):
@@ -125,23 +127,23 @@
     def act(self, action):
         rng = self.rng
         match action:
-            case api.Send():
-                number, work = next(self.open[action.id]["numbers"]), self.open[action.id]
-                result, took = self.fate(action.host)
+            case api.SendAttempt():
+                number, work = next(self.open[action.request_id]["numbers"]), self.open[action.request_id]
+                result, took = self.fate(action.endpoint_id)
                 work["live"].add(number)
-                work["hosts"][number] = action.host
+                work["hosts"][number] = action.endpoint_id
                 if work["cls"] == "stream" and result == "ok":
                     self.put(took / 2, lambda: self.began(action, number))
                 self.put(took, lambda: self.end(action, number, result, took))
-            case api.Cancel():
+            case api.CancelAttempt():
                 self.put(0.001, lambda: self.end(action, action.attempt, "cancelled", 0.01))
-            case api.Refuse() | api.Fail():
-                self.open.pop(action.id, None)
-            case api.Count():
+            case api.RejectRequest() | api.FailRequest():
+                self.open.pop(action.request_id, None)
+            case api.AddToCounter():
                 self.put(0.002 + 0.003 * rng.random(), lambda: self.counted(action))
             case api.SetTimer():
-                self.put(action.delay, lambda: self.handle(api.Timer(action.label)))
-            case api.Watch():
+                self.put(action.delay, lambda: self.handle(api.TimerFired(action.label)))
+            case api.WatchEndpoints():
                 self.put(0.05, lambda: self.whole("full"))
 
     def fate(self, host):
@@ -156,55 +158,57 @@
         return "ok", min(4.0, rng.expovariate(12.0) + (1.5 if rng.random() < 0.02 else 0.0))
 
     def end(self, action, number, result, took):
-        work = self.open.get(action.id)
+        work = self.open.get(action.request_id)
         if work is not None and number in work["live"]:
             work["live"].discard(number)
         elif work is not None or result == "cancelled" or self.rng.random() < 0.5:
             return  # else a word that comes after all, when all is over
-        host = action.host if work is None else work["hosts"][number]
+        host = action.endpoint_id if work is None else work["hosts"][number]
         busy = 6.0 * len(self.bad) / max(1, len(self.hosts))
         report = {"queue": 3.0 * self.rng.random() + busy, "util": 0.5} if self.reports else {}
         final = result == "ok"
         if final:
-            self.open.pop(action.id, None)
-        self.handle(api.Outcome(action.id, number, host, result, took, final, report=report))
+            self.open.pop(action.request_id, None)
+        self.handle(
+            api.AttemptEnded(action.request_id, number, host, result, took, final, load_report=report)
+        )
 
     def began(self, action, number):
-        work = self.open.get(action.id)
+        work = self.open.get(action.request_id)
         if work is not None and number in work["live"]:
-            self.handle(api.Began(action.id, number, action.host, 0.05))
+            self.handle(api.ResponseStarted(action.request_id, number, action.endpoint_id, 0.05))
 
     def counted(self, action):
         luck = self.rng.random()
         if luck < 0.94:
             total = self.counts[action.name] = self.counts.get(action.name, 0.0) + action.amount
-            self.handle(api.Counted(action.name, "ok", max(0.0, total), 0.002))
+            self.handle(api.CounterReply(action.name, "ok", max(0.0, total), 0.002))
         elif luck < 0.98:
-            self.handle(api.Counted(action.name, "timeout", 0.0, 0.05))
+            self.handle(api.CounterReply(action.name, "timeout", 0.0, 0.05))
             if luck < 0.96:
-                self.put(0.1, lambda: self.handle(api.Counted(action.name, "late", action.amount, 0.15)))
+                self.put(0.1, lambda: self.handle(api.CounterReply(action.name, "late", action.amount, 0.15)))
         else:
-            self.handle(api.Counted(action.name, "full" if luck < 0.99 else "connect_failed", 0.0, 0.01))
+            self.handle(api.CounterReply(action.name, "full" if luck < 0.99 else "connect_failed", 0.0, 0.01))
 
     # What comes from outside.
 
     def start(self, started):
         n = next(self.numbers)
         weight = self.rng.choice((1.0, 1.0, 1.0, 2.0, 10.0))
-        host = api.Host(f"h{n}", self.zones[n % len(self.zones)], n % 7, weight, "k", "up", started)
+        host = api.Endpoint(f"h{n}", self.zones[n % len(self.zones)], n % 7, weight, "k", "up", started)
         self.hosts[host.id] = host
         return host
 
     def delta(self, *hosts):
         self.version += 1
-        self.handle(api.HostList("delta", self.version, hosts))
+        self.handle(api.EndpointList("delta", self.version, hosts))
 
     def whole(self, mode):
         self.version += 1
         some = list(self.hosts.values())
         if self.rng.random() < 0.3:
             self.rng.shuffle(some)
-        self.handle(api.HostList(mode, self.version, tuple(some)))
+        self.handle(api.EndpointList(mode, self.version, tuple(some)))
 
     def replace(self, host, **kw):
         return dataclasses.replace(host, **kw)
@@ -231,13 +235,13 @@
             case 3 | 4 if back:
                 name, h = rng.choice(back)
                 del self.left[name]
-                self.hosts[name] = h if rng.random() < 0.5 else self.replace(h, started=self.now)
+                self.hosts[name] = h if rng.random() < 0.5 else self.replace(h, started_at=self.now)
                 self.delta(self.hosts[name])
             case 5:
                 self.delta(self.start(self.now))
             case 6:
                 for h in some:
-                    self.hosts[h.id] = self.replace(h, started=self.now - rng.choice((0.0, 1.0)))
+                    self.hosts[h.id] = self.replace(h, started_at=self.now - rng.choice((0.0, 1.0)))
                 self.delta(*(self.hosts[h.id] for h in some))
             case 7:
                 for h in some:
@@ -252,12 +256,12 @@
                 if out and rng.random() < 0.7:
                     name = sorted(out)[0]
                     self.banned.discard(name)
-                    self.handle(api.Ban(name, False, self.now))
+                    self.handle(api.EndpointOverride(name, False, self.now))
                 else:
                     self.banned.add(some[0].id)
-                    self.handle(api.Ban(some[0].id, True, self.now))
+                    self.handle(api.EndpointOverride(some[0].id, True, self.now))
             case 10:
-                self.handle(api.HostList("failed", self.version, ()))
+                self.handle(api.EndpointList("failed", self.version, ()))
             case 11:
                 part = rng.choice((0.0, 0.1, 0.4))
                 self.bad = {name: rng.choice(RESULTS) for name in names if rng.random() < part}
@@ -284,7 +288,7 @@
     def regain(self, names):
         back = [self.left.pop(name)[1] for name in names if name in self.left]
         for h in back:
-            self.hosts[h.id] = self.replace(h, started=self.now)
+            self.hosts[h.id] = self.replace(h, started_at=self.now)
         self.delta(*(self.hosts[h.id] for h in back))
 
     def ask(self):
@@ -300,7 +304,7 @@
             )
         )
         if rng.random() < 0.02:
-            self.put(0.3, lambda: name in self.open and self.handle(api.Gone(name)))
+            self.put(0.3, lambda: name in self.open and self.handle(api.ClientDisconnected(name)))
 
     def step(self, at):
         while self.due and self.due[0][0] <= at:
@@ -324,8 +328,8 @@
                 self.lose_zone()
             if self.now >= tune_at:
                 tune_at = self.now + 0.2 * self.length
-                self.handle(api.Retune(self.configure()))
-                self.handle(api.Drain(rng.random() < 0.3))
+                self.handle(api.SettingsChanged(self.configure()))
+                self.handle(api.DrainChanged(rng.random() < 0.3))
             self.ask()
         return {"events": self.events, "digest": self.digest.hexdigest()}
 
@@ -342,23 +346,23 @@
 # One action of each kind, made by position, and its recorded text; further ones with defaults.
 ENCODED = [
     (
-        api.Send("r1", "h'2", 0.25, 1.5e-07),
+        api.SendAttempt("r1", "h'2", 0.25, 1.5e-07),
         """Send(id='r1', host="h'2", timeout=0.25, within=1.5e-07)""",
     ),
-    (api.Send("r1", "h2"), "Send(id='r1', host='h2', timeout=0, within=inf)"),
-    (api.Refuse("r1", 0.1, True), "Refuse(id='r1', retry_after=0.1, pressed=True)"),
-    (api.Refuse("r1"), "Refuse(id='r1', retry_after=0, pressed=False)"),
-    (api.Fail("r1"), "Fail(id='r1')"),
-    (api.Cancel("r1", 2), "Cancel(id='r1', attempt=2)"),
-    (api.Count(7, 1.0, 60.0), "Count(name=7, amount=1.0, lifetime=60.0)"),
+    (api.SendAttempt("r1", "h2"), "Send(id='r1', host='h2', timeout=0, within=inf)"),
+    (api.RejectRequest("r1", 0.1, True), "Refuse(id='r1', retry_after=0.1, pressed=True)"),
+    (api.RejectRequest("r1"), "Refuse(id='r1', retry_after=0, pressed=False)"),
+    (api.FailRequest("r1"), "Fail(id='r1')"),
+    (api.CancelAttempt("r1", 2), "Cancel(id='r1', attempt=2)"),
+    (api.AddToCounter(7, 1.0, 60.0), "Count(name=7, amount=1.0, lifetime=60.0)"),
     (api.SetTimer(0.30000000000000004, 3), "SetTimer(delay=0.30000000000000004, label=3)"),
-    (api.Probe("h2"), "Probe(host='h2')"),
-    (api.Close("h2"), "Close(host='h2')"),
-    (api.Fetch(), "Fetch()"),
-    (api.Watch(False), "Watch(on=False)"),
-    (api.Widen(40), "Widen(hosts=40)"),
-    (api.Synchronizing(True), "Synchronizing(on=True)"),
-    (api.Log("a {b} \u00e4\n"), "Log(text='a {b} \u00e4\\n')"),
+    (api.CheckHealth("h2"), "Probe(host='h2')"),
+    (api.CloseIdleConnections("h2"), "Close(host='h2')"),
+    (api.FetchEndpoints(), "Fetch()"),
+    (api.WatchEndpoints(False), "Watch(on=False)"),
+    (api.ResizeSubset(40), "Widen(hosts=40)"),
+    (api.ClusterClockChanged(True), "Synchronizing(on=True)"),
+    (api.LogMessage("a {b} \u00e4\n"), "Log(text='a {b} \u00e4\\n')"),
 ]
 
 
@@ -369,7 +373,7 @@
 
 def test_texts_of_actions_stand_one_after_the_other():
     assert encode([]) == b"[]\n"
-    assert encode([api.Fail("r1"), api.Fetch()]) == b"[Fail(id='r1'), Fetch()]\n"
+    assert encode([api.FailRequest("r1"), api.FetchEndpoints()]) == b"[Fail(id='r1'), Fetch()]\n"
 
 
 def test_each_kind_of_action_has_a_text():
--- a/tests/policy/test_endpoint_subsets.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -28,12 +28,12 @@
 
 
 def down(*hosts):
-    return tuple(api.Host(h.id, h.zone, h.cell, h.weight, h.kind, "down", h.started) for h in hosts)
+    return tuple(api.Endpoint(h.id, h.zone, h.cell, h.weight, h.kind, "down", h.started_at) for h in hosts)
 
 
 def weighing(name, weight, **kw):
     h = host(name, **kw)
-    return api.Host(h.id, h.zone, h.cell, weight, h.kind, h.state, h.started)
+    return api.Endpoint(h.id, h.zone, h.cell, weight, h.kind, h.state, h.started_at)
 
 
 def in_view(hosts, index, view):
@@ -53,8 +53,8 @@
 
 def viewing(hosts, view, gateways, index=0, total=None, **kw):
     total = total or len(hosts)
-    w = World(settings(plans=[BIG], gateways=gateways, index=index, **kw), [], seed=index + 1)
-    w.do(api.HostList("full", 1, tuple(in_view(hosts, index, view)), total))
+    w = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=index, **kw), [], seed=index + 1)
+    w.do(api.EndpointList("full", 1, tuple(in_view(hosts, index, view)), total))
     return w
 
 
@@ -63,20 +63,20 @@
     hosts = []
     for _ in range(count):
         w.now += step
-        for s in of(w.ask()[1], api.Send):
-            hosts.append(s.host)
+        for s in of(w.ask()[1], api.SendAttempt):
+            hosts.append(s.endpoint_id)
             w.end(s)
     return hosts
 
 
 def wishes(w):
-    return [a.hosts for _, a in w.log if isinstance(a, api.Widen)]
+    return [a.endpoint_count for _, a in w.log if isinstance(a, api.ResizeSubset)]
 
 
 @pytest.mark.parametrize("gateways, total, view", [(60, 600, 150), (300, 600, 60), (200, 4000, 400)])
 def test_a_view_is_used_as_its_part_of_the_whole_list_would_be(gateways, total, view):
     hosts = [host(f"h{n}") for n in range(total)]
-    whole = World(settings(plans=[BIG], gateways=gateways, index=7), hosts, seed=7)
+    whole = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=7), hosts, seed=7)
     part = viewing(hosts, view, gateways, index=7)
     assert part.gw.fleet.crowd == max(1.0, gateways * view / total) and whole.gw.fleet.crowd == gateways
     for w in (whole, part):
@@ -87,7 +87,7 @@
     assert not wishes(part) and not wishes(whole)
     out = {}
     for name, w in (("whole", whole), ("part", part)):
-        out[name] = sum(len(of(w.ask()[1], api.Send)) for _ in range(300))
+        out[name] = sum(len(of(w.ask()[1], api.SendAttempt)) for _ in range(300))
     # Of fewer gateways the traffic is less even, so one of them may have more out; never over twice.
     assert out["whole"] <= out["part"] <= 2 * out["whole"] + 1
 
@@ -112,15 +112,15 @@
 
 def test_a_list_with_all_hosts_is_no_view_whatever_is_banned():
     hosts = tuple(host(f"h{n}") for n in range(20))
-    w = World(settings(plans=[BIG], gateways=40), hosts)
-    w.do(api.Ban("h3", True, w.now))
-    w.do(api.HostList("full", 2, hosts, 20))
+    w = World(settings(plans=[BIG], gateway_count=40), hosts)
+    w.do(api.EndpointOverride("h3", True, w.now))
+    w.do(api.EndpointList("full", 2, hosts, 20))
     assert w.gw.fleet.crowd == 40 and w.gw.fleet.total == 0
-    w.do(api.HostList("delta", 3, (), 200))
+    w.do(api.EndpointList("delta", 3, (), 200))
     assert w.gw.fleet.crowd == 4.0 and w.gw.fleet.total == 200
-    w.do(api.HostList("failed", 3, ()))
+    w.do(api.EndpointList("failed", 3, ()))
     assert w.gw.fleet.total == 200  # nothing was told
-    w.do(api.HostList("delta", 4, (host("h20"),)))
+    w.do(api.EndpointList("delta", 4, (host("h20"),)))
     assert w.gw.fleet.crowd == 40 and w.gw.fleet.total == 0
 
 
@@ -130,15 +130,15 @@
     assert asked(w)
     lost = [s.host for s in w.gw.fleet.up]
     for n in range(0, 60, 20):
-        w.do(api.HostList("delta", 2 + n, down(*lost[n : n + 20]), 2000))
+        w.do(api.EndpointList("delta", 2 + n, down(*lost[n : n + 20]), 2000))
     w.log.clear()
     for _ in range(100):
         w.now += 0.1
-        assert not of(w.ask()[1], api.Send)
+        assert not of(w.ask()[1], api.SendAttempt)
     assert len(wishes(w)) == math.ceil(10.0 / WIDEN_SPAN) and min(wishes(w)) > 60
     assert not w.gw.fleet.own and w.gw.fleet.crowd == 1.0
     back = tuple(h for h in hosts if h.zone == "z2")[: wishes(w)[0]]
-    w.do(api.HostList("delta", 99, back, 2000))
+    w.do(api.EndpointList("delta", 99, back, 2000))
     w.log.clear()
     sent = asked(w, 80)
     assert set(sent) <= {h.id for h in back} and len(sent) > 70
@@ -149,18 +149,20 @@
     w = viewing(hosts, 50, 300, total=2000)
     asked(w, 4)
     (most,) = wishes(w)
-    w.do(api.HostList("full", 2, tuple(in_view(hosts, 0, most)), 2000))
+    w.do(api.EndpointList("full", 2, tuple(in_view(hosts, 0, most)), 2000))
     w.log.clear()
     asked(w, int(0.9 * EASY_SPAN / 0.5), step=0.5)
     assert not wishes(w)
-    w.do(api.HostList("delta", 3, tuple(host(h.id, started=w.now) for h in in_view(hosts, 0, most)), 2000))
+    w.do(
+        api.EndpointList("delta", 3, tuple(host(h.id, started=w.now) for h in in_view(hosts, 0, most)), 2000)
+    )
     asked(w, 100, step=0.5)  # all were cold, so all of the wide view was needed
     assert len(w.gw.fleet.own) <= most and all(n >= most for n in wishes(w))
     w.log.clear()
     asked(w, int(2.2 * EASY_SPAN / 0.5), step=0.5)
     plain = wishes(w)[-1]
     assert plain <= most
-    w.do(api.HostList("full", 4, tuple(in_view(hosts, 0, plain)), 2000))
+    w.do(api.EndpointList("full", 4, tuple(in_view(hosts, 0, plain)), 2000))
     w.log.clear()
     asked(w, 200, step=0.5)
     assert not wishes(w)  # the plain view is enough
@@ -168,14 +170,17 @@
 
 def test_each_action_has_its_line_on_the_wire():
     assert set(WRITERS) == set(api.Action.__args__)
-    assert WRITERS[api.Widen](3, api.Widen(960)) == "REMARK i=3 words=a view of 960 hosts is wanted"
+    assert (
+        WRITERS[api.ResizeSubset](3, api.ResizeSubset(960))
+        == "REMARK i=3 words=a view of 960 hosts is wanted"
+    )
 
 
 def test_a_whole_list_is_never_wished_wider():
-    w = World(settings(plans=[BIG], gateways=40), [host(f"h{n}") for n in range(30)])
+    w = World(settings(plans=[BIG], gateway_count=40), [host(f"h{n}") for n in range(30)])
     for _ in range(60):
         w.now += 0.5
-        for s in of(w.ask()[1], api.Send):
+        for s in of(w.ask()[1], api.SendAttempt):
             w.end(s, "reset", final=True)
     assert not wishes(w)
 
@@ -185,17 +190,17 @@
     hosts = [host(f"h{n}", zone=f"z{n % 2}", cell=n % 4) for n in range(40)]
     w = viewing(hosts, 40, 100, total=400)
     name, acts = w.ask(cls=cls)
-    (send,) = of(acts, api.Send)
-    left = w.gw.fleet.servers[send.host].host
-    w.do(api.HostList("delta", 2, down(left), 400))
+    (send,) = of(acts, api.SendAttempt)
+    left = w.gw.fleet.servers[send.endpoint_id].host
+    w.do(api.EndpointList("delta", 2, down(left), 400))
     assert w.gw.fleet.out == 1 and left.id in w.gw.fleet.servers
     assert left.id not in asked(w, 60, step=0.001)
     for n in range(3 * GONE_LEAST):  # so many leave after it that it would be forgotten
-        w.do(api.HostList("delta", 3 + 2 * n, (host(f"x{n}"),), 400))
-        w.do(api.HostList("delta", 4 + 2 * n, down(host(f"x{n}")), 400))
+        w.do(api.EndpointList("delta", 3 + 2 * n, (host(f"x{n}"),), 400))
+        w.do(api.EndpointList("delta", 4 + 2 * n, down(host(f"x{n}")), 400))
     assert left.id in w.gw.fleet.servers
-    (again,) = of(w.end(send, "reset"), api.Send)
-    to = w.gw.fleet.servers[again.host].host
+    (again,) = of(w.end(send, "reset"), api.SendAttempt)
+    to = w.gw.fleet.servers[again.endpoint_id].host
     assert to.id != left.id and getattr(to, scope) == getattr(left, scope)
     assert w.gw.fleet.out == 1
 
@@ -203,47 +208,49 @@
 def test_a_word_on_a_forgotten_host_is_no_fault():
     w = viewing([host(f"h{n}") for n in range(20)], 20, 40, total=200)
     _, acts = w.ask()
-    (send,) = of(acts, api.Send)
-    gone = w.gw.fleet.servers[send.host].host
-    w.do(api.HostList("delta", 2, down(gone), 200))
+    (send,) = of(acts, api.SendAttempt)
+    gone = w.gw.fleet.servers[send.endpoint_id].host
+    w.do(api.EndpointList("delta", 2, down(gone), 200))
     w.end(send)
     w.now += GONE_SPAN + 1.0
-    w.do(api.HostList("delta", 3, (), 200))
+    w.do(api.EndpointList("delta", 3, (), 200))
     fleet = w.gw.fleet
     assert gone.id not in fleet.servers and gone.id not in fleet.health.hosts
     w.end(send, "timeout")
-    w.do(api.Began(send.id, 0, send.host, 0.1))
-    w.do(api.Ban(gone.id, True, w.now))
+    w.do(api.ResponseStarted(send.request_id, 0, send.endpoint_id, 0.1))
+    w.do(api.EndpointOverride(gone.id, True, w.now))
     assert gone.id not in fleet.servers and fleet.out == 0
-    w.do(api.HostList("delta", 4, (gone,), 200))  # its ban was kept
+    w.do(api.EndpointList("delta", 4, (gone,), 200))  # its ban was kept
     assert gone.id not in [s.host.id for s in fleet.up] and gone.id not in asked(w)
-    w.do(api.Ban(gone.id, False, w.now))
+    w.do(api.EndpointOverride(gone.id, False, w.now))
     assert gone.id in [s.host.id for s in fleet.up]
 
 
 def test_a_ban_outlives_what_is_known_of_its_host():
     w = World(settings(plans=[BIG]), [host("h1"), host("h2")])
-    w.do(api.Ban("h1", True, w.now))
-    w.do(api.HostList("full", 2, (host("h2"),)))
+    w.do(api.EndpointOverride("h1", True, w.now))
+    w.do(api.EndpointList("full", 2, (host("h2"),)))
     w.now += GONE_SPAN + 1.0
-    w.do(api.HostList("full", 3, (host("h2"),)))
+    w.do(api.EndpointList("full", 3, (host("h2"),)))
     assert list(w.gw.fleet.servers) == ["h2"]
-    w.do(api.HostList("full", 4, (host("h1"), host("h2"))))
+    w.do(api.EndpointList("full", 4, (host("h1"), host("h2"))))
     assert set(asked(w)) == {"h2"}
 
 
 def test_the_return_of_a_host_that_is_no_longer_listed_does_not_bring_it_back():
     w = World(settings(plans=[BIG]), [host("h1"), host("h2")])
-    w.do(api.Ban("h1", True, w.now))
-    w.do(api.HostList("full", 2, (host("h2"),)))
-    w.do(api.Ban("h1", False, w.now))
+    w.do(api.EndpointOverride("h1", True, w.now))
+    w.do(api.EndpointList("full", 2, (host("h2"),)))
+    w.do(api.EndpointOverride("h1", False, w.now))
     assert set(asked(w)) == {"h2"}
 
 
 def test_drains_of_hosts_outside_the_view_leave_nothing():
     w = viewing([host(f"h{n}") for n in range(50)], 50, 100, total=5000)
     for n in range(2000):
-        w.do(api.HostList("delta", 2 + n, (host(f"far{n}", state="leaving"), *down(host(f"off{n}"))), 5000))
+        w.do(
+            api.EndpointList("delta", 2 + n, (host(f"far{n}", state="leaving"), *down(host(f"off{n}"))), 5000)
+        )
     assert len(w.gw.fleet.servers) == 50 and not w.gw.fleet.gone and len(w.gw.fleet.ring) == 50
 
 
@@ -257,7 +264,7 @@
     even = share.count(10.0) * 10 / (share.count(10.0) * 10 + share.count(1.0))
     assert abs(heavy - even) < 0.12
     assert w.gw.fleet.top == 10.0
-    w.do(api.HostList("delta", 2, down(*(h for h in hosts if h.weight == 10.0)), 2000))
+    w.do(api.EndpointList("delta", 2, down(*(h for h in hosts if h.weight == 10.0)), 2000))
     assert w.gw.fleet.top == 1.0 and w.gw.fleet.weights == [1.0] * len(w.gw.fleet.up)
 
 
@@ -276,10 +283,10 @@
             now += step
             for k, w in enumerate(worlds):
                 w.now = now
-                w.do(api.Timer(0))
+                w.do(api.TimerFired(0))
                 if (n + k) % 5 == 0:
-                    for s in of(w.ask()[1], api.Send):
-                        sent.setdefault(s.host, []).append(now)
+                    for s in of(w.ask()[1], api.SendAttempt):
+                        sent.setdefault(s.endpoint_id, []).append(now)
                         w.end(s)
 
     play(6.0, usual)
@@ -297,34 +304,34 @@
             told = down(*out) + tuple(far[turn % 20 :][:5])
             inside = (turn + k) % 2 == 0
             told += (cold,) if inside else down(cold)
-            w.do(api.HostList("delta", 2 + turn, told, total))
+            w.do(api.EndpointList("delta", 2 + turn, told, total))
         play(0.5, sent)
     rules = worlds[0].conf.rules
     times = sent.get(cold.id, [])
-    most = rules.fall_multiple * bears * rules.fall_time  # of its warmth at the end of the span
+    most = rules.overload_multiple * bears * rules.overload_window  # of its warmth at the end of the span
     for t in times:
-        count = sum(t <= x < t + rules.fall_time for x in times)
-        warm = min(1.0, 0.2 + 0.8 * (t - cold.started) / 10.0)
+        count = sum(t <= x < t + rules.overload_window for x in times)
+        warm = min(1.0, 0.2 + 0.8 * (t - cold.started_at) / 10.0)
         bound = warm * most
-        assert count <= bound + 2 * math.sqrt(bound) + 2, (t - cold.started, count, bound)
+        assert count <= bound + 2 * math.sqrt(bound) + 2, (t - cold.started_at, count, bound)
     assert times  # it does get work
 
 
 def test_hosts_come_and_go_and_nothing_is_left_of_them():
     stay = [host(f"h{n}") for n in range(100)]
-    w = World(settings(plans=[BIG], gateways=20), stay)
+    w = World(settings(plans=[BIG], gateway_count=20), stay)
     objects, version = [], 1
     for n in range(10_000):
         version += 2
         new = host(f"new{n}", started=w.now)
-        w.do(api.HostList("delta", version, (new,)))
+        w.do(api.EndpointList("delta", version, (new,)))
         if n % 3 == 0:
             asked(w, 1, step=0.01)
         w.now += 0.01
         if n % 10:
-            w.do(api.HostList("delta", version + 1, down(new)))
+            w.do(api.EndpointList("delta", version + 1, down(new)))
         else:
-            w.do(api.HostList("full", version + 1, tuple(stay)))
+            w.do(api.EndpointList("full", version + 1, tuple(stay)))
         w.log.clear()
         assert len(w.gw.fleet.servers) <= 201
         if n in (2000, 9999):
@@ -340,20 +347,20 @@
 
 
 def test_what_is_kept_by_change_is_what_a_sort_of_all_finds():
-    w = World(settings(plans=[BIG], gateways=20), [weighing(f"h{n}", 1.0 + n % 5) for n in range(200)])
+    w = World(settings(plans=[BIG], gateway_count=20), [weighing(f"h{n}", 1.0 + n % 5) for n in range(200)])
     fleet, rng = w.gw.fleet, random.Random(5)
     for n in range(600):
         w.now += 0.05
         name = f"h{rng.randrange(240)}"
         match rng.randrange(5):
             case 0:
-                w.do(api.Ban(name, rng.random() < 0.5, w.now))
+                w.do(api.EndpointOverride(name, rng.random() < 0.5, w.now))
             case 1:
-                w.do(api.HostList("delta", n, (host(name, started=w.now),)))
+                w.do(api.EndpointList("delta", n, (host(name, started=w.now),)))
             case 2:
-                w.do(api.HostList("delta", n, (weighing(name, 0.1 * rng.randrange(1, 90)),)))
+                w.do(api.EndpointList("delta", n, (weighing(name, 0.1 * rng.randrange(1, 90)),)))
             case 3:
-                w.do(api.HostList("delta", n, (host(name, state=rng.choice(("down", "leaving"))),)))
+                w.do(api.EndpointList("delta", n, (host(name, state=rng.choice(("down", "leaving"))),)))
             case 4:
                 asked(w, 1)
         kept = [fleet.up[:], fleet.ring[:], fleet.weights[:], set(fleet.cold)]
@@ -372,12 +379,12 @@
             return super().may_send(s, now)
 
     for gateways in (1, 10, 400):
-        w = World(settings(plans=[BIG], gateways=gateways), [host(f"h{n}") for n in range(5000)])
+        w = World(settings(plans=[BIG], gateway_count=gateways), [host(f"h{n}") for n in range(5000)])
         w.gw.fleet.__class__ = Counting
         looked = 0
         for _ in range(20):
             w.now += 0.05
-            for s in of(w.ask()[1], api.Send):
-                for again in of(w.end(s, "error"), api.Send):
+            for s in of(w.ask()[1], api.SendAttempt):
+                for again in of(w.end(s, "error"), api.SendAttempt):
                     w.end(again)
         assert looked <= 40 * 2 * LOOK_MOST
--- a/tests/policy/test_quota_leases.py
+++ b/tests/policy/test_quota_leases.py
@@ -9,7 +9,7 @@
     n = 0
     for _ in range(tries):
         _, acts = w.ask(**kw)
-        for s in of(acts, api.Send):
+        for s in of(acts, api.SendAttempt):
             n += 1
             w.end(s)
     return n
@@ -18,23 +18,23 @@
 def test_light_customer_makes_no_call():
     w = World()
     assert served(w, 1) == 1
-    assert not [a for _, a in w.log if isinstance(a, api.Count)]
+    assert not [a for _, a in w.log if isinstance(a, api.AddToCounter)]
 
 
 def test_lease_is_added_and_quota_is_held():
     w = World()
     n = served(w, 40)
     assert 7 <= n <= 8  # the burst, less what is kept for classes that are worth more
-    assert [a for _, a in w.log if isinstance(a, api.Count)]
+    assert [a for _, a in w.log if isinstance(a, api.AddToCounter)]
     assert max(w.counts.values()) <= 16
 
 
 def test_full_window_refuses_at_once_without_calls():
     w = World()
     served(w, 40)
-    before = len([a for _, a in w.log if isinstance(a, api.Count)])
+    before = len([a for _, a in w.log if isinstance(a, api.AddToCounter)])
     name, acts = w.ask()
-    assert of(acts, api.Refuse) and len(of(acts, api.Count)) == 0 and before
+    assert of(acts, api.RejectRequest) and len(of(acts, api.AddToCounter)) == 0 and before
 
 
 def test_two_bursts_do_not_pass_back_to_back_at_a_turn():
@@ -53,11 +53,11 @@
     calls, sends = [], True
     while sends:  # the last request waits for the call that is out
         _, acts = w.ask()
-        calls, sends = calls + of(acts, api.Count), of(acts, api.Send)
+        calls, sends = calls + of(acts, api.AddToCounter), of(acts, api.SendAttempt)
     call = calls[0]
-    acts = w.do(api.Counted(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
-    assert [c for c in of(acts, api.Count) if c.amount < 0 and c.name == call.name]
-    assert not of(acts, api.Send) and of(acts, api.Refuse)
+    acts = w.do(api.CounterReply(call.name, "ok", 40, 0.002))  # others have filled the window meanwhile
+    assert [c for c in of(acts, api.AddToCounter) if c.amount < 0 and c.name == call.name]
+    assert not of(acts, api.SendAttempt) and of(acts, api.RejectRequest)
 
 
 def test_timed_out_add_gives_no_units_and_request_is_settled_soon():
@@ -76,7 +76,7 @@
     for _ in range(200):
         w.ask()
         w.wait(0.02)
-    assert len([a for _, a in w.log if isinstance(a, api.Count)]) < 20
+    assert len([a for _, a in w.log if isinstance(a, api.AddToCounter)]) < 20
 
 
 def test_lost_counts_are_added_again():
@@ -114,43 +114,43 @@
 
 
 def test_open_limit_is_held_over_gateways_by_the_counter():
-    p = plan(rate=50.0, burst=100.0, open_limit=2)
+    p = plan(rate=50.0, burst=100.0, max_concurrent=2)
     a = World(settings(plans=[p]))
-    b = World(settings(plans=[p], index=1), seed=2)
+    b = World(settings(plans=[p], gateway_index=1), seed=2)
     b.counts = a.counts
     sends = []
     for _ in range(3):
         for w in (a, b):
-            sends += [(w, s) for s in of(w.ask()[1], api.Send)]
+            sends += [(w, s) for s in of(w.ask()[1], api.SendAttempt)]
     assert len(sends) == 2
     w, s = sends[0]
     w.end(s)
-    assert len(of(w.ask()[1], api.Send)) == 1
+    assert len(of(w.ask()[1], api.SendAttempt)) == 1
 
 
 def test_beyond_quota_only_where_it_earns():
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.0)]))
+    w = World(settings(plans=[plan(over_quota_weight=0.3, over_quota_cost=0.0)]))
     assert served(w, 40) == 40
-    w = World(settings(plans=[plan(over_worth=0.3, over_cost=0.5)]))
+    w = World(settings(plans=[plan(over_quota_weight=0.3, over_quota_cost=0.5)]))
     assert served(w, 40) < 40
 
 
 def test_without_counter_the_even_share_is_granted():
-    w = World(settings(counter=False))
+    w = World(settings(has_counter=False))
     n = served(w, 40)
-    assert 4 <= n <= 8 and not [a for _, a in w.log if isinstance(a, api.Count)]
+    assert 4 <= n <= 8 and not [a for _, a in w.log if isinstance(a, api.AddToCounter)]
 
 
 def test_plan_without_a_rate_needs_only_open_slots():
-    w = World(settings(plans=[plan(rate=0.0, burst=0.0, open_limit=3)]))
+    w = World(settings(plans=[plan(rate=0.0, burst=0.0, max_concurrent=3)]))
     assert served(w, 30) == 30
 
 
 def test_settled_units_are_charged():
-    w = World(settings(settles=True))
+    w = World(settings(settles_units=True))
     _, acts = w.ask()
-    s = of(acts, api.Send)[0]
-    w.end(s, actual=6)
+    s = of(acts, api.SendAttempt)[0]
+    w.end(s, actual_units=6)
     assert served(w, 40) < 11
 
 
@@ -166,7 +166,7 @@
 
 def test_debt_is_brought_along_once():
     a, b = World(settings(plans=[plan(burst=40.0, rate=10.0)])), None
-    b = World(settings(plans=[plan(burst=40.0, rate=10.0)], index=1), seed=2)
+    b = World(settings(plans=[plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
     b.counts = a.counts
     start = 0.0
     for turn in range(6):
@@ -179,18 +179,18 @@
 
 
 def test_even_part_of_the_open_limit_needs_no_call():
-    w = World(settings(plans=[plan(rate=50.0, burst=100.0, open_limit=4)]))
+    w = World(settings(plans=[plan(rate=50.0, burst=100.0, max_concurrent=4)]))
     acts = w.ask()[1] + w.ask()[1]
-    assert len(of(acts, api.Send)) == 2 and not of(acts, api.Count)
-    assert not of(w.ask()[1], api.Send)
+    assert len(of(acts, api.SendAttempt)) == 2 and not of(acts, api.AddToCounter)
+    assert not of(w.ask()[1], api.SendAttempt)
 
 
 def test_small_burst_over_many_gateways_passes_light_customers_and_holds_busy_ones():
-    w = World(settings(gateways=10, plans=[plan(rate=0.8, burst=3.0)]))
+    w = World(settings(gateway_count=10, plans=[plan(rate=0.8, burst=3.0)]))
     for k in range(20):
         _, acts = w.ask(customer=f"c{k}", spread=8)
-        assert of(acts, api.Send) and len(of(acts, api.Count)) <= 1
-        w.end(of(acts, api.Send)[0])
+        assert of(acts, api.SendAttempt) and len(of(acts, api.AddToCounter)) <= 1
+        w.end(of(acts, api.SendAttempt)[0])
     assert served(w, 30, customer="c0", spread=8) <= 6
 
 
@@ -206,23 +206,23 @@
     w = World(settings(plans=[plan(rate=20.0, burst=80.0)]))
     w.mode = "silent"
     for _ in range(80):
-        for s in of(w.ask()[1], api.Send):
+        for s in of(w.ask()[1], api.SendAttempt):
             w.end(s)
         w.wait(0.02)
     w.mode, start = "answer", w.now
     while w.now < start + 2:
-        for s in of(w.ask()[1], api.Send):
+        for s in of(w.ask()[1], api.SendAttempt):
             w.end(s)
         w.wait(0.04)
     assert w.gw.counter.fails == 0
-    assert [a for t, a in w.log if isinstance(a, api.Count) and t > start]
+    assert [a for t, a in w.log if isinstance(a, api.AddToCounter) and t > start]
 
 
 def test_rest_of_the_open_limit_is_shared_by_a_count():
-    conf = [settings(index=k, plans=[plan(rate=50.0, burst=100.0, open_limit=3)]) for k in (0, 1)]
+    conf = [settings(gateway_index=k, plans=[plan(rate=50.0, burst=100.0, max_concurrent=3)]) for k in (0, 1)]
     a, b = World(conf[0]), World(conf[1], seed=2)
     b.counts = a.counts
-    assert sum(len(of(w.ask()[1], api.Send)) for _ in range(3) for w in (a, b)) == 3
+    assert sum(len(of(w.ask()[1], api.SendAttempt)) for _ in range(3) for w in (a, b)) == 3
 
 
 def test_an_add_without_answer_leaves_the_requests_on_it_to_the_local_share():
@@ -231,10 +231,10 @@
     calls, n = [], 0
     for _ in range(12):
         acts = w.ask()[1]
-        calls, n = calls + of(acts, api.Count), n + len(of(acts, api.Send))
-    acts = w.do(api.Counted(calls[0].name, "timeout", 0, 0.05))
-    assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, api.Send)) <= 5
-    assert len(of(acts, api.Refuse)) >= 3
+        calls, n = calls + of(acts, api.AddToCounter), n + len(of(acts, api.SendAttempt))
+    acts = w.do(api.CounterReply(calls[0].name, "timeout", 0, 0.05))
+    assert w.gw.accounts["c"].lease == 0 and n + len(of(acts, api.SendAttempt)) <= 5
+    assert len(of(acts, api.RejectRequest)) >= 3
 
 
 def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
@@ -252,14 +252,14 @@
     for n in (1, 3, 200):
         passed = 0
         for k in range(n):
-            w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=n, index=k), seed=k)
+            w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateway_count=n, gateway_index=k), seed=k)
             w.mode = "silent"
             passed += served(w, 3 if n > 10 else 40, spread=n)
         assert passed <= 2.5 * 8, n  # two windows may be met
 
 
 def test_plan_share_passes_what_was_granted_before_while_the_counter_is_away():
-    w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateways=100))
+    w = World(settings(plans=[plan(rate=2.0, burst=8.0)], gateway_count=100))
     before = 0
     for k in range(200):
         before += served(w, 1, customer=f"b{k}", spread=60)
@@ -294,13 +294,15 @@
     w = World(settings(plans=[plan(rate=0.1, burst=40.0)]))
     w.mode, calls = "hold", []
     while not calls:
-        calls = of(w.ask(units=4)[1], api.Count)
+        calls = of(w.ask(units=4)[1], api.AddToCounter)
     w.now += 0.05
-    w.do(api.Counted(calls[0].name, "timeout", 0, 0.05))
+    w.do(api.CounterReply(calls[0].name, "timeout", 0, 0.05))
     assert w.gw.accounts["c"].lease == 0
-    w.do(api.Counted(calls[0].name, "late", calls[0].amount, 0.08))
+    w.do(api.CounterReply(calls[0].name, "late", calls[0].amount, 0.08))
     assert w.gw.accounts["c"].lease > 0
-    w.do(api.Counted(calls[0].name, "late", calls[0].amount, 0.09))  # no call is left that it could belong to
+    w.do(
+        api.CounterReply(calls[0].name, "late", calls[0].amount, 0.09)
+    )  # no call is left that it could belong to
     assert w.gw.accounts["c"].lease <= calls[0].amount
 
 
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -7,7 +7,7 @@
 
 OLD = plan(rate=2.0, burst=20.0)
 FASTER = plan(rate=3.0, burst=20.0)  # its windows are shorter
-DEARER = plan(rate=2.0, burst=20.0, price=2.0)
+DEARER = plan(rate=2.0, burst=20.0, price_factor=2.0)
 TWICE = plan(rate=4.0, burst=40.0)  # windows of the same length
 
 
@@ -17,12 +17,12 @@
 
 def spend(w, tries=60, **kw):
     """How many of so many tries at one moment pass."""
-    sends = [s for _ in range(tries) for s in of(w.ask(**kw)[1], api.Send) if not w.end(s)]
+    sends = [s for _ in range(tries) for s in of(w.ask(**kw)[1], api.SendAttempt) if not w.end(s)]
     return len(sends)
 
 
 def change(w, *plans):
-    w.do(api.Retune(settings(plans=plans)))
+    w.do(api.SettingsChanged(settings(plans=plans)))
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -77,7 +77,7 @@
 def test_two_gateways_that_change_one_after_the_other_hold_one_quota():
     counts, worlds = {}, []
     for index in (0, 1):
-        w = World(settings(plans=[OLD], index=index), seed=5 + index)
+        w = World(settings(plans=[OLD], gateway_index=index), seed=5 + index)
         w.counts = counts
         worlds.append(w)
     spent = sum(spend(w, 5) for w in worlds * 5)
@@ -88,17 +88,17 @@
 
 
 def test_open_attempts_of_before_a_change_still_hold_their_places():
-    limited = plan(rate=2.0, burst=20.0, open_limit=4)
+    limited = plan(rate=2.0, burst=20.0, max_concurrent=4)
     w = World(settings(plans=[limited]))
-    out = [s for _ in range(2) for s in of(w.ask(spread=2)[1], api.Send)]
+    out = [s for _ in range(2) for s in of(w.ask(spread=2)[1], api.SendAttempt)]
     assert len(out) == 2 and w.gw.accounts["c"].open_here == 2
-    change(w, plan(rate=3.0, burst=20.0, open_limit=4))
-    assert of(w.ask(spread=2)[1], api.Refuse)
+    change(w, plan(rate=3.0, burst=20.0, max_concurrent=4))
+    assert of(w.ask(spread=2)[1], api.RejectRequest)
     acct = w.gw.accounts["c"]
     assert acct.open_here == 0 and acct.past[0].open_here == 2
     for s in out:
         w.end(s)
-    assert of(w.ask(spread=2)[1], api.Send) and acct.open_here == 1
+    assert of(w.ask(spread=2)[1], api.SendAttempt) and acct.open_here == 1
 
 
 def test_a_plan_that_went_and_came_back_goes_on_where_it_was():
@@ -115,15 +115,19 @@
     calls, waiting = [], ""
     while not waiting:
         name, acts = w.ask()
-        calls += of(acts, api.Count)
-        waiting = "" if of(acts, api.Send) else name
-        for s in of(acts, api.Send):
+        calls += of(acts, api.AddToCounter)
+        waiting = "" if of(acts, api.SendAttempt) else name
+        for s in of(acts, api.SendAttempt):
             w.end(s)
     assert w.gw.jobs[waiting].stage == "units"
     change(w, FASTER)
     w.ask()
     assert w.gw.accounts["c"].past
-    acts = w.do(api.Counted(calls[0].name, "ok", calls[0].amount, 0.002))
+    acts = w.do(api.CounterReply(calls[0].name, "ok", calls[0].amount, 0.002))
     w.mode = "answer"
-    acts += w.do(api.Counted(of(acts, api.Count)[0].name, "ok", of(acts, api.Count)[0].amount + 4, 0.002))
-    assert waiting in [s.id for s in of(acts, api.Send)]
+    acts += w.do(
+        api.CounterReply(
+            of(acts, api.AddToCounter)[0].name, "ok", of(acts, api.AddToCounter)[0].amount + 4, 0.002
+        )
+    )
+    assert waiting in [s.request_id for s in of(acts, api.SendAttempt)]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -33,9 +33,12 @@
 
     def warmth(self, now, rules):
         age = now - self.started
-        if not self.started or age >= rules.cold_time:
+        if not self.started or age >= rules.slow_start_duration:
             return 1.0
-        return rules.cold_share + (1 - rules.cold_share) * age / rules.cold_time
+        return (
+            rules.slow_start_min_capacity
+            + (1 - rules.slow_start_min_capacity) * age / rules.slow_start_duration
+        )
 
     def take(self, now, work, rules):
         """When its answer comes; None: it turns the request away."""
@@ -49,14 +52,14 @@
         return ends
 
     def worst(self, rules, came):
-        """The most of these in one span of fall_time while it was cold, as part of what makes it fall."""
-        cold = [at for at in came if self.started and 0 <= at - self.started < rules.cold_time]
+        """The most of these in one overload window while it was cold, as part of what makes it fall."""
+        cold = [at for at in came if self.started and 0 <= at - self.started < rules.slow_start_duration]
         worst, first = 0.0, 0
         for last, at in enumerate(cold):
-            while at - cold[first] > rules.fall_time:
+            while at - cold[first] > rules.overload_window:
                 first += 1
-            warm = self.warmth(max(self.started, at - rules.fall_time), rules)
-            n = rules.fall_multiple * self.rate * warm * rules.fall_time
+            warm = self.warmth(max(self.started, at - rules.overload_window), rules)
+            n = rules.overload_multiple * self.rate * warm * rules.overload_window
             worst = max(worst, (last - first + 1) / (n + 2 * math.sqrt(n) + 2))
         return worst
 
@@ -70,7 +73,14 @@
     ):
         self.rng, self.work = random.Random(seed), work
         self.conf = [
-            settings(plans=[BIG], gateways=gateways, index=n, counter=False, counter_timeout=0.0, rules=rules)
+            settings(
+                plans=[BIG],
+                gateway_count=gateways,
+                gateway_index=n,
+                has_counter=False,
+                counter_timeout=0.0,
+                rules=rules,
+            )
             for n in range(gateways)
         ]
         self.rules = self.conf[0].rules
@@ -108,7 +118,7 @@
 
     def begin(self, n):
         self.gateways[n] = Gateway(self.conf[n], self.rng.getrandbits(32), self.now)
-        self.tell(self.gateways[n], api.HostList("cached", 1, self.listed(self.machines.values())))
+        self.tell(self.gateways[n], api.EndpointList("cached", 1, self.listed(self.machines.values())))
 
     def restart(self, count):
         for n in self.rng.sample(range(len(self.gateways)), min(count, len(self.gateways))):
@@ -124,7 +134,7 @@
             self.at(self.now + self.rng.uniform(0.0, 0.3), self.hear, n, self.listed(back))
 
     def hear(self, n, hosts):
-        self.tell(self.gateways[n], api.HostList("delta", 2, hosts))
+        self.tell(self.gateways[n], api.EndpointList("delta", 2, hosts))
 
     def traffic(self, n, rate):
         self.at(self.now + self.rng.expovariate(rate), self.ask, n, rate)
@@ -140,14 +150,14 @@
             return
         acts = gateway.handle(self.now, event)
         for timer in of(acts, api.SetTimer):
-            self.at(self.now + timer.delay, self.tell, gateway, api.Timer(timer.label))
-        for send in of(acts, api.Send):
+            self.at(self.now + timer.delay, self.tell, gateway, api.TimerFired(timer.label))
+        for send in of(acts, api.SendAttempt):
             self.send(gateway, send)
 
     def send(self, gateway, send):
-        number = self.sends[send.id] = self.sends.get(send.id, -1) + 1
-        machine = self.machines[send.host]
-        if gateway.fleet.servers[send.host].began == machine.started:
+        number = self.sends[send.request_id] = self.sends.get(send.request_id, -1) + 1
+        machine = self.machines[send.endpoint_id]
+        if gateway.fleet.servers[send.endpoint_id].began == machine.started:
             machine.told.append(self.now)
         ends = machine.take(self.now, self.rng.uniform(0.5, 1.5) * self.work, self.rules)
         result = "full" if ends is None else "ok"
@@ -155,7 +165,12 @@
 
     def answer(self, gateway, send, number, result, sent):
         self.served += result == "ok"
-        self.tell(gateway, api.Outcome(send.id, number, send.host, result, self.now - sent, result == "ok"))
+        self.tell(
+            gateway,
+            api.AttemptEnded(
+                send.request_id, number, send.endpoint_id, result, self.now - sent, result == "ok"
+            ),
+        )
 
 
 SMALL = dict(slots=1, work=0.15, cold=((4.0, 3), (6.0, 4)))
@@ -171,19 +186,19 @@
     "crowded": dict(load=0.95, cold=((4.0, 2), (6.0, 2)), restarts=((6.5, 15),)),
     "overrun": dict(load=1.6, cold=((5.0, 4),), restarts=((6.0, 10),)),
     "small hosts": dict(SMALL, restarts=((6.5, 15),)),
-    "small hosts, crowded": dict(SMALL, load=1.0, cold_share=0.1),
-    "small hosts that fall soon": dict(SMALL, fall_time=0.5, cold_share=0.1),
-    "large hosts": dict(slots=16, work=0.1, hosts=6, cold=((4.0, 1), (6.0, 2)), fall_time=1.0),
+    "small hosts, crowded": dict(SMALL, load=1.0, slow_start_min_capacity=0.1),
+    "small hosts that fall soon": dict(SMALL, overload_window=0.5, slow_start_min_capacity=0.1),
+    "large hosts": dict(slots=16, work=0.1, hosts=6, cold=((4.0, 1), (6.0, 2)), overload_window=1.0),
     "as at a site": dict(
         slots=3,
         work=0.25,
         cold=((4.0, 3), (6.0, 3)),
         restarts=((6.5, 15),),
         load=0.8,
-        fall_multiple=3.0,
-        fall_time=1.0,
-        cold_share=0.18,
-        cold_time=18.0,
+        overload_multiple=3.0,
+        overload_window=1.0,
+        slow_start_min_capacity=0.18,
+        slow_start_duration=18.0,
     ),
 }
 
@@ -202,7 +217,7 @@
 def test_gateways_that_know_send_no_cold_host_too_much_where_hosts_fall_soon(gateways, seed, share):
     """Crowded small hosts that fall within 0.5 s, and news that takes up to 0.3 s: five sends of gateways
     that were not told yet are 1.16 of what makes one fall; nothing that these know could keep them back."""
-    played = Play(seed, gateways, **SMALL, load=1.0, fall_time=0.5, cold_share=share)
+    played = Play(seed, gateways, **SMALL, load=1.0, overload_window=0.5, slow_start_min_capacity=share)
     played.run()
     assert played.told() <= 1.0
     late = [
@@ -220,5 +235,5 @@
 def test_the_play_tells_where_cold_hosts_get_too_much(day, monkeypatch):
     """Planted: cold hosts are taken for warm ones."""
     monkeypatch.setattr(fleet.Server, "warmth", lambda *_: 1.0)
-    played = Play(1, **DAYS[day] | dict(load=0.95, fall_multiple=1.0))
+    played = Play(1, **DAYS[day] | dict(load=0.95, overload_multiple=1.0))
     assert played.run() > 1.0 and played.told() > 1.0
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -32,7 +32,7 @@
     for file in files:
         lines = file.read_text().splitlines()
         assert len(lines) <= MODULE_FILE_LINES and all(len(line) <= 110 for line in lines), file
-    assert "interface.py" in files[0].read_text().splitlines()[0]
+    assert "interface/" in files[0].read_text().splitlines()[0]
 
 
 def test_each_layer_of_the_module_uses_only_those_below():
@@ -145,8 +145,8 @@
         lambda: api.ServiceClass("c", 1.0, 2.0, "sometimes", "all", 0.0, 1.0, 0.0, False, 0.0),
         lambda: api.Request("r", 1.0, "c", "p", "c", -1.0, 0, 1),
         lambda: api.Request("r", 1.0, "c", "p", "c", 1.0, 0, 0),
-        lambda: api.Host("h", "z", 0, 1.0, "k", "maybe", 0.0),
-        lambda: api.Outcome("r", 0, "h", "fine", 0.1, True),
+        lambda: api.Endpoint("h", "z", 0, 1.0, "k", "maybe", 0.0),
+        lambda: api.AttemptEnded("r", 0, "h", "fine", 0.1, True),
     ],
 )
 def test_types_reject_what_makes_no_sense(make):
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -84,16 +84,16 @@
 
         class Watcher:
             def handle(self, now, event):
-                if isinstance(event, api.Probed):
+                if isinstance(event, api.HealthCheckEnded):
                     seen.append(event)
                     done.set()
                 return []
 
         node.node.module = Watcher()
-        node.node.probe(api.Probe("h1"))
+        node.node.probe(api.CheckHealth("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
-        assert seen[0].result == "ok" and seen[0].report == {"inflight": 7.0}
+        assert seen[0].result == "ok" and seen[0].load_report == {"inflight": 7.0}
 
 
 @on_loop
@@ -167,15 +167,19 @@
         class Mover:
             def handle(self, now, event):
                 if isinstance(event, api.Request):
-                    return [api.Send(event.id, "h1")]
-                return [api.Send(event.id, "h2")] if getattr(event, "result", "") == "cancelled" else []
+                    return [api.SendAttempt(event.request_id, "h1")]
+                return (
+                    [api.SendAttempt(event.request_id, "h2")]
+                    if getattr(event, "result", "") == "cancelled"
+                    else []
+                )
 
         node.node.module = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
         (attempt,) = node.node.in_flight["r1"].live.values()
         ended = attempt.conn.sock
-        node.node.cancel(api.Cancel("r1", 0))
+        node.node.cancel(api.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         assert await one.arrived.get() is None
@@ -351,10 +355,10 @@
 
         class Sender:
             def handle(self, now, event):
-                if isinstance(event, api.Outcome):
+                if isinstance(event, api.AttemptEnded):
                     seen.append(event.result)
-                    return [api.Fail(event.id)]
-                return [api.Send(event.id, "silent")] if isinstance(event, api.Request) else []
+                    return [api.FailRequest(event.request_id)]
+                return [api.SendAttempt(event.request_id, "silent")] if isinstance(event, api.Request) else []
 
         node.node.module = Sender()
         node.node.hosts.listed("silent", silent.getsockname())
