--- a/api_gateway/budgets/__main__.py
+++ b/api_gateway/budgets/__main__.py
@@ -6,7 +6,7 @@
 
 from api_gateway.base.serving import run
 from api_gateway.budgets.config import read_config
-from api_gateway.budgets.service import Service
+from api_gateway.budgets.service import GrantorService
 
 if __name__ == "__main__":
-    sys.exit(run("api_gateway.budgets", lambda: Service(read_config()), "budgets are granted"))
+    sys.exit(run("api_gateway.budgets", lambda: GrantorService(read_config()), "budgets are granted"))
--- a/api_gateway/budgets/clock.py
+++ b/api_gateway/budgets/clock.py
@@ -1,8 +1,8 @@
-"""The clock that grants are counted by."""
+"""The clock by which grants are counted."""
 
 import time
 
 
 def boot_clock() -> float:
-    """Seconds that only go forward, also while the machine sleeps."""
+    """Returns seconds that only go forward, also while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/api_gateway/budgets/config.py
+++ b/api_gateway/budgets/config.py
@@ -1,4 +1,4 @@
-"""What the grantor is told: one JSON file, named by BUDGETS_CONFIG."""
+"""The grantor's configuration: one JSON file, named by the variable BUDGETS_CONFIG."""
 
 from __future__ import annotations
 
@@ -12,17 +12,28 @@
 
 from api_gateway.base.endpoint_list import Address, read_address
 from api_gateway.base.errors import ConfigError, in_one_line
-from api_gateway.budgets.terms import Terms, Weight, check
+from api_gateway.budgets.terms import Terms, Weight, validate_terms
 
 
-class File(Struct, frozen=True, forbid_unknown_fields=True):
+class ConfigFile(Struct, frozen=True, forbid_unknown_fields=True):
+    """The file as it stands.
+
+    Attributes:
+        listen: HOST:PORT of the service.
+        terms: The budgets.
+        log: The file of the grant log; without one each start waits until all earlier grants have ended.
+        weights: By the name of a gateway, or of a zone.
+    """
+
     listen: str
     terms: Terms
-    log: Annotated[str, Meta(min_length=1)] | None = None  # a file; none: each start waits out all grants
-    weights: dict[str, Weight] = {}  # by the name of a gateway, or of a zone
+    log: Annotated[str, Meta(min_length=1)] | None = None
+    weights: dict[str, Weight] = {}
 
 
 class Config(Struct, frozen=True):
+    """The configuration as the service uses it; see ConfigFile."""
+
     listen: Address
     terms: Terms
     log: Path | None
@@ -30,12 +41,16 @@
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
-    """Raises ConfigError."""
+    """Reads the file that BUDGETS_CONFIG names.
+
+    Raises:
+        ConfigError: The variable is not set, or the file cannot be used; the text says why in one line.
+    """
     path = env.get("BUDGETS_CONFIG")
     if not path:
         raise ConfigError("BUDGETS_CONFIG is not set")
-    with in_one_line(path), open(path, "rb") as file:
-        told = msgspec.json.decode(file.read(), type=File)
-        check(told.terms)
-        log = Path(told.log) if told.log else None
-        return Config(read_address(told.listen), told.terms, log, told.weights)
+    with in_one_line(path):
+        file = msgspec.json.decode(Path(path).read_bytes(), type=ConfigFile)
+        validate_terms(file.terms)
+        log = Path(file.log) if file.log else None
+        return Config(read_address(file.listen), file.terms, log, file.weights)
--- a/api_gateway/budgets/grantor.py
+++ b/api_gateway/budgets/grantor.py
@@ -1,10 +1,11 @@
 """The grantor: which part of each budget each gateway may use, and until when. No I/O, no clock, no globals.
 
-Of each life of a gateway the grantor keeps the most that it may be using (`cover`): what it said it holds
-itself to, or the newest part that it was told, whichever is more. A gateway takes only the answer to its
-latest exchange, so its next one settles which of the two it is. What a life covers is free for others when
-the gateway has said that it holds itself to less, or when the grant has ended by any clock, and never
-before. A part is told only up to what all others leave, so the covers never sum to more than what is divided.
+Of each incarnation of a gateway the grantor keeps the most that it may be using (what its grant covers): what
+the gateway said it limits itself to, or the newest amount it was granted, whichever is more. A gateway
+accepts only the response to its latest exchange, so its next one settles which of the two it is. What an
+incarnation covers is free for others when the gateway has said that it limits itself to less, or when the
+grant has ended by any clock, and never before. An amount is granted only up to what all others leave, so the
+sum of what is covered never exceeds what is divided.
 """
 
 from __future__ import annotations
@@ -12,444 +13,550 @@
 import math
 from collections import Counter
 from collections.abc import Mapping
-from dataclasses import dataclass, field
-from typing import NamedTuple
 
-from api_gateway.budgets.division import Claim, divide, spread, whole_parts
-from api_gateway.budgets.terms import LEVEL, RATE, Budget, Exchange, Grants, Report, Terms
+from api_gateway.budgets.division import Claim, distribute_spare, divide_fairly, round_to_integers
+from api_gateway.budgets.errors import (
+    InvalidExchangeError,
+    StaleIncarnationError,
+    SupersededExchangeError,
+)
+from api_gateway.budgets.records import (
+    NO_GRANT,
+    BudgetGrant,
+    BudgetPool,
+    GatewayIncarnation,
+    GrantKey,
+    PendingGrowth,
+    StoredGrant,
+)
+from api_gateway.budgets.terms import (
+    AMOUNT_TOLERANCE,
+    LEVEL,
+    RATE,
+    Budget,
+    BudgetReport,
+    ExchangeRequest,
+    GrantResponse,
+    Terms,
+)
+
+DEMAND_RISE_EXCHANGES = 0.5  # exchanges after which a demand that grew is believed
+DEMAND_FALL_EXCHANGES = 2.0  # exchanges after which a demand that shrank is
+HYSTERESIS_FRACTION = 0.1  # of a grant, by which it does not follow a demand where nobody goes short
+MIN_DIVISION_INTERVAL_S = 0.2  # between two divisions of a budget
+ROTATION_INTERVAL_S = 10.0  # after which others have the units of a level that cannot be shared evenly
+MAX_GATEWAY_NAMES = 4096  # gateways that are remembered; exchanges of further ones are rejected
+FORGET_AFTER_S = 3600.0  # after which a gateway that has nothing is forgotten
 
-RISE, FALL = 0.5, 2.0  # exchanges in which a need is believed that grew; that shrank
-FLAP = 0.1  # part of a grant by which it does not follow a need where nobody goes short
-DIVIDE = 0.2  # s between two divisions of a budget at the least
-TURN = 10.0  # s after which others have the units of a level that cannot be shared evenly
-MOST_NAMES = 4096  # gateways that are remembered; more are not taken
-FORGET = 3600.0  # s after which one that has nothing is forgotten
 
-Key = tuple[str, int, str]  # a gateway's name, its life and a budget
-
-
-class Held(NamedTuple):
-    """What the log says of one cover: it may be in use for `hold` s from whenever it is read, and its units
-    for `linger` s more. A later life of the grantor may have shorter terms of its own."""
-
-    cover: float
-    hold: float
-    linger: float
-
-
-class Stale(Exception):
-    """A word of an older life; `life` is the newest one known."""
-
-    def __init__(self, life: int) -> None:
-        super().__init__(f"life {life} is known")
-        self.life = life
-
-
-class Superseded(Exception):
-    """An exchange that a newer one of the same life has overtaken, or whose grants have ended by now: no
-    answer to it would be of use."""
-
-
-class Unsound(ValueError):
-    """An exchange that cannot be true; the text says why."""
-
-
-@dataclass(slots=True)
-class Hold:
-    """One budget of one life."""
-
-    cover: float = 0.0
-    need: float = 0.0  # smoothed, what the reserve does not give already
-    target: float = 0.0
-    stored: float = 0.0  # what the log has at least: no more may be covered by what is told
-    linger: float = 0.0  # s that units were to outlast their grant by the terms of an earlier life
-
-
-@dataclass(slots=True)
-class Life:
-    name: str
-    number: int
-    zone: str = ""
-    index: int = 0
-    seq: int = -1
-    heard: float = -math.inf
-    until: float = -math.inf  # when all that it was granted has ended
-    reserves: bool = False  # whether it uses its share of the reserve
-    holds: dict[str, Hold] = field(default_factory=dict)
-    answer: Grants | None = None
-
-
-@dataclass(slots=True)
-class Pot:
-    """One budget over all."""
+class Grantor:
+    """Divides the budgets of one set of terms.
 
-    budget: Budget
-    room: float  # what all grants together may come to
-    share: float  # of the reserve, for each of the most gateways
-    ratio: float  # of a rate: what may be saved up for each unit a second that is granted
-    largest: float  # whole that it had: gateways may not have heard of a smaller one
-    covered: float = 0.0
-    level: float = math.inf  # what a gateway of weight 1 gets at most, by the last division
-    short: bool = False  # whether some gateway's part is below its target
-    divided_at: float = -math.inf
-    dirty: bool = True
-    grows: tuple[float, float] = (math.inf, 0.0)  # when the room becomes larger, and how large
+    The methods are many because all of them keep one invariant, that the sum of what is covered never exceeds
+    what is divided; it can be checked in one place.
 
-
-class Grantor:
-    """`term` is told with each grant, and is newer than that of any earlier life of the grantor. `stored`:
-    what the log held, where it was whole; None: nothing is known of earlier grants, which are waited out, for
-    `longest` s where the log says that they may last so long. `logs`: whether what is told must be stored
-    first."""
+    Attributes:
+        terms: The terms in force.
+        term: The number that each grant carries; newer than that of any earlier incarnation of the grantor.
+        has_log: Whether what is granted must be stored before it is sent.
+        is_log_writable: Whether the log took the last write.
+        learned_at: When all grants of earlier incarnations have ended; before, nothing new is granted.
+        unstored: Amounts that the log does not hold as they are; 0 for a grant that has ended.
+        counts: Events for the operators' status, by name.
+    """
 
     def __init__(
         self,
         terms: Terms,
         term: int,
         now: float,
-        stored: Mapping[Key, Held] | None,
-        logs: bool,
+        stored: Mapping[GrantKey, StoredGrant] | None,
+        has_log: bool,
         weights: Mapping[str, float] | None = None,
-        longest: float = 0.0,
+        longest_lifetime: float = 0.0,
     ) -> None:
-        self.terms, self.term, self.logs, self.disk = terms, term, logs, True
-        self.weights = weights or {}  # by the name of a gateway, or else of its zone
-        self.lives: dict[tuple[str, int], Life] = {}
-        self.newest: dict[str, int] = {}  # the newest life by name
-        self.pots = {budget.name: self.pot(budget) for budget in terms.budgets}
+        """Begins with what the log held.
+
+        Args:
+            terms: The terms in force.
+            term: See the class.
+            now: The grantor's clock in seconds; it only goes forward.
+            stored: What the log held, where it was complete. None: nothing is known of earlier grants, which
+                are waited for until they have ended.
+            has_log: See the class.
+            weights: By the name of a gateway, or else of its zone; 1 where there is none.
+            longest_lifetime: Seconds for which earlier grants may last by the log, where it is not complete.
+        """
+        self.terms = terms
+        self.term = term
+        self.has_log = has_log
+        self.is_log_writable = True
+        self.weights = weights or {}
+        self.incarnations: dict[tuple[str, int], GatewayIncarnation] = {}
+        self.newest_incarnations: dict[str, int] = {}
+        self.pools = {budget.name: self.make_pool(budget) for budget in terms.budgets}
         self.learned_at = now
         if stored is None:
-            self.wait_out(now, longest, term - 1)
-        self.unstored: dict[Key, float] = {}  # covers that the log does not have as they are
+            self.wait_for_earlier_grants(now, longest_lifetime, term - 1)
+        self.unstored: dict[GrantKey, float] = {}
         self.counts: Counter[str] = Counter()
-        for key, held in (stored or {}).items():
-            self.recall(now, key, held)
+        for key, grant in (stored or {}).items():
+            self.restore(now, GrantKey(*key), grant)
 
-    def pot(self, budget: Budget) -> Pot:
+    def make_pool(self, budget: Budget) -> BudgetPool:
+        """Returns the pool of a budget of which nothing is granted."""
         terms = self.terms
-        return Pot(budget, terms.divided(budget), terms.share(budget), terms.ratio(budget), budget.whole)
+        return BudgetPool(
+            budget=budget,
+            divisible=terms.divisible_amount(budget),
+            reserve_share=terms.reserve_share(budget),
+            burst_ratio=terms.burst_ratio(budget),
+            largest_total=budget.total,
+        )
 
-    def wait_out(self, now: float, longest: float, term: int) -> None:
-        """Nothing is known of grants that were told by now, up to that term; they last for `longest` s, or as
-        long as those of these terms."""
-        linger = max(budget.linger for budget in self.terms.budgets)
-        self.learned_at = now + max(self.terms.hold() + linger, longest)
+    def wait_for_earlier_grants(self, now: float, longest_lifetime: float, term: int) -> None:
+        """Grants nothing new until all that was granted before has ended.
+
+        Args:
+            now: The grantor's clock in seconds.
+            longest_lifetime: Seconds for which earlier grants may last at least.
+            term: The newest term of these grants.
+        """
+        release_delay = max(budget.release_delay for budget in self.terms.budgets)
+        self.learned_at = now + max(self.terms.grant_lifetime() + release_delay, longest_lifetime)
         self.term = max(self.term, term + 1)
 
-    def recall(self, now: float, key: Key, held: Held) -> None:
-        """What an earlier life of the grantor had told: it may have been told just now, and lasts as long as
-        that life said. Where terms are longer now, the log must hear of that before it is told again."""
-        name, number, budget = key
-        life = self.lives.setdefault((name, number), Life(name, number))
-        life.until, life.heard = max(life.until, now + max(self.terms.hold(), held.hold)), now
-        hold = life.holds[budget] = Hold(held.cover, need=held.cover, stored=held.cover, linger=held.linger)
-        self.newest[name] = max(number, self.newest.get(name, 0))
-        if budget in self.pots:
-            self.pots[budget].covered += held.cover
-        if held.hold < self.terms.hold() or held.linger < self.linger(budget, hold):
-            self.outdated(key, hold)
-
-    def outdated(self, key: Key, hold: Hold) -> None:
-        """What the log has of it lasts too short a time."""
-        hold.stored = 0.0
-        self.unstored[key] = hold.cover
-
-    def linger(self, budget: str, hold: Hold) -> float:
-        pot = self.pots.get(budget)
-        return max(hold.linger, pot.budget.linger if pot is not None else 0.0)
+    def restore(self, now: float, key: GrantKey, stored: StoredGrant) -> None:
+        """Takes over what an earlier incarnation of the grantor had granted.
+
+        It may have been granted just now, and lasts as long as that incarnation said. Where terms are longer
+        now, the log must hold that before it is granted again.
+        """
+        incarnation = self.incarnations.setdefault(
+            (key.gateway, key.incarnation), GatewayIncarnation(key.gateway, key.incarnation)
+        )
+        lifetime = max(self.terms.grant_lifetime(), stored.lifetime)
+        incarnation.granted_until = max(incarnation.granted_until, now + lifetime)
+        incarnation.last_exchange_at = now
+        grant = BudgetGrant(
+            covered=stored.amount,
+            demand=stored.amount,
+            stored_amount=stored.amount,
+            release_delay=stored.release_delay,
+        )
+        incarnation.grants[key.budget] = grant
+        newest = self.newest_incarnations.get(key.gateway, 0)
+        self.newest_incarnations[key.gateway] = max(key.incarnation, newest)
+        if key.budget in self.pools:
+            self.pools[key.budget].covered += stored.amount
+        is_shorter = stored.lifetime < self.terms.grant_lifetime()
+        if is_shorter or stored.release_delay < self.release_delay_of(key.budget, grant):
+            self.mark_unstored(key, grant)
+
+    def mark_unstored(self, key: GrantKey, grant: BudgetGrant) -> None:
+        """Notes that what the log holds of a grant lasts too short a time."""
+        grant.stored_amount = 0.0
+        self.unstored[key] = grant.covered
+
+    def release_delay_of(self, budget: str, grant: BudgetGrant) -> float:
+        """Returns the seconds for which units may outlast the grant, by all terms that it was given under."""
+        pool = self.pools.get(budget)
+        return max(grant.release_delay, pool.budget.release_delay if pool is not None else 0.0)
 
     # Exchanges
 
-    def exchange(self, now: float, told: Exchange) -> Grants:
-        """The answer. Raises Stale, Superseded or Unsound. With a log, what `owed` names must be stored
-        first."""
-        self.check(told)
-        life = self.life_of(told)
-        if told.seq < life.seq or told.seq == life.seq and life.answer is None:
+    def handle_exchange(self, now: float, request: ExchangeRequest) -> GrantResponse:
+        """Returns the response to an exchange.
+
+        With a log, `unstored_amounts` must be stored before it is sent.
+
+        Raises:
+            StaleIncarnationError: A newer incarnation of the gateway is known.
+            SupersededExchangeError: A newer exchange was answered.
+            InvalidExchangeError: It names what does not exist, or amounts that are impossible.
+        """
+        self.validate(request)
+        incarnation = self.incarnation_of(request)
+        last_response = incarnation.last_response
+        is_repeated = request.sequence == incarnation.sequence
+        if request.sequence < incarnation.sequence or is_repeated and last_response is None:
             self.counts["superseded"] += 1
-            raise Superseded
-        if told.seq == life.seq and life.answer is not None:
+            raise SupersededExchangeError
+        if is_repeated and last_response is not None:
             self.counts["repeated"] += 1
-            return life.answer
+            return last_response
         self.counts["exchanges"] += 1
-        if told.term > self.term:
-            self.term = told.term + 1  # the only grantor, set back: what it tells must be newer all the same
-        first = life.heard == -math.inf
-        life.zone, life.index, life.seq = told.zone, told.index, told.seq
-        life.reserves = any(report.reserve > 0 for report in told.budgets.values())
-        for name, report in told.budgets.items():
-            hold = life.holds.setdefault(name, Hold())
-            self.believe(hold, report, 0.0 if first else now - life.heard)
-            self.pots[name].dirty = True
-        life.heard = now
-        parts = {name: self.grant(now, life, name, report) for name, report in told.budgets.items()}
-        # From the first answer on: the gateway counts from before it asked, so its end is never later.
-        life.until = max(life.until, now + self.terms.hold())
-        ratios = {name: self.pots[name].ratio for name in parts if self.pots[name].ratio}
-        life.answer = Grants(told.life, told.seq, self.term, self.terms.length, parts, ratios)
-        return life.answer
-
-    def check(self, told: Exchange) -> None:
-        for name, report in told.budgets.items():
-            pot = self.pots.get(name)
-            if pot is None:
-                raise Unsound(f"no budget is named {name!r}")
-            if report.need > pot.largest or report.have > pot.largest:
-                raise Unsound(f"{name}: a need or a part is over the whole of {pot.largest:g}")
-            if report.reserve > pot.share * (1 + 1e-9):
-                raise Unsound(f"{name}: {report.reserve:g} of the reserve, where a share has {pot.share:g}")
-            if report.reserve > 0 and told.index >= self.terms.most:
-                raise Unsound(f"index {told.index} has no share of the reserve: only {self.terms.most} do")
-
-    def life_of(self, told: Exchange) -> Life:
-        newest = self.newest.get(told.name)
-        if newest is not None and told.life < newest:
+        if request.term > self.term:
+            # The only grantor, whose clock was set back: what it grants must be newer all the same.
+            self.term = request.term + 1
+        self.update_reports(now, incarnation, request)
+        amounts = {
+            name: self.grant(now, incarnation, name, report) for name, report in request.budgets.items()
+        }
+        # From the first response on: the gateway counts from before it asked, so its end is never later.
+        granted_until = now + self.terms.grant_lifetime()
+        incarnation.granted_until = max(incarnation.granted_until, granted_until)
+        response = GrantResponse(
+            request.incarnation,
+            request.sequence,
+            self.term,
+            self.terms.grant_duration,
+            amounts,
+            {name: self.pools[name].burst_ratio for name in amounts if self.pools[name].burst_ratio},
+        )
+        incarnation.last_response = response
+        return response
+
+    def validate(self, request: ExchangeRequest) -> None:
+        """Checks what a request says against the terms.
+
+        Raises:
+            InvalidExchangeError: They contradict it.
+        """
+        for name, report in request.budgets.items():
+            pool = self.pools.get(name)
+            if pool is None:
+                raise InvalidExchangeError(f"no budget is named {name!r}")
+            if report.demand > pool.largest_total or report.holding > pool.largest_total:
+                raise InvalidExchangeError(
+                    f"{name}: a need or a part is over the whole of {pool.largest_total:g}"
+                )
+            if report.reserve_share > pool.reserve_share * (1 + AMOUNT_TOLERANCE):
+                raise InvalidExchangeError(
+                    f"{name}: {report.reserve_share:g} of the reserve, "
+                    f"where a share has {pool.reserve_share:g}"
+                )
+            if report.reserve_share > 0 and request.index >= self.terms.max_gateways:
+                raise InvalidExchangeError(
+                    f"index {request.index} has no share of the reserve: only {self.terms.max_gateways} do"
+                )
+
+    def incarnation_of(self, request: ExchangeRequest) -> GatewayIncarnation:
+        """Returns the incarnation that sent a request; it is remembered from its first one on.
+
+        Raises:
+            StaleIncarnationError: A newer one is known.
+            InvalidExchangeError: Too many gateways are known.
+        """
+        newest = self.newest_incarnations.get(request.name)
+        if newest is not None and request.incarnation < newest:
             self.counts["stale"] += 1
-            raise Stale(newest)
-        if newest is None and len(self.newest) >= MOST_NAMES:
-            raise Unsound(f"{MOST_NAMES} gateways are known already")
-        self.newest[told.name] = told.life
-        return self.lives.setdefault((told.name, told.life), Life(told.name, told.life))
-
-    def believe(self, hold: Hold, report: Report, passed: float) -> None:
-        need = max(0.0, report.need - report.reserve)
-        time = self.terms.every * (RISE if need > hold.need else FALL)
-        hold.need += (need - hold.need) * (1 - math.exp(-passed / time) if passed > 0 else 1.0)
-
-    def grant(self, now: float, life: Life, name: str, report: Report) -> float:
-        pot, hold = self.pots[name], life.holds[name]
-        others = pot.covered - hold.cover
+            raise StaleIncarnationError(newest)
+        if newest is None and len(self.newest_incarnations) >= MAX_GATEWAY_NAMES:
+            raise InvalidExchangeError(f"{MAX_GATEWAY_NAMES} gateways are known already")
+        self.newest_incarnations[request.name] = request.incarnation
+        return self.incarnations.setdefault(
+            (request.name, request.incarnation), GatewayIncarnation(request.name, request.incarnation)
+        )
+
+    def update_reports(self, now: float, incarnation: GatewayIncarnation, request: ExchangeRequest) -> None:
+        """Takes over what a gateway says of itself and of its demand."""
+        is_first = incarnation.last_exchange_at == -math.inf
+        elapsed = 0.0 if is_first else now - incarnation.last_exchange_at
+        incarnation.zone = request.zone
+        incarnation.index = request.index
+        incarnation.sequence = request.sequence
+        incarnation.uses_reserve = any(report.reserve_share > 0 for report in request.budgets.values())
+        for name, report in request.budgets.items():
+            grant = incarnation.grants.setdefault(name, BudgetGrant())
+            self.update_demand(grant, report, elapsed)
+            self.pools[name].needs_division = True
+        incarnation.last_exchange_at = now
+
+    def update_demand(self, grant: BudgetGrant, report: BudgetReport, elapsed: float) -> None:
+        """Smooths a demand over some exchanges: one that grew is believed sooner than one that shrank."""
+        demand = max(0.0, report.demand - report.reserve_share)
+        exchanges = DEMAND_RISE_EXCHANGES if demand > grant.demand else DEMAND_FALL_EXCHANGES
+        time_constant = self.terms.exchange_interval * exchanges
+        weight = 1 - math.exp(-elapsed / time_constant) if elapsed > 0 else 1.0
+        grant.demand += (demand - grant.demand) * weight
+
+    def grant(self, now: float, incarnation: GatewayIncarnation, name: str, report: BudgetReport) -> float:
+        """Returns the amount of one budget that a gateway is granted now, at most what all others leave."""
+        pool = self.pools[name]
+        grant = incarnation.grants[name]
         if now < self.learned_at:
-            most = min(report.have, pot.room)  # it keeps what it has; all that others have is not known yet
+            # It keeps what it has; all that the others have is not known yet.
+            available = min(report.holding, pool.divisible)
         else:
-            most = max(0.0, pot.room - others)
-        if self.logs and not self.disk:
-            most = min(most, hold.stored)
-        self.aim(now, life, pot, hold)
-        part = min(self.part(pot, hold, report.have, most), most)
-        if pot.budget.kind == LEVEL:
-            part = float(math.floor(part + 1e-9))
-        self.cover(life, name, hold, max(report.have, part))
-        return part
-
-    def part(self, pot: Pot, hold: Hold, have: float, most: float) -> float:
-        """Its target; or what it has, where that is near enough and nobody goes short."""
-        near = abs(hold.target - have) <= FLAP * have
-        return have if near and not pot.short and have <= most else hold.target
-
-    def cover(self, life: Life, name: str, hold: Hold, cover: float) -> None:
-        self.pots[name].covered += cover - hold.cover
-        hold.cover = cover
-        key = life.name, life.number, name
-        if cover != hold.stored:
-            self.unstored[key] = cover
+            available = max(0.0, pool.divisible - (pool.covered - grant.covered))
+        if self.has_log and not self.is_log_writable:
+            available = min(available, grant.stored_amount)
+        self.update_target(now, incarnation, pool, grant)
+        amount = min(self.next_amount(pool, grant, report.holding, available), available)
+        if pool.budget.kind == LEVEL:
+            amount = float(math.floor(amount + AMOUNT_TOLERANCE))
+        self.set_covered(incarnation, name, grant, max(report.holding, amount))
+        return amount
+
+    def next_amount(self, pool: BudgetPool, grant: BudgetGrant, holding: float, available: float) -> float:
+        """Returns the target, or what the gateway has where that is near enough and nobody goes short."""
+        is_near = abs(grant.target - holding) <= HYSTERESIS_FRACTION * holding
+        keeps = is_near and not pool.is_short and holding <= available
+        return holding if keeps else grant.target
+
+    def set_covered(
+        self, incarnation: GatewayIncarnation, name: str, grant: BudgetGrant, amount: float
+    ) -> None:
+        """Sets what a grant covers, and notes whether the log still has to hold it."""
+        self.pools[name].covered += amount - grant.covered
+        grant.covered = amount
+        key = incarnation.key(name)
+        if amount != grant.stored_amount:
+            self.unstored[key] = amount
         else:
             self.unstored.pop(key, None)
 
-    # The division
+    # Division
+
+    def update_target(
+        self, now: float, incarnation: GatewayIncarnation, pool: BudgetPool, grant: BudgetGrant
+    ) -> None:
+        """Divides anew where something has changed.
 
-    def aim(self, now: float, life: Life, pot: Pot, hold: Hold) -> None:
-        """Divides anew where something has changed; between two divisions one that comes gets what the last
-        one would have given it."""
-        if pot.dirty and now - pot.divided_at >= DIVIDE:
-            self.divide(now, pot)
+        Between two divisions a gateway that comes gets what the last one would have given it.
+        """
+        if pool.needs_division and now - pool.divided_at >= MIN_DIVISION_INTERVAL_S:
+            self.divide_pool(now, pool)
         else:
-            weight = self.weight(life)
-            hold.target = max(hold.target, min(max(hold.need, pot.budget.least), pot.level * weight))
-
-    def weight(self, life: Life) -> float:
-        return self.weights.get(life.name, self.weights.get(life.zone, 1.0))
-
-    def divide(self, now: float, pot: Pot) -> None:
-        name, budget = pot.budget.name, pot.budget
-        there = [
-            life
-            for life in self.lives.values()
-            if name in life.holds
-            and (now < life.until or life.heard == now)
-            and self.newest[life.name] == life.number
-        ]
-        there.sort(key=lambda life: life.name)
-        holds = [life.holds[name] for life in there]
+            fair_amount = pool.fair_level * self.weight_of(incarnation)
+            wanted = max(grant.demand, pool.budget.minimum)
+            grant.target = max(grant.target, min(wanted, fair_amount))
+
+    def weight_of(self, incarnation: GatewayIncarnation) -> float:
+        """Returns the weight of a gateway: its own, else that of its zone, else 1."""
+        return self.weights.get(incarnation.name, self.weights.get(incarnation.zone, 1.0))
+
+    def divide_pool(self, now: float, pool: BudgetPool) -> None:
+        """Sets the target of each gateway that has a grant of this budget, or has just asked for one."""
+        name = pool.budget.name
+        claimants = self.claimants_of(now, name)
+        grants = [incarnation.grants[name] for incarnation in claimants]
         claims = [
-            Claim(hold.need, budget.least, self.weight(life)) for life, hold in zip(there, holds, strict=True)
+            Claim(grant.demand, pool.budget.minimum, self.weight_of(incarnation))
+            for incarnation, grant in zip(claimants, grants, strict=True)
         ]
-        parts, pot.level = divide(pot.room, claims)
-        spare = pot.room * (1 - self.terms.pool) - sum(parts)
+        parts, pool.fair_level = divide_fairly(pool.divisible, claims)
+        spare = pool.divisible * (1 - self.terms.unassigned_fraction) - sum(parts)
         if spare > 0 and parts:
-            parts = spread(spare, parts, claims)
-        if budget.kind == LEVEL:
-            parts = whole_parts(parts, int(now / TURN))
-        for hold, part in zip(holds, parts, strict=True):
-            hold.target = part
-        pot.covered = sum(life.holds[name].cover for life in self.lives.values() if name in life.holds)
-        missing = sum(max(0.0, hold.target * (1 - FLAP) - hold.cover) for hold in holds)
-        pot.short = missing > pot.room - pot.covered + 1e-9
-        pot.divided_at, pot.dirty = now, False
+            parts = distribute_spare(spare, parts, claims)
+        if pool.budget.kind == LEVEL:
+            parts = round_to_integers(parts, int(now / ROTATION_INTERVAL_S))
+        for grant, part in zip(grants, parts, strict=True):
+            grant.target = part
+        # Summed anew, so that errors of rounding do not add up.
+        pool.covered = sum(
+            incarnation.grants[name].covered
+            for incarnation in self.incarnations.values()
+            if name in incarnation.grants
+        )
+        missing = sum(max(0.0, grant.target * (1 - HYSTERESIS_FRACTION) - grant.covered) for grant in grants)
+        pool.is_short = missing > pool.divisible - pool.covered + AMOUNT_TOLERANCE
+        pool.divided_at = now
+        pool.needs_division = False
+
+    def claimants_of(self, now: float, budget: str) -> list[GatewayIncarnation]:
+        """Returns the newest incarnations that have a share in the division of a budget, by name."""
+        claimants = [
+            incarnation
+            for incarnation in self.incarnations.values()
+            if budget in incarnation.grants
+            and (now < incarnation.granted_until or incarnation.last_exchange_at == now)
+            and self.newest_incarnations[incarnation.name] == incarnation.incarnation
+        ]
+        return sorted(claimants, key=lambda incarnation: incarnation.name)
 
     # Time
 
-    def tick(self, now: float) -> None:
-        """Frees what has ended. To be called some times a second."""
-        for key, life in list(self.lives.items()):
-            if now < life.until:
+    def release_ended(self, now: float) -> None:
+        """Releases what has ended. To be called some times a second."""
+        for key, incarnation in list(self.incarnations.items()):
+            if now < incarnation.granted_until:
                 continue
-            for name, hold in list(life.holds.items()):
-                if now >= life.until + self.linger(name, hold):
-                    self.free(life, name, hold)
-            newest = self.newest.get(life.name) == life.number
-            if not life.holds and (not newest or now - life.heard >= FORGET):
-                del self.lives[key]  # till then an older life is not taken for a new gateway
-                if newest:
-                    del self.newest[life.name]
-        for pot in self.pots.values():
-            if now >= pot.grows[0]:
-                pot.room, pot.grows = pot.grows[1], (math.inf, 0.0)
-                pot.dirty = True
-            elif now - pot.divided_at >= TURN:
-                pot.dirty = True
-
-    def free(self, life: Life, name: str, hold: Hold) -> None:
-        if name in self.pots:
-            self.pots[name].covered -= hold.cover
-            self.pots[name].dirty = True
-        if hold.stored or hold.cover:
-            self.unstored[life.name, life.number, name] = 0.0
-        del life.holds[name]
-        life.answer = None
+            for name, grant in list(incarnation.grants.items()):
+                if now >= incarnation.granted_until + self.release_delay_of(name, grant):
+                    self.release(incarnation, name, grant)
+            is_newest = self.newest_incarnations.get(incarnation.name) == incarnation.incarnation
+            is_forgotten = now - incarnation.last_exchange_at >= FORGET_AFTER_S
+            if not incarnation.grants and (not is_newest or is_forgotten):
+                # Not sooner: till then an older incarnation is not taken for a new gateway.
+                del self.incarnations[key]
+                if is_newest:
+                    del self.newest_incarnations[incarnation.name]
+        for pool in self.pools.values():
+            growth = pool.pending_growth
+            if growth is not None and now >= growth.due_at:
+                pool.divisible = growth.divisible
+                pool.pending_growth = None
+                pool.needs_division = True
+            elif now - pool.divided_at >= ROTATION_INTERVAL_S:
+                pool.needs_division = True
+
+    def release(self, incarnation: GatewayIncarnation, name: str, grant: BudgetGrant) -> None:
+        """Frees what a grant covers for other gateways."""
+        if name in self.pools:
+            self.pools[name].covered -= grant.covered
+            self.pools[name].needs_division = True
+        if grant.stored_amount or grant.covered:
+            self.unstored[incarnation.key(name)] = 0.0
+        del incarnation.grants[name]
+        incarnation.last_response = None
 
     # The log
 
-    def owed(self, told: Exchange) -> dict[Key, float]:
-        """Of what was just answered, what must be stored before it may be told."""
-        life = self.lives[told.name, told.life]
-        if not self.logs or life.answer is None:
+    def unstored_amounts(self, request: ExchangeRequest) -> dict[GrantKey, float]:
+        """Returns what must be stored before the response to a request may be sent."""
+        incarnation = self.incarnations[request.name, request.incarnation]
+        if not self.has_log or incarnation.last_response is None:
             return {}
         return {
-            (life.name, life.number, name): life.holds[name].cover
-            for name, part in life.answer.parts.items()
-            if part > life.holds[name].stored
+            incarnation.key(name): incarnation.grants[name].covered
+            for name, amount in incarnation.last_response.amounts.items()
+            if amount > incarnation.grants[name].stored_amount
         }
 
-    def rows(self, now: float, all_of_it: bool) -> dict[Key, Held]:
-        """What the log does not have as it is; or all that may be in use. A cover of 0 is none."""
-        rows = {} if all_of_it else dict.fromkeys(self.unstored, Held(0.0, 0.0, 0.0))
-        for life in self.lives.values():
-            for name, hold in life.holds.items():
-                key = life.name, life.number, name
-                if all_of_it or key in self.unstored:
-                    lasts = max(self.terms.hold(), life.until - now)
-                    rows[key] = Held(hold.cover, lasts, self.linger(name, hold))
+    def rows_to_store(self, now: float, complete: bool) -> dict[GrantKey, StoredGrant]:
+        """Returns what the log does not hold as it is.
+
+        Args:
+            now: The grantor's clock in seconds.
+            complete: Whether all that may be in use is wanted instead.
+        """
+        rows = {} if complete else dict.fromkeys(self.unstored, NO_GRANT)
+        for incarnation in self.incarnations.values():
+            for name, grant in incarnation.grants.items():
+                key = incarnation.key(name)
+                if complete or key in self.unstored:
+                    lifetime = max(self.terms.grant_lifetime(), incarnation.granted_until - now)
+                    rows[key] = StoredGrant(grant.covered, lifetime, self.release_delay_of(name, grant))
         return rows
 
-    def longest(self, now: float) -> float:
-        """Seconds after which nothing is in use of all that was granted by now, whatever is known of it."""
-        linger = max(
-            (self.linger(name, hold) for life in self.lives.values() for name, hold in life.holds.items()),
-            default=0.0,
+    def longest_lifetime(self, now: float) -> float:
+        """Returns the seconds after which nothing is in use of all that was granted by now."""
+        release_delays = [
+            self.release_delay_of(name, grant)
+            for incarnation in self.incarnations.values()
+            for name, grant in incarnation.grants.items()
+        ]
+        release_delays += [budget.release_delay for budget in self.terms.budgets]
+        granted_until = max(
+            (incarnation.granted_until for incarnation in self.incarnations.values()), default=now
         )
-        linger = max(linger, *(budget.linger for budget in self.terms.budgets))
-        until = max((life.until for life in self.lives.values()), default=now)
-        return max(max(self.terms.hold(), until - now) + linger, self.learned_at - now)
-
-    def stored(self, written: Mapping[Key, Held]) -> None:
-        """These rows are in the log, for good."""
-        self.disk = True
-        for key, held in written.items():
-            name, number, budget = key
-            life = self.lives.get((name, number))
-            hold = life.holds.get(budget) if life is not None else None
-            if hold is not None and held.linger >= self.linger(budget, hold):
-                hold.stored = held.cover
-            if self.unstored.get(key) == held.cover and (hold is None or hold.stored == held.cover):
+        lifetime = max(self.terms.grant_lifetime(), granted_until - now)
+        return max(lifetime + max(release_delays), self.learned_at - now)
+
+    def on_stored(self, written: Mapping[GrantKey, StoredGrant]) -> None:
+        """Notes that these rows are in the log."""
+        self.is_log_writable = True
+        for key, stored in written.items():
+            incarnation = self.incarnations.get((key.gateway, key.incarnation))
+            grant = incarnation.grants.get(key.budget) if incarnation is not None else None
+            if grant is not None and stored.release_delay >= self.release_delay_of(key.budget, grant):
+                grant.stored_amount = stored.amount
+            is_current = grant is None or grant.stored_amount == stored.amount
+            if self.unstored.get(key) == stored.amount and is_current:
                 del self.unstored[key]
 
-    def whole(self, now: float) -> bool:
-        """Whether what it knows is all that is granted. A log of what an earlier life learned in part is no
-        use to the next: it waits too."""
+    def is_complete(self, now: float) -> bool:
+        """Returns whether all that is granted is known.
+
+        A log of what an incarnation knew in part is no use to the next one, which waits too.
+        """
         return now >= self.learned_at
 
-    def unwritten(self) -> None:
-        """The log takes nothing: nothing more is told than what it has already."""
-        self.disk = False
-
-    def cut_back(self, told: Exchange, answer: Grants) -> Grants:
-        """An answer that could not be stored, with no more than what was stored before. Raises Superseded
-        where its grants have ended while the disk was tried."""
-        life = self.lives.get((told.name, told.life))
-        if life is None or not life.holds.keys() >= answer.parts.keys():
-            raise Superseded
-        parts = {name: min(part, life.holds[name].stored) for name, part in answer.parts.items()}
-        cut = Grants(answer.life, answer.seq, answer.term, answer.length, parts, answer.ratios)
-        if life.seq == told.seq:
-            life.answer = cut
-            for name, part in parts.items():
-                self.cover(life, name, life.holds[name], max(told.budgets[name].have, part))
-        return cut
-
-    # Changes
-
-    def retune(self, now: float, terms: Terms, weights: Mapping[str, float]) -> None:
-        """Other wholes, least parts, lingers, pool or weights, or one more budget; what is granted above a
-        smaller whole is worked off as grants end. Raises Unsound where a change is none that holds at once
-        everywhere: the reserve is used by gateways that hear nothing."""
-        fixed = [(t.most, t.length, t.every, t.drift) for t in (self.terms, terms)]
-        if fixed[0] != fixed[1]:
-            raise Unsound("most, length, every and drift cannot change while the grantor runs")
-        fresh = {budget.name: budget for budget in terms.budgets}
-        for name, pot in self.pots.items():
-            new = fresh.get(name)
-            if new is None or (new.kind, new.reserve) != (pot.budget.kind, pot.budget.reserve):
-                raise Unsound(f"{name}: a budget cannot go while it is granted, nor change kind or reserve")
-            if new.linger < pot.budget.linger:
-                raise Unsound(f"{name}: a linger cannot become shorter while it is granted")
-        longer = {name for name, pot in self.pots.items() if fresh[name].linger > pot.budget.linger}
-        self.terms, self.weights = terms, weights
-        for name, budget in fresh.items():
-            pot = self.pots.setdefault(name, self.pot(budget))
-            room = terms.divided(budget)
-            if budget.kind == RATE and room > pot.room:
-                # Parts told so far may save up more for each unit than new ones: these come when those end.
-                pot.grows = now + terms.hold(), room
-            else:
-                pot.room, pot.grows = room, (math.inf, 0.0)
-            pot.budget, pot.ratio, pot.dirty = budget, terms.ratio(budget), True
-            pot.largest = max(pot.largest, budget.whole)
-        for life in self.lives.values():
-            for name in life.holds.keys() & longer:
-                self.outdated((life.name, life.number, name), life.holds[name])
-
-    def status(self, now: float) -> dict[str, object]:
-        """What operators see. `over`: how much more is granted than a smaller whole bears, until grants
-        end."""
-        current = [life for life in self.lives.values() if now < life.until]
-        return {
-            "term": self.term,
-            "disk": self.disk or not self.logs,
-            "learning": round(max(0.0, self.learned_at - now), 1),
-            "gateways": len({life.name for life in current}),
-            "surplus": sorted({life.name for life in current if life.index >= self.terms.most}),
-            "clashes": clashes(current),
-            "counts": dict(self.counts),
-            "budgets": {
-                name: {
-                    "whole": pot.budget.whole,
-                    "reserve": pot.budget.reserve,
-                    "divided": pot.room,
-                    "granted": round(pot.covered, 6),
-                    "over": round(max(0.0, pot.covered - pot.room), 6),
-                    "needed": round(sum(life.holds[name].need for life in current if name in life.holds), 6),
-                    "short": pot.short,
-                }
-                for name, pot in self.pots.items()
-            },
+    def on_log_failed(self) -> None:
+        """Notes that the log takes nothing: no more is granted than what it holds already."""
+        self.is_log_writable = False
+
+    def reduce_to_stored(self, request: ExchangeRequest, response: GrantResponse) -> GrantResponse:
+        """Returns a response that could not be stored, reduced to what the log held before.
+
+        Raises:
+            SupersededExchangeError: Its grants have ended while the disk was tried.
+        """
+        incarnation = self.incarnations.get((request.name, request.incarnation))
+        if incarnation is None or not incarnation.grants.keys() >= response.amounts.keys():
+            raise SupersededExchangeError
+        amounts = {
+            name: min(amount, incarnation.grants[name].stored_amount)
+            for name, amount in response.amounts.items()
         }
+        reduced = GrantResponse(
+            response.incarnation,
+            response.sequence,
+            response.term,
+            response.duration,
+            amounts,
+            response.burst_ratios,
+        )
+        if incarnation.sequence == request.sequence:
+            incarnation.last_response = reduced
+            for name, amount in amounts.items():
+                covered = max(request.budgets[name].holding, amount)
+                self.set_covered(incarnation, name, incarnation.grants[name], covered)
+        return reduced
+
+    # Changes of the terms
+
+    def change_terms(self, now: float, terms: Terms, weights: Mapping[str, float]) -> None:
+        """Takes other totals, minimums, release delays, weights, or one more budget.
+
+        What is granted above a smaller total is worked off as grants end.
+
+        Raises:
+            InvalidExchangeError: The change cannot hold at once everywhere, because the reserve is used by
+                gateways that hear nothing.
+        """
+        self.validate_change(terms)
+        budgets = {budget.name: budget for budget in terms.budgets}
+        longer_delays = {
+            name
+            for name, pool in self.pools.items()
+            if budgets[name].release_delay > pool.budget.release_delay
+        }
+        self.terms = terms
+        self.weights = weights
+        for name, budget in budgets.items():
+            pool = self.pools.setdefault(name, self.make_pool(budget))
+            self.change_budget(now, pool, budget)
+        for incarnation in self.incarnations.values():
+            for name in incarnation.grants.keys() & longer_delays:
+                self.mark_unstored(incarnation.key(name), incarnation.grants[name])
+
+    def validate_change(self, terms: Terms) -> None:
+        """Checks that other terms can hold from now on.
+
+        Raises:
+            InvalidExchangeError: They cannot while the grantor runs.
+        """
+        if fixed_while_running(self.terms) != fixed_while_running(terms):
+            raise InvalidExchangeError("most, length, every and drift cannot change while the grantor runs")
+        budgets = {budget.name: budget for budget in terms.budgets}
+        for name, pool in self.pools.items():
+            old = pool.budget
+            new = budgets.get(name)
+            if new is None or (new.kind, new.reserve) != (old.kind, old.reserve):
+                raise InvalidExchangeError(
+                    f"{name}: a budget cannot go while it is granted, nor change kind or reserve"
+                )
+            if new.release_delay < old.release_delay:
+                raise InvalidExchangeError(f"{name}: a linger cannot become shorter while it is granted")
+
+    def change_budget(self, now: float, pool: BudgetPool, budget: Budget) -> None:
+        """Puts one budget on the terms in force."""
+        divisible = self.terms.divisible_amount(budget)
+        if budget.kind == RATE and divisible > pool.divisible:
+            # Grants so far may save up more for each unit than new ones: these come when those have ended.
+            pool.pending_growth = PendingGrowth(now + self.terms.grant_lifetime(), divisible)
+        else:
+            pool.divisible = divisible
+            pool.pending_growth = None
+        pool.budget = budget
+        pool.burst_ratio = self.terms.burst_ratio(budget)
+        pool.needs_division = True
+        pool.largest_total = max(pool.largest_total, budget.total)
 
 
-def clashes(lives: list[Life]) -> list[list[str]]:
-    """Names that use one share of the reserve."""
-    by_index: dict[int, set[str]] = {}
-    for life in lives:
-        if life.reserves:
-            by_index.setdefault(life.index, set()).add(life.name)
-    return [sorted(names) for _, names in sorted(by_index.items()) if len(names) > 1]
+def fixed_while_running(terms: Terms) -> tuple[int, float, float, float]:
+    """Returns what gateways go by that hear nothing of a change."""
+    return (terms.max_gateways, terms.grant_duration, terms.exchange_interval, terms.clock_drift)
--- a/api_gateway/budgets/lock.py
+++ b/api_gateway/budgets/lock.py
@@ -7,19 +7,26 @@
 from typing import IO
 
 
-class Lock:
-    """Held by the lock of a file, which the kernel lets go of when the process has ended, and not before: one
-    that is paused has it still."""
+class FileLock:
+    """An exclusive lock of a file.
+
+    The kernel releases it when the process has ended, and not before: a process that is paused has it still.
+    """
 
     def __init__(self, path: Path) -> None:
+        """Takes nothing yet; `path` is made when the lock is first acquired."""
         self.path = path
         self.file: IO[str] | None = None
 
-    def take(self) -> bool:
-        """Whether this process has it now. Raises OSError where there can be no such file."""
+    def acquire(self) -> bool:
+        """Returns whether this process has the lock now; does not wait.
+
+        Raises:
+            OSError: The file cannot be made.
+        """
         if self.file is not None:
             return True
-        file = open(self.path, "a")
+        file = open(self.path, "a")  # noqa: SIM115 - it stays open as long as the lock is held
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -29,6 +36,7 @@
         return True
 
     def close(self) -> None:
-        file, self.file = self.file, None
-        if file is not None:
-            file.close()
+        """Releases the lock, if this process has it."""
+        if self.file is not None:
+            self.file.close()
+            self.file = None
--- a/api_gateway/budgets/store.py
+++ b/api_gateway/budgets/store.py
@@ -1,8 +1,10 @@
-"""What was granted, on disk before it is told: a file of SQLite, which brings atomic commits and recovery.
+"""The grant log: what was granted, on disk before it is sent.
 
-A file that is torn is known by its form and put aside; then nothing is known of earlier grants. So it is with
-one that says it does not hold all of them. Full disks and failing writes raise StoreError, and the next write
-is all that there is, in one transaction, whatever the file holds by then.
+It is a file of SQLite, for its atomic commits and its recovery.
+
+A corrupt file is recognized by its form and put aside; then nothing is known of earlier grants, as with a
+file that says that it does not hold all of them. Full disks and failing writes raise GrantLogError, and the
+next write is complete, in one transaction, whatever the file holds by then.
 """
 
 from __future__ import annotations
@@ -15,10 +17,15 @@
 
 import msgspec
 
-from api_gateway.budgets.grantor import Held, Key
-from api_gateway.budgets.lock import Lock
+from api_gateway.budgets.errors import GrantLogError
+from api_gateway.budgets.lock import FileLock
+from api_gateway.budgets.records import GrantKey, StoredGrant
 from api_gateway.budgets.terms import Terms
 
+BUSY_TIMEOUT_S = 0.2  # that SQLite waits for another process's transaction
+CORRUPT_SUFFIX = ".torn"
+
+# The names of tables and columns are those of stored files.
 TABLES = """
 CREATE TABLE IF NOT EXISTS held (name TEXT, life INTEGER, budget TEXT, cover REAL, hold REAL, linger REAL,
                                  PRIMARY KEY (name, life, budget)) WITHOUT ROWID;
@@ -26,122 +33,170 @@
 """
 
 
-class State(msgspec.Struct, frozen=True):
-    """What the log says of all rows together. `whole`: they are all that is granted; `longest`: s after which
-    nothing is in use any more of what was granted, whether or not it stands here; `fixed`: what gateways that
-    hear nothing go by, and no restart can change."""
+class LogState(msgspec.Struct, frozen=True):
+    """What the log says of all rows together, stored as JSON.
+
+    Attributes:
+        term: The newest term of the grantor.
+        is_complete: Whether the rows are all that is granted.
+        longest_lifetime: Seconds after which nothing is in use any more of what was granted, whether or not
+            it stands here.
+        fixed_terms: What gateways that hear nothing go by, and no restart can change.
+    """
 
     term: int = 0
-    whole: bool = False
-    longest: float = 0.0
-    fixed: dict[str, float | str] = {}
+    is_complete: bool = msgspec.field(default=False, name="whole")
+    longest_lifetime: float = msgspec.field(default=0.0, name="longest")
+    fixed_terms: dict[str, float | str] = msgspec.field(default_factory=dict, name="fixed")
 
 
-def fixed(terms: Terms) -> dict[str, float | str]:
-    told: dict[str, float | str] = {"most": float(terms.most), "drift": terms.drift}
+def fixed_terms_of(terms: Terms) -> dict[str, float | str]:
+    """Returns the terms that no restart can change, by the names that the log holds them under."""
+    fixed: dict[str, float | str] = {"most": float(terms.max_gateways), "drift": terms.clock_drift}
     for budget in terms.budgets:
-        told |= {f"kind of {budget.name}": budget.kind, f"reserve of {budget.name}": budget.reserve}
-    return told
+        fixed[f"kind of {budget.name}"] = budget.kind
+        fixed[f"reserve of {budget.name}"] = budget.reserve
+    return fixed
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
-    """What was read: `torn` says that there was a file that is of no use, which is now put aside."""
+class GrantLog:
+    """What was read.
 
-    state: State
-    rows: dict[Key, Held] = field(default_factory=dict)
-    torn: bool = False
+    Attributes:
+        state: Of all rows together.
+        rows: The grants.
+        was_corrupt: Whether there was a file that is of no use, which is now put aside.
+    """
 
-    def covers(self) -> dict[Key, Held] | None:
-        """None: it does not hold all that is granted."""
-        return self.rows if self.state.whole else None
+    state: LogState
+    rows: dict[GrantKey, StoredGrant] = field(default_factory=dict)
+    was_corrupt: bool = False
 
+    def complete_rows(self) -> dict[GrantKey, StoredGrant] | None:
+        """Returns the grants, or None where the log does not hold all of them."""
+        return self.rows if self.state.is_complete else None
 
-class StoreError(Exception):
-    """The disk did not take it; the text says why in one line."""
 
+class GrantStore:
+    """The log's file, used by one thread at a time.
 
-class Store:
-    """Used by one thread at a time. While its process lives no other has the log, also where this one cannot
-    write: its grants are renewed as long as it runs."""
+    While its process lives no other has the log, also where this one cannot write: its grants are renewed as
+    long as it runs.
+    """
 
     def __init__(self, path: Path) -> None:
-        self.path, self.lock = path, Lock(Path(f"{path}.lock"))
-        self.base: sqlite3.Connection | None = None
+        """Opens nothing yet."""
+        self.path = path
+        self.lock = FileLock(Path(f"{path}.lock"))
+        self.connection: sqlite3.Connection | None = None
 
-    def open(self) -> Log:
-        """Raises StoreError."""
+    def open(self) -> GrantLog:
+        """Locks the log and reads it; a corrupt file is put aside.
+
+        Raises:
+            GrantLogError: Another process has it, or the disk does not give or take it.
+        """
         try:
-            if not self.lock.take():
-                raise StoreError(f"{self.path}: another grantor has it")
+            if not self.lock.acquire():
+                raise GrantLogError(self.path, "another grantor has it")
             try:
                 return self.load()
             except sqlite3.OperationalError:
                 raise
             except (sqlite3.DatabaseError, TypeError, ValueError):
                 self.put_aside()
-                return self.load(torn=True)
+                return self.load(was_corrupt=True)
         except (sqlite3.Error, OSError) as err:
             self.disconnect()
-            raise StoreError(f"{self.path}: {err}") from err
+            raise GrantLogError(self.path, err) from err
 
     def put_aside(self) -> None:
+        """Renames the file and its journal."""
         self.disconnect()
         for path in (self.path, Path(f"{self.path}-journal")):
             if path.exists():
-                os.replace(path, f"{path}.torn")
+                os.replace(path, f"{path}{CORRUPT_SUFFIX}")
 
-    def load(self, torn: bool = False) -> Log:
-        self.base = base = sqlite3.connect(
-            self.path, timeout=0.2, isolation_level=None, check_same_thread=False
-        )
-        base.execute("PRAGMA page_size = 1024")
-        base.execute("PRAGMA locking_mode = EXCLUSIVE")
-        base.execute("PRAGMA journal_mode = DELETE")
-        base.execute("PRAGMA synchronous = EXTRA")
-        base.execute("BEGIN EXCLUSIVE")
+    def load(self, *, was_corrupt: bool = False) -> GrantLog:
+        """Connects, makes the tables where there are none, and reads them.
+
+        Raises:
+            sqlite3.Error: The file is no database, is corrupt, or cannot be read.
+        """
+        connection = self.connect()
+        connection.execute("BEGIN EXCLUSIVE")
         for statement in TABLES.strip().split(";\n"):
-            base.execute(statement)
-        if [row[0] for row in base.execute("PRAGMA quick_check")] != ["ok"]:
+            connection.execute(statement)
+        if [row[0] for row in connection.execute("PRAGMA quick_check")] != ["ok"]:
             raise sqlite3.DatabaseError("quick_check")
-        told = base.execute("SELECT told FROM state").fetchone()
-        state = msgspec.json.decode(told[0], type=State) if told else State()
+        stored_state = connection.execute("SELECT told FROM state").fetchone()
+        state = msgspec.json.decode(stored_state[0], type=LogState) if stored_state else LogState()
         rows = {
-            (str(name), int(life), str(budget)): Held(float(cover), float(hold), float(linger))
-            for name, life, budget, cover, hold, linger in base.execute("SELECT * FROM held")
+            GrantKey(str(name), int(incarnation), str(budget)): StoredGrant(
+                float(amount), float(lifetime), float(release_delay)
+            )
+            for name, incarnation, budget, amount, lifetime, release_delay in connection.execute(
+                "SELECT * FROM held"
+            )
         }
-        base.execute("COMMIT")
-        return Log(state, rows, torn)
+        connection.execute("COMMIT")
+        return GrantLog(state, rows, was_corrupt)
 
-    def write(self, rows: Mapping[Key, Held], state: State, all_of_it: bool) -> None:
-        """On disk when it returns. A cover of 0 is none. Raises StoreError."""
+    def connect(self) -> sqlite3.Connection:
+        """Returns a connection that has the file to itself and syncs each commit."""
+        connection = sqlite3.connect(
+            self.path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
+        )
+        self.connection = connection
+        connection.execute("PRAGMA page_size = 1024")
+        connection.execute("PRAGMA locking_mode = EXCLUSIVE")
+        connection.execute("PRAGMA journal_mode = DELETE")
+        connection.execute("PRAGMA synchronous = EXTRA")
+        return connection
+
+    def write(self, rows: Mapping[GrantKey, StoredGrant], state: LogState, *, complete: bool) -> None:
+        """Writes rows and state in one transaction, which is on disk when this returns.
+
+        Args:
+            rows: Grants that have changed; an amount of 0 deletes one.
+            state: Of all rows together.
+            complete: Whether the rows are all there are: others are deleted.
+
+        Raises:
+            GrantLogError: The disk did not take it.
+        """
         try:
-            if self.base is None:
+            if self.connection is None:
                 self.open()
-            base = self.base
-            assert base is not None
-            base.execute("BEGIN IMMEDIATE")
-            if all_of_it:
-                base.execute("DELETE FROM held")
-            base.executemany(
+            connection = self.connection
+            assert connection is not None
+            connection.execute("BEGIN IMMEDIATE")
+            if complete:
+                connection.execute("DELETE FROM held")
+            connection.executemany(
                 "DELETE FROM held WHERE name = ? AND life = ? AND budget = ?",
-                [key for key, held in rows.items() if not held.cover],
+                [key for key, stored in rows.items() if not stored.amount],
             )
-            base.executemany(
+            connection.executemany(
                 "INSERT OR REPLACE INTO held VALUES (?, ?, ?, ?, ?, ?)",
-                [(*key, *held) for key, held in rows.items() if held.cover],
+                [(*key, *stored) for key, stored in rows.items() if stored.amount],
             )
-            base.execute("INSERT OR REPLACE INTO state VALUES (0, ?)", (msgspec.json.encode(state).decode(),))
-            base.execute("COMMIT")
+            document = msgspec.json.encode(state).decode()
+            connection.execute("INSERT OR REPLACE INTO state VALUES (0, ?)", (document,))
+            connection.execute("COMMIT")
         except (sqlite3.Error, OSError) as err:
-            self.disconnect()  # what it holds in memory may not be what is on disk
-            raise StoreError(f"{self.path}: {err}") from err
+            self.disconnect()  # what the connection holds in memory may not be what is on disk
+            raise GrantLogError(self.path, err) from err
 
     def disconnect(self) -> None:
-        base, self.base = self.base, None
-        if base is not None:
-            base.close()
+        """Closes the connection; the lock stays."""
+        if self.connection is not None:
+            connection = self.connection
+            self.connection = None
+            connection.close()
 
     def close(self) -> None:
+        """Closes the connection and releases the lock."""
         self.disconnect()
         self.lock.close()
--- a/api_gateway/experiments/budgets/__main__.py
+++ b/api_gateway/experiments/budgets/__main__.py
@@ -18,8 +18,8 @@
 import msgspec
 import uvloop
 
-from api_gateway.budgets.client import Client
-from api_gateway.budgets.config import File
+from api_gateway.budgets.client import BudgetClient
+from api_gateway.budgets.config import ConfigFile
 from api_gateway.budgets.terms import LEVEL, Budget, Terms
 from api_gateway.experiments.budgets.world import IDLE, WORK, Gateway, World
 from api_gateway.experiments.connection_load import cpu
@@ -28,14 +28,14 @@
 GATEWAYS, MOST = 20, 24
 EVEN = 10.0  # units of the level for each of the gateways that are there, and a second of the rate
 TERMS = Terms(
-    most=MOST,
-    length=3.0,
-    every=0.5,
-    drift=0.03,
-    pool=0.1,
+    max_gateways=MOST,
+    grant_duration=3.0,
+    exchange_interval=0.5,
+    clock_drift=0.03,
+    unassigned_fraction=0.1,
     budgets=[
-        Budget("connections", LEVEL, EVEN * GATEWAYS, reserve=MOST, least=1, linger=WORK + IDLE),
-        Budget("connects", "rate", EVEN * GATEWAYS, reserve=MOST, least=0.5, burst=2 * EVEN * GATEWAYS),
+        Budget("connections", LEVEL, EVEN * GATEWAYS, reserve=MOST, minimum=1, release_delay=WORK + IDLE),
+        Budget("connects", "rate", EVEN * GATEWAYS, reserve=MOST, minimum=0.5, burst=2 * EVEN * GATEWAYS),
     ],
 )
 SETTLED = 10.0  # s from which on a run counts
@@ -131,7 +131,7 @@
     world.run(10.0)  # by then the others have its part
     world.replace(gateway)
     began, fresh = world.now, next(g for g in world.gateways if g.index == gateway.index)
-    while fresh.holder.may(fresh.now(), "connections") < 0.9 * EVEN:
+    while fresh.holder.allowed_amount(fresh.now(), "connections") < 0.9 * EVEN:
         world.run(0.02)
     return world.now - began
 
@@ -155,24 +155,24 @@
 async def cost(gateways: int, budgets: int, seconds: float) -> dict[str, float]:
     """CPU of the service, over sockets, with a log, at needs that change."""
     terms = Terms(
-        most=gateways,
-        every=1.0,
-        length=5.0,
+        max_gateways=gateways,
+        exchange_interval=1.0,
+        grant_duration=5.0,
         budgets=[
-            Budget(f"b{n}", LEVEL, 20 * gateways, reserve=gateways, least=1, linger=1.0)
+            Budget(f"b{n}", LEVEL, 20 * gateways, reserve=gateways, minimum=1, release_delay=1.0)
             for n in range(budgets)
         ],
     )
     with tempfile.TemporaryDirectory(prefix="budgets-") as text:
         folder, place = Path(text), f"127.0.0.1:{free_port()}"
-        config = File(place, terms, str(folder / "x.db"))
+        config = ConfigFile(place, terms, str(folder / "x.db"))
         (folder / "budgets.json").write_bytes(msgspec.json.encode(config))
         part = Part(
             "grantor", folder, "api_gateway.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
         )
         await part.start()
         await asyncio.sleep(1.0)
-        clients = [Client(terms, place, f"g{n}", "z", n, folder) for n in range(gateways)]
+        clients = [BudgetClient(terms, place, f"g{n}", "z", n, folder) for n in range(gateways)]
         for client in clients:
             client.start()
             await asyncio.sleep(1.0 / gateways)
@@ -180,18 +180,18 @@
 
         def want() -> None:
             for client in clients:
-                for name in client.holder.parts:
-                    if client.holder.take(client.clock(), name, rng.randint(1, 40)):
-                        client.holder.give(name)
+                for name in client.holder.allowances:
+                    if client.holder.acquire(client.clock(), name, rng.randint(1, 40)):
+                        client.holder.release(name)
 
         await asyncio.sleep(8.0)  # till it has learned and granted
         assert part.process is not None
-        before, sent = cpu(part.process.pid), sum(client.holder.seq for client in clients)
+        before, sent = cpu(part.process.pid), sum(client.holder.sequence for client in clients)
         for _ in range(int(seconds)):
             want()
             await asyncio.sleep(1.0)
         spent = cpu(part.process.pid) - before
-        exchanges = sum(client.holder.seq for client in clients) - sent
+        exchanges = sum(client.holder.sequence for client in clients) - sent
         failures = sum(client.failures > 0 for client in clients)
         for client in clients:
             await client.close()
@@ -236,7 +236,9 @@
         times.append(world.now)
         held.append(world.referees["connections"].held)
         for index, gateway in enumerate(world.gateways):
-            parts[index].append(gateway.holder.may(gateway.now(), "connections") if gateway.alive else 0.0)
+            parts[index].append(
+                gateway.holder.allowed_amount(gateway.now(), "connections") if gateway.alive else 0.0
+            )
     figure, axes = pyplot.subplots(figsize=(11, 5))
     axes.stackplot(times, parts, linewidth=0.2, edgecolor="white")
     axes.plot(times, held, color="black", linewidth=1.2, label="held, as hosts see it")
--- a/api_gateway/experiments/budgets/holder.py
+++ b/api_gateway/experiments/budgets/holder.py
@@ -16,9 +16,9 @@
 import msgspec
 import uvloop
 
-from api_gateway.budgets.client import Client
+from api_gateway.budgets.client import BudgetClient
 from api_gateway.budgets.clock import boot_clock
-from api_gateway.budgets.config import File
+from api_gateway.budgets.config import ConfigFile
 from api_gateway.budgets.terms import LEVEL, Terms
 from api_gateway.emulators.service import StandIn, run
 
@@ -35,7 +35,7 @@
 
 
 class LabHolder(StandIn):
-    def __init__(self, terms: Terms, meter: tuple[str, int], client: Client, seed: int) -> None:
+    def __init__(self, terms: Terms, meter: tuple[str, int], client: BudgetClient, seed: int) -> None:
         super().__init__(seed)
         self.terms, self.meter, self.client = terms, meter, client
         self.units: dict[str, list[Unit]] = {b.name: [] for b in terms.budgets if b.kind == LEVEL}
@@ -63,36 +63,36 @@
             for budget in self.terms.budgets:
                 if budget.kind != LEVEL:
                     credit[budget.name] += wants[budget.name] * (loop.time() - last)
-                    credit[budget.name] = await self.rate(budget.name, min(credit[budget.name], budget.whole))
+                    credit[budget.name] = await self.rate(budget.name, min(credit[budget.name], budget.total))
             last = loop.time()
             await asyncio.sleep(LOOK)
 
     def wants(self, now: float) -> dict[str, float]:
         """All want all at once now and then, and something of their own between."""
         if int(now / SPAN) % 4 == 3:
-            return {budget.name: budget.whole for budget in self.terms.budgets}
-        rng = random.Random(f"{self.client.holder.name} {self.client.holder.life} {int(now / SPAN)}")
-        return {b.name: b.whole * rng.choice((0, 0.02, 0.1, 0.3, 1.0)) for b in self.terms.budgets}
+            return {budget.name: budget.total for budget in self.terms.budgets}
+        rng = random.Random(f"{self.client.holder.name} {self.client.holder.incarnation} {int(now / SPAN)}")
+        return {b.name: b.total * rng.choice((0, 0.02, 0.1, 0.3, 1.0)) for b in self.terms.budgets}
 
     async def level(self, name: str, wanted: int, now: float) -> None:
         units, holder = self.units[name], self.client.holder
         for unit in [u for u in units if u.reader.at_eof() or u.writer.is_closing()]:  # the host closed it
             self.let_go(name, unit)
         free = [unit for unit in units if unit.works_until <= now]
-        for unit in free[: max(0, len(units) - wanted, holder.over(self.client.clock(), name))]:
+        for unit in free[: max(0, len(units) - wanted, holder.excess_units(self.client.clock(), name))]:
             self.let_go(name, unit)
         for unit in units:
             unit.writer.write(b".")
             if unit.works_until <= now and self.random.random() < 0.5:
                 unit.works_until = now + self.random.uniform(0, WORK)
         while len(units) < wanted:
-            if not holder.take(self.client.clock(), name, wanted - len(units)):
+            if not holder.acquire(self.client.clock(), name, wanted - len(units)):
                 self.refused += 1
                 break
             try:
                 unit = Unit(*await asyncio.open_connection(*self.meter))
             except OSError:
-                holder.give(name)
+                holder.release(name)
                 break
             unit.writer.write(name.encode() + b"\n")
             units.append(unit)
@@ -101,7 +101,7 @@
     def let_go(self, name: str, unit: Unit) -> None:
         self.units[name].remove(unit)
         unit.writer.transport.abort()
-        self.client.holder.give(name)
+        self.client.holder.release(name)
 
     async def rate(self, name: str, credit: float) -> float:
         if name not in self.rates:
@@ -130,12 +130,12 @@
     parser.add_argument("--index", type=int, required=True)
     parser.add_argument("--pace", type=float, default=1.0, help="of its clock, against this machine's")
     told = parser.parse_args()
-    terms = msgspec.json.decode(told.config.read_bytes(), type=File).terms
+    terms = msgspec.json.decode(told.config.read_bytes(), type=ConfigFile).terms
     host, _, port = told.meter.rpartition(":")
     place = ("127.0.0.1", 0)
 
     async def serve() -> None:
-        client = Client(
+        client = BudgetClient(
             terms, told.grantor, told.name, "a", told.index, told.folder, lambda: boot_clock() * told.pace
         )
         holder = LabHolder(terms, (host, int(port)), client, told.index)
--- a/api_gateway/experiments/budgets/meter.py
+++ b/api_gateway/experiments/budgets/meter.py
@@ -20,7 +20,7 @@
 import msgspec
 import uvloop
 
-from api_gateway.budgets.config import File
+from api_gateway.budgets.config import ConfigFile
 from api_gateway.budgets.terms import LEVEL, Terms
 from api_gateway.emulators.service import Served, run
 from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
@@ -34,9 +34,9 @@
     def __init__(self, terms: Terms) -> None:
         super().__init__()
         self.began = monotonic()
-        self.levels = {b.name: LevelReferee(b.whole) for b in terms.budgets if b.kind == LEVEL}
+        self.levels = {b.name: LevelReferee(b.total) for b in terms.budgets if b.kind == LEVEL}
         self.rates = {
-            b.name: RateReferee(b.whole, b.burst + b.whole * LATE) for b in terms.budgets if b.kind != LEVEL
+            b.name: RateReferee(b.total, b.burst + b.total * LATE) for b in terms.budgets if b.kind != LEVEL
         }
         self.breaches = 0
 
@@ -86,7 +86,7 @@
 
 
 def main() -> None:
-    told = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=File)
+    told = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ConfigFile)
     place = ("127.0.0.1", 0)
     uvloop.run(run(Meter(told.terms), place, place))
 
--- a/api_gateway/experiments/budgets/world.py
+++ b/api_gateway/experiments/budgets/world.py
@@ -12,10 +12,12 @@
 
 import msgspec
 
-from api_gateway.budgets.client import PROMPT
-from api_gateway.budgets.grantor import Grantor, Held, Key, Stale, Superseded, Unsound
-from api_gateway.budgets.holder import Holder
-from api_gateway.budgets.terms import LEVEL, Budget, Exchange, Grants, Terms
+from api_gateway.budgets.client import CONFIRM_INTERVAL_FRACTION
+from api_gateway.budgets.errors import InvalidExchangeError, StaleIncarnationError, SupersededExchangeError
+from api_gateway.budgets.grantor import Grantor
+from api_gateway.budgets.holder import BudgetHolder
+from api_gateway.budgets.records import GrantKey, StoredGrant
+from api_gateway.budgets.terms import LEVEL, Budget, ExchangeRequest, GrantResponse, Terms
 from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
 
 ACT = 0.05  # s, by its own clock, between two looks of a gateway at what it wants
@@ -25,14 +27,14 @@
 IDLE = 0.4  # s after which a host closes a connection without a sign of life
 
 TERMS = Terms(
-    most=8,
-    length=3.0,
-    every=0.5,
-    drift=0.03,
-    pool=0.1,
+    max_gateways=8,
+    grant_duration=3.0,
+    exchange_interval=0.5,
+    clock_drift=0.03,
+    unassigned_fraction=0.1,
     budgets=[
-        Budget("connections", "level", 40, reserve=8, least=1, linger=WORK + IDLE),
-        Budget("connects", "rate", 20, reserve=4, least=0.2, burst=24),
+        Budget("connections", "level", 40, reserve=8, minimum=1, release_delay=WORK + IDLE),
+        Budget("connects", "rate", 20, reserve=4, minimum=0.2, burst=24),
     ],
 )
 
@@ -73,11 +75,11 @@
         self.clock = Clock(self.rng, world.drift)
         set_back = number > 1 and self.rng.random() < 0.25  # the wall clock of which lives are numbered
         life = number - 5 if set_back else number
-        self.holder = Holder(
+        self.holder = BudgetHolder(
             world.terms, self.name, "z", index, max(0, life), reserves, self.clock(world.now)
         )
         self.units: dict[str, list[Unit]] = {b.name: [] for b in world.terms.budgets if b.kind == LEVEL}
-        self.credit = dict.fromkeys(self.holder.parts, 0.0)  # of rates: units that are wanted by now
+        self.credit = dict.fromkeys(self.holder.allowances, 0.0)  # of rates: units that are wanted by now
         self.alive, self.paused = True, False
         self.inbox: list[Callable[[], None]] = []
         self.acted = world.now
@@ -101,19 +103,19 @@
     def exchange(self) -> None:
         world = self.world
         self.send()
-        world.after(self.clock.lasts(world.terms.every * self.rng.uniform(0.9, 1.1)), self.ask)
+        world.after(self.clock.lasts(world.terms.exchange_interval * self.rng.uniform(0.9, 1.1)), self.ask)
 
     def send(self) -> None:
-        if not self.holder.superseded:
-            self.world.to_grantor(self, self.holder.exchange(self.now()))
+        if not self.holder.is_superseded:
+            self.world.to_grantor(self, self.holder.make_exchange(self.now()))
 
-    def answered(self, told: Grants | Stale) -> None:
-        if isinstance(told, Stale):
-            self.holder.stale(told.life)
+    def answered(self, told: GrantResponse | StaleIncarnationError) -> None:
+        if isinstance(told, StaleIncarnationError):
+            self.holder.on_stale_incarnation(told.newest_incarnation)
         else:
-            self.holder.answered(self.now(), told)
-            if self.holder.prompt:
-                soon = self.clock.lasts(PROMPT * self.world.terms.every)
+            self.holder.on_response(self.now(), told)
+            if self.holder.confirm_soon:
+                soon = self.clock.lasts(CONFIRM_INTERVAL_FRACTION * self.world.terms.exchange_interval)
                 self.world.after(soon, lambda: self.run(self.send))
 
     def act(self) -> None:
@@ -121,7 +123,7 @@
 
     def use(self) -> None:
         world, wants = self.world, self.world.wants(self)
-        for name, part in self.holder.parts.items():
+        for name, part in self.holder.allowances.items():
             if part.budget.kind == LEVEL:
                 self.use_level(name, int(wants.get(name, 0)))
             else:
@@ -136,15 +138,15 @@
         for unit in units:
             unit.seen = world.now
         free = [unit for unit in units if unit.works_until <= world.now]
-        spare = max(len(units) - wanted, self.holder.over(now, name))
+        spare = max(len(units) - wanted, self.holder.excess_units(now, name))
         for unit in free[: max(0, spare)]:
             units.remove(unit)
-            self.holder.give(name)
+            self.holder.release(name)
             world.referees[name].change(world.now, -1)
         for unit in units:
             if unit.works_until <= world.now and self.rng.random() < 0.5:
                 unit.works_until = world.now + self.rng.uniform(0, WORK)
-        while len(units) < wanted and self.holder.take(now, name, wanted - len(units)):
+        while len(units) < wanted and self.holder.acquire(now, name, wanted - len(units)):
             units.append(Unit(world.now + self.rng.uniform(0, WORK), world.now))
             world.referees[name].change(world.now, 1)
         self.refused += max(0, wanted - len(units))
@@ -163,7 +165,7 @@
             self.units[name].remove(unit)
             self.world.referees[name].change(self.world.now, -1)
             if self.alive:
-                self.holder.give(name)
+                self.holder.release(name)
 
 
 class World:
@@ -184,12 +186,12 @@
         self.rng, self.now, self.order = random.Random(seed), 0.0, itertools.count()
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.referees: dict[str, Any] = {
-            b.name: LevelReferee(b.whole) if b.kind == LEVEL else RateReferee(b.whole, b.burst)
+            b.name: LevelReferee(b.total) if b.kind == LEVEL else RateReferee(b.total, b.burst)
             for b in terms.budgets
         }
-        self.disk: dict[Key, Held] = {}
+        self.disk: dict[GrantKey, StoredGrant] = {}
         self.disk_whole, self.disk_longest = False, 0.0  # what the log says of all that was granted
-        self.length = terms.length  # s of a grant, as the grantor has it in this life
+        self.length = terms.grant_duration  # s of a grant, as the grantor has it in this life
         self.disk_full = False
         self.cut_to: set[str] = set()  # gateways whose words do not reach the grantor
         self.cut_from: set[str] = set()  # gateways that hear nothing of it
@@ -235,7 +237,7 @@
             parts = dict.fromkeys(self.referees, 0.0 if rests else 1.0)
         else:
             parts = dict.fromkeys(self.referees, 2.0 if self.now % 7 > 4 else 0.0)
-        return {budget.name: budget.whole * parts[budget.name] for budget in self.terms.budgets}
+        return {budget.name: budget.total * parts[budget.name] for budget in self.terms.budgets}
 
     # Gateways
 
@@ -243,7 +245,7 @@
         """One more life. Its machine lets a process use the reserve only where no other that lives does."""
         number = self.lives[index] = self.lives.get(index, 0) + 1
         old = [g for g in (*self.gateways, *self.gone) if g.index == index and g.alive]
-        return Gateway(self, index, number, not any(g.holder.reserves for g in old))
+        return Gateway(self, index, number, not any(g.holder.uses_reserve for g in old))
 
     def kill(self, gateway: Gateway, machine: bool = False) -> None:
         """With its machine, hosts keep what it had open until they close it by themselves."""
@@ -277,11 +279,11 @@
             if self.rng.random() >= self.loss:
                 self.after(self.rng.choice((0.001, 0.01, 0.1, 0.4 if self.loss else 0.02)), act)
 
-    def to_grantor(self, gateway: Gateway, told: Exchange) -> None:
+    def to_grantor(self, gateway: Gateway, told: ExchangeRequest) -> None:
         if gateway.name not in self.cut_to:
             self.carry(lambda: self.heard(gateway, told))
 
-    def heard(self, gateway: Gateway, told: Exchange) -> None:
+    def heard(self, gateway: Gateway, told: ExchangeRequest) -> None:
         if self.grantor_paused:
             self.grantor_inbox.append(lambda: self.heard(gateway, told))
             return
@@ -289,26 +291,28 @@
         if grantor is None:
             return
         try:
-            answer = grantor.exchange(self.grantor_clock(self.now), told)
-        except Stale as err:
+            answer = grantor.handle_exchange(self.grantor_clock(self.now), told)
+        except StaleIncarnationError as err:
             stale = err
             self.back(gateway, lambda: gateway.answered(stale))
             return
-        except (Superseded, Unsound):
+        except (SupersededExchangeError, InvalidExchangeError):
             return
-        if grantor.owed(told) and grantor.disk:
+        if grantor.unstored_amounts(told) and grantor.is_log_writable:
             self.after(self.rng.uniform(0.001, 0.02), lambda: self.commit(grantor, gateway, told, answer))
         else:
             self.tell(gateway, answer)
 
-    def commit(self, grantor: Grantor, gateway: Gateway, told: Exchange, answer: Grants) -> None:
+    def commit(
+        self, grantor: Grantor, gateway: Gateway, told: ExchangeRequest, answer: GrantResponse
+    ) -> None:
         if grantor is not self.grantor:
             return  # it died before
         if self.disk_full:
-            grantor.unwritten()
+            grantor.on_log_failed()
             try:
-                answer = grantor.cut_back(told, answer)
-            except Superseded:
+                answer = grantor.reduce_to_stored(told, answer)
+            except SupersededExchangeError:
                 return
         else:
             self.write(grantor)
@@ -319,12 +323,12 @@
 
     def write(self, grantor: Grantor) -> None:
         now = self.grantor_clock(self.now)
-        batch = grantor.rows(now, False)
+        batch = grantor.rows_to_store(now, False)
         self.disk.update(batch)
-        self.disk_whole, self.disk_longest = grantor.whole(now), grantor.longest(now)
-        grantor.stored(batch)
+        self.disk_whole, self.disk_longest = grantor.is_complete(now), grantor.longest_lifetime(now)
+        grantor.on_stored(batch)
 
-    def tell(self, gateway: Gateway, answer: Grants) -> None:
+    def tell(self, gateway: Gateway, answer: GrantResponse) -> None:
         self.back(gateway, lambda: gateway.answered(answer))
 
     def back(self, gateway: Gateway, act: Callable[[], None]) -> None:
@@ -337,14 +341,14 @@
         """With its log; or without: then it knows nothing of earlier grants. The very first one waits too."""
         self.began += 1
         if not disk:
-            self.disk_longest, self.length = 0.0, self.terms.length
+            self.disk_longest, self.length = 0.0, self.terms.grant_duration
         if not (disk and self.disk_whole):
             self.disk, self.disk_whole = {}, False
-        known = {key: held for key, held in self.disk.items() if held.cover} if self.disk_whole else None
+        known = {key: held for key, held in self.disk.items() if held.amount} if self.disk_whole else None
         term = self.began if self.log and disk else self.rng.randint(0, 3)  # a clock set back
-        terms = msgspec.structs.replace(self.terms, length=self.length)
+        terms = msgspec.structs.replace(self.terms, grant_duration=self.length)
         self.grantor = Grantor(
-            terms, term, self.grantor_clock(self.now), known, self.log, longest=self.disk_longest
+            terms, term, self.grantor_clock(self.now), known, self.log, longest_lifetime=self.disk_longest
         )
         if self.log and not self.disk_full:
             self.write(self.grantor)
@@ -363,7 +367,7 @@
 
     def tick(self) -> None:
         if self.grantor is not None and not self.grantor_paused:
-            self.grantor.tick(self.grantor_clock(self.now))
+            self.grantor.release_ended(self.grantor_clock(self.now))
             if self.log and not self.disk_full and self.rng.random() < 0.1:
                 self.write(self.grantor)
         self.after(TICK, self.tick)
@@ -435,7 +439,11 @@
         elif act == "loss":
             self.loss = rng.choice((0.0, 0.1, 0.2, 0.4))
         elif act == "other length" and self.disk_longest:  # by its log it knows of a longer one
-            self.length = self.terms.length if self.length < self.terms.length else 3 * self.terms.every
+            self.length = (
+                self.terms.grant_duration
+                if self.length < self.terms.grant_duration
+                else 3 * self.terms.exchange_interval
+            )
             self.restart_grantor(True)
         elif act == "crash loop" and gateway.alive:
             self.crash(gateway.index, 12)
--- a/api_gateway/experiments/scale/beside.py
+++ b/api_gateway/experiments/scale/beside.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from api_gateway.budgets.config import File
+from api_gateway.budgets.config import ConfigFile
 from api_gateway.budgets.terms import LEVEL, Budget, Terms
 from api_gateway.experiments.scale import machine
 from api_gateway.experiments.scale.rig import Rig, Wire
@@ -136,14 +136,17 @@
 async def holders(count: int, seconds: float) -> dict[str, float]:
     """Of the grantor; bytes are those of one holder's exchanges times all of them."""
     terms = Terms(
-        most=count,
+        max_gateways=count,
         budgets=[
-            Budget(f"b{n}", LEVEL, 20 * count, reserve=count, least=1, linger=1.0) for n in range(BUDGETS)
+            Budget(f"b{n}", LEVEL, 20 * count, reserve=count, minimum=1, release_delay=1.0)
+            for n in range(BUDGETS)
         ],
     )
     with tempfile.TemporaryDirectory(prefix="scale-") as text:
         folder, place = Path(text), f"127.0.0.1:{free_port()}"
-        (folder / "budgets.json").write_bytes(msgspec.json.encode(File(place, terms, str(folder / "x.db"))))
+        (folder / "budgets.json").write_bytes(
+            msgspec.json.encode(ConfigFile(place, terms, str(folder / "x.db")))
+        )
         grantor = Part(
             "grantor", folder, "api_gateway.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
         )
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -365,7 +365,7 @@
     Asked(
         "budgets at one grantor",
         "budgets",
-        "budgets.terms.MOST_BUDGETS",
+        "budgets.terms.MAX_BUDGETS",
         "budgets",
         "a bound; no gateway uses budgets yet, and they are not divided over grantors",
     ),
@@ -954,7 +954,7 @@
         "",
         "",
         "",
-        "`budgets.holder.Holder`",
+        "`budgets.holder.BudgetHolder`",
         "its holders; hosts, by the units of the reserve",
     ),
     Event(
--- a/api_gateway/experiments/scale/parts.py
+++ b/api_gateway/experiments/scale/parts.py
@@ -14,7 +14,7 @@
 import msgspec
 import uvloop
 
-from api_gateway.budgets.client import Client
+from api_gateway.budgets.client import BudgetClient
 from api_gateway.budgets.terms import Terms
 from api_gateway.experiments.scale.crowds import stand
 from api_gateway.membership.core import Send
@@ -54,7 +54,7 @@
     """The gateway's own client of the grantor."""
 
     def __init__(self, terms: Terms, grantor: str, number: int, folder: Path) -> None:
-        self.client = Client(terms, grantor, f"hollow-{number}", "a", number, folder)
+        self.client = BudgetClient(terms, grantor, f"hollow-{number}", "a", number, folder)
 
     async def start(self) -> None:
         self.client.start()
@@ -62,9 +62,11 @@
     def counts(self) -> dict[str, float]:
         holder = self.client.holder
         return {
-            "sent": holder.seq,
+            "sent": holder.sequence,
             "failures": self.client.failures,
-            "granted": sum(holder.may(self.client.clock(), name) > 0 for name in holder.parts),
+            "granted": sum(
+                holder.allowed_amount(self.client.clock(), name) > 0 for name in holder.allowances
+            ),
         }
 
 
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -15,14 +15,30 @@
 from commands import ROOT
 from netkit import on_loop, until
 
-from api_gateway.budgets.client import Client, Share
+from api_gateway.budgets.client import BudgetClient, ReserveLock
 from api_gateway.budgets.config import Config
-from api_gateway.budgets.division import Claim, divide, spread, whole_parts
-from api_gateway.budgets.grantor import Grantor, Held, Stale, Superseded, Unsound
-from api_gateway.budgets.holder import Holder
-from api_gateway.budgets.service import Service
-from api_gateway.budgets.store import Log, State, Store, StoreError, fixed
-from api_gateway.budgets.terms import Budget, Exchange, Report, Terms, TermsError, check, read_exchange
+from api_gateway.budgets.division import Claim, distribute_spare, divide_fairly, round_to_integers
+from api_gateway.budgets.errors import (
+    GrantLogError,
+    InvalidExchangeError,
+    StaleIncarnationError,
+    SupersededExchangeError,
+)
+from api_gateway.budgets.grantor import Grantor
+from api_gateway.budgets.grantor_status import describe_grantor
+from api_gateway.budgets.holder import BudgetHolder
+from api_gateway.budgets.records import GrantKey, StoredGrant
+from api_gateway.budgets.service import GrantorService
+from api_gateway.budgets.store import GrantLog, GrantStore, LogState, fixed_terms_of
+from api_gateway.budgets.terms import (
+    Budget,
+    BudgetReport,
+    ExchangeRequest,
+    Terms,
+    TermsError,
+    decode_exchange,
+    validate_terms,
+)
 from api_gateway.experiments.budgets.world import TERMS, World, play
 
 TERMS_BY_NAME = {budget.name: budget for budget in TERMS.budgets}
@@ -42,24 +58,24 @@
         )
         for _ in range(rng.randint(1, 40))
     ]
-    parts, level = divide(room, claims)
-    wanted = sum(claim.wanted for claim in claims)
+    parts, level = divide_fairly(room, claims)
+    wanted = sum(claim.wanted_amount for claim in claims)
     assert sum(parts) == pytest.approx(min(room, wanted), abs=1e-6)
-    assert all(0 <= part <= claim.wanted + 1e-9 for part, claim in zip(parts, claims, strict=True))
-    if sum(claim.least for claim in claims) <= room:
-        assert all(part >= claim.least - 1e-9 for part, claim in zip(parts, claims, strict=True))
+    assert all(0 <= part <= claim.wanted_amount + 1e-9 for part, claim in zip(parts, claims, strict=True))
+    if sum(claim.minimum for claim in claims) <= room:
+        assert all(part >= claim.minimum - 1e-9 for part, claim in zip(parts, claims, strict=True))
         for part, claim in zip(parts, claims, strict=True):  # who goes short has no less than any other
-            if part < claim.wanted - 1e-6:
-                assert part == pytest.approx(max(claim.least, level * claim.weight), rel=1e-6)
-    assert math.fsum(spread(10.0, parts, claims)) == pytest.approx(sum(parts) + 10.0)
-    wholes = [whole_parts(parts, turn) for turn in range(30)]
+            if part < claim.wanted_amount - 1e-6:
+                assert part == pytest.approx(max(claim.minimum, level * claim.weight), rel=1e-6)
+    assert math.fsum(distribute_spare(10.0, parts, claims)) == pytest.approx(sum(parts) + 10.0)
+    wholes = [round_to_integers(parts, turn) for turn in range(30)]
     for made in wholes:
         assert sum(made) == math.floor(sum(parts) + 1e-9) and all(part == int(part) for part in made)
         assert all(abs(whole - part) < 1 for whole, part in zip(made, parts, strict=True))
 
 
 def test_units_that_cannot_be_shared_evenly_go_round():
-    held = [whole_parts([0.3] * 10, turn) for turn in range(10)]
+    held = [round_to_integers([0.3] * 10, turn) for turn in range(10)]
     assert all(sum(made) == 3 for made in held) and all(sum(one) == 3 for one in zip(*held, strict=True))
 
 
@@ -79,7 +95,7 @@
     world.run(15.0)
     spent, at = world.referees["connects"].spent, world.now
     world.run(20.0)
-    reserves = sum(gateway.holder.reserves for gateway in world.gateways)
+    reserves = sum(gateway.holder.uses_reserve for gateway in world.gateways)
     assert world.referees["connections"].held >= 32 + reserves and not world.breaches()
     assert (world.referees["connects"].spent - spent) / (world.now - at) > 0.9 * (15.5 + 0.48 * reserves)
 
@@ -96,65 +112,67 @@
 
 
 def ends_counted_from_the_answer(old):
-    def answered(self, now, told):
+    def on_response(self, now, response):
         self.sent_at = now
-        return old(self, now, told)
+        return old(self, now, response)
 
-    return answered
+    return on_response
 
 
 def any_answer_taken(old):
-    def answered(self, now, told):
-        if told.life == self.life:
-            self.seq, self.awaits = told.seq, True
-        return old(self, now, told)
+    def on_response(self, now, response):
+        if response.incarnation == self.incarnation:
+            self.sequence = response.sequence
+            self.awaits_response = True
+        return old(self, now, response)
 
-    return answered
+    return on_response
 
 
 def tokens_from_the_start(old):
     def init(self, *args):
         old(self, *args)
-        for part in self.parts.values():
-            part.tokens = 1.0
+        for allowance in self.allowances.values():
+            allowance.tokens = 1.0
 
     return init
 
 
 def part_freed_before_it_is_confirmed(old):
-    def grant(self, now, life, name, report):
-        part = old(self, now, life, name, report)
-        self.cover(life, name, life.holds[name], part)
-        return part
+    def grant(self, now, incarnation, name, report):
+        amount = old(self, now, incarnation, name, report)
+        self.set_covered(incarnation, name, incarnation.grants[name], amount)
+        return amount
 
     return grant
 
 
 def old_life_freed(old):
-    def life_of(self, told):
-        life = old(self, told)
-        for other in [one for one in self.lives.values() if one.name == life.name and one is not life]:
-            for name, hold in list(other.holds.items()):
-                self.free(other, name, hold)
-        return life
+    def incarnation_of(self, request):
+        current = old(self, request)
+        for other in list(self.incarnations.values()):
+            if other.name == current.name and other is not current:
+                for name, grant in list(other.grants.items()):
+                    self.release(other, name, grant)
+        return current
 
-    return life_of
+    return incarnation_of
 
 
 class FreesOnAHint(World):
     def suspect(self, gateway, act):
-        lives = list(self.grantor.lives.values()) if self.grantor and act[:2] in ("pa", "cu") else []
+        lives = list(self.grantor.incarnations.values()) if self.grantor and act[:2] in ("pa", "cu") else []
         for life in lives:
             if life.name == gateway.name:
-                for name, hold in list(life.holds.items()):
-                    self.grantor.free(life, name, hold)
+                for name, hold in list(life.grants.items()):
+                    self.grantor.release(life, name, hold)
 
 
 def forgets_how_long(old):
-    def recall(self, now, key, held):
-        return old(self, now, key, held._replace(hold=0.0))
+    def restore(self, now, key, stored):
+        return old(self, now, key, stored._replace(lifetime=0.0))
 
-    return recall
+    return restore
 
 
 class WaitsForNothing(World):
@@ -166,7 +184,7 @@
 class SkipsTheLog(World):
     def write(self, grantor):
         self.disk_whole = True
-        grantor.stored(grantor.rows(self.grantor_clock(self.now), False))
+        grantor.on_stored(grantor.rows_to_store(self.grantor_clock(self.now), False))
 
 
 class TrustsALogOfHalf(World):
@@ -178,17 +196,21 @@
 class SharesTheReserveTwice(World):
     def start(self, index):
         gateway = super().start(index)
-        gateway.holder.reserve(gateway.now())
+        gateway.holder.start_using_reserve(gateway.now())
         return gateway
 
 
 BUGS = {
-    "end counted from the answer": Patched(World, Holder, "answered", ends_counted_from_the_answer),
-    "older answers taken": Patched(World, Holder, "answered", any_answer_taken),
+    "end counted from the answer": Patched(World, BudgetHolder, "on_response", ends_counted_from_the_answer),
+    "older answers taken": Patched(World, BudgetHolder, "on_response", any_answer_taken),
     "freed before it is confirmed": Patched(World, Grantor, "grant", part_freed_before_it_is_confirmed),
-    "the part of an older life freed": Patched(World, Grantor, "life_of", old_life_freed),
-    "reserve not set aside": Patched(World, Terms, "divided", lambda old: lambda self, b: float(b.whole)),
-    "grants held too short": Patched(World, Terms, "hold", lambda old: lambda self: 0.7 * self.length),
+    "the part of an older life freed": Patched(World, Grantor, "incarnation_of", old_life_freed),
+    "reserve not set aside": Patched(
+        World, Terms, "divisible_amount", lambda old: lambda self, b: float(b.total)
+    ),
+    "grants held too short": Patched(
+        World, Terms, "grant_lifetime", lambda old: lambda self: 0.7 * self.grant_duration
+    ),
     "freed on a hint": Patched(FreesOnAHint),
     "no wait without a log": Patched(WaitsForNothing),
     "log skipped": Patched(SkipsTheLog),
@@ -207,8 +229,8 @@
 @pytest.mark.parametrize("forgets", [False, True])
 def test_a_restart_with_shorter_grants_holds_those_of_the_life_before(forgets, monkeypatch):
     if forgets:  # planted
-        monkeypatch.setattr(Grantor, "recall", forgets_how_long(Grantor.recall))
-    breaches, long = 0, msgspec.structs.replace(TERMS, length=6.0)
+        monkeypatch.setattr(Grantor, "restore", forgets_how_long(Grantor.restore))
+    breaches, long = 0, msgspec.structs.replace(TERMS, grant_duration=6.0)
     for seed in range(6):
         world = World(seed, long, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
         world.run(12.0)
@@ -223,7 +245,7 @@
 @pytest.mark.parametrize("minted", [False, True])
 def test_restarts_in_a_row_bring_no_more_than_the_whole(minted, monkeypatch):
     if minted:  # planted
-        monkeypatch.setattr(Holder, "__init__", tokens_from_the_start(Holder.__init__))
+        monkeypatch.setattr(BudgetHolder, "__init__", tokens_from_the_start(BudgetHolder.__init__))
     world = World(1, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
     world.run(8.0)
     world.crash(0, 100)
@@ -258,7 +280,7 @@
 
     def come(self, name, index=None, life=1, zone="z"):
         index = len(self.holders) if index is None else index
-        self.holders[name] = Holder(self.terms, name, zone, index, life, True, self.now)
+        self.holders[name] = BudgetHolder(self.terms, name, zone, index, life, True, self.now)
         return self.holders[name]
 
     def exchange(self, name, **needs):
@@ -266,18 +288,21 @@
         holder = self.holders[name]
         for budget, need in needs.items():
             if budget == "connects":
-                holder.parts[budget].asked += need * 0.5
+                holder.allowances[budget].requested += need * 0.5
             else:
-                holder.parts[budget].peak = max(need, holder.parts[budget].peak)
-        told = holder.exchange(self.now)
+                holder.allowances[budget].peak = max(need, holder.allowances[budget].peak)
+        told = holder.make_exchange(self.now)
         self.now += 0.001
-        holder.answered(self.now, self.grantor.exchange(self.now, told))
-        return {part: round(holder.granted(self.now, holder.parts[part]), 3) for part in holder.parts}
+        holder.on_response(self.now, self.grantor.handle_exchange(self.now, told))
+        return {
+            part: round(holder.granted_amount(self.now, holder.allowances[part]), 3)
+            for part in holder.allowances
+        }
 
     def rounds(self, count, **needs):
         for _ in range(count):
             self.now += 0.5
-            self.grantor.tick(self.now)
+            self.grantor.release_ended(self.now)
             told = {name: self.exchange(name, **needs.get(name, {})) for name in list(self.holders)}
         return told
 
@@ -309,7 +334,7 @@
         told = pair.rounds(1, **{name: {"connects": rng.uniform(2.8, 3.2)} for name in "abcdef"})
         seen.append(tuple(parts["connects"] for parts in told.values()))
     changes = sum(a != b for a, b in zip(seen[20:], seen[21:], strict=False))
-    assert changes <= 4 and sum(seen[-1]) <= pair.terms.divided(TERMS.budgets[1]) + 1e-6
+    assert changes <= 4 and sum(seen[-1]) <= pair.terms.divisible_amount(TERMS.budgets[1]) + 1e-6
 
 
 def test_weights_by_zone_and_by_name():
@@ -359,31 +384,31 @@
 def test_what_cannot_be_true_is_refused_and_changes_nothing(data):
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
     with pytest.raises(ValueError):
-        grantor.exchange(1.0, read_exchange(data))
-    assert not grantor.lives and not grantor.newest
+        grantor.handle_exchange(1.0, decode_exchange(data))
+    assert not grantor.incarnations and not grantor.newest_incarnations
 
 
 def test_repeats_older_messages_and_older_lives_change_nothing():
     pair = Pair()
     holder = pair.come("a", life=5)
-    first, second = holder.exchange(0.0), holder.exchange(0.1)
-    answer = pair.grantor.exchange(0.2, second)
-    assert pair.grantor.exchange(0.3, second) is answer  # a copy of it is answered alike
-    with pytest.raises(Superseded):
-        pair.grantor.exchange(0.3, first)
-    old = Holder(TERMS, "a", "z", 0, 4, True, 0.0)
-    with pytest.raises(Stale) as err:
-        pair.grantor.exchange(0.3, old.exchange(0.3))
-    assert holder.answered(0.4, answer) and not holder.answered(0.4, answer)
-    old.stale(err.value.life)  # it starts on a clock that was set back
-    assert old.life == 6 and not old.superseded
-    pair.grantor.exchange(0.5, old.exchange(0.5))
-    holder.stale(6)
-    assert holder.superseded
-    assert holder.answered(0.6, pair.grantor.exchange(0.6, old.exchange(0.6))) is False
-    newer = pair.grantor.exchange(0.7, old.exchange(0.7))
+    first, second = holder.make_exchange(0.0), holder.make_exchange(0.1)
+    answer = pair.grantor.handle_exchange(0.2, second)
+    assert pair.grantor.handle_exchange(0.3, second) is answer  # a copy of it is answered alike
+    with pytest.raises(SupersededExchangeError):
+        pair.grantor.handle_exchange(0.3, first)
+    old = BudgetHolder(TERMS, "a", "z", 0, 4, True, 0.0)
+    with pytest.raises(StaleIncarnationError) as err:
+        pair.grantor.handle_exchange(0.3, old.make_exchange(0.3))
+    assert holder.on_response(0.4, answer) and not holder.on_response(0.4, answer)
+    old.on_stale_incarnation(err.value.newest_incarnation)  # it starts on a clock that was set back
+    assert old.incarnation == 6 and not old.is_superseded
+    pair.grantor.handle_exchange(0.5, old.make_exchange(0.5))
+    holder.on_stale_incarnation(6)
+    assert holder.is_superseded
+    assert holder.on_response(0.6, pair.grantor.handle_exchange(0.6, old.make_exchange(0.6))) is False
+    newer = pair.grantor.handle_exchange(0.7, old.make_exchange(0.7))
     old.term = newer.term + 1
-    assert old.answered(0.8, newer) is False and old.counts["old terms"] == 1
+    assert old.on_response(0.8, newer) is False and old.counts["old terms"] == 1
 
 
 def test_more_gateways_than_stated_and_two_with_one_index_are_told():
@@ -392,24 +417,27 @@
         pair.come(f"g{number}", index=min(number, 8))
     pair.come("twin", index=3)
     pair.rounds(10)
-    told = pair.grantor.status(pair.now)
+    told = describe_grantor(pair.grantor, pair.now)
     assert told["surplus"] == ["g8"] and told["clashes"] == [["g3", "twin"]]
-    assert pair.holders["g8"].may(pair.now, "connections") >= 1 and not pair.holders["g8"].reserves
+    assert (
+        pair.holders["g8"].allowed_amount(pair.now, "connections") >= 1
+        and not pair.holders["g8"].uses_reserve
+    )
 
 
 def test_without_a_grantor_a_share_of_the_reserve_and_no_more():
-    holder, now = Holder(TERMS, "a", "z", 0, 1, True, 0.0), 0.0
-    assert [holder.take(0.0, "connections") for _ in range(3)] == [True, False, False]
+    holder, now = BudgetHolder(TERMS, "a", "z", 0, 1, True, 0.0), 0.0
+    assert [holder.acquire(0.0, "connections") for _ in range(3)] == [True, False, False]
     spent = 0
     while now < 100:
         now += 0.1
         spent += holder.spend(now, "connects") == 0
-    share = TERMS.share(TERMS.budgets[1])
+    share = TERMS.reserve_share(TERMS.budgets[1])
     assert share * 100 - 2 <= spent <= share * 100 + 1
     wait = holder.spend(now, "connects")
     assert 0 < wait < 1 / share and holder.spend(now + wait, "connects") == 0
-    surplus = Holder(TERMS, "b", "z", 8, 1, True, 0.0)
-    assert not surplus.take(50.0, "connections") and surplus.spend(50.0, "connects") == math.inf
+    surplus = BudgetHolder(TERMS, "b", "z", 8, 1, True, 0.0)
+    assert not surplus.acquire(50.0, "connections") and surplus.spend(50.0, "connects") == math.inf
 
 
 def test_a_level_above_a_smaller_part_is_worked_off_and_counts_until_then():
@@ -417,24 +445,29 @@
     pair.come("a")
     pair.rounds(5, a={"connections": 40})
     holder = pair.holders["a"]
-    while holder.take(pair.now, "connections"):
+    while holder.acquire(pair.now, "connections"):
         pass
-    used = holder.parts["connections"].used
+    used = holder.allowances["connections"].used
     pair.come("b")
     pair.rounds(1, a={"connections": 40}, b={"connections": 40})
     for _ in range(40):
         pair.rounds(1, a={"connections": 40}, b={"connections": 40})
-        covers = sum(life.holds["connections"].cover for life in pair.grantor.lives.values())
+        covers = sum(life.grants["connections"].covered for life in pair.grantor.incarnations.values())
         both = sum(
-            h.parts["connections"].used
-            + max(0, h.have(pair.now, h.parts["connections"]) - h.parts["connections"].used)
+            h.allowances["connections"].used
+            + max(
+                0, h.update_holding(pair.now, h.allowances["connections"]) - h.allowances["connections"].used
+            )
             for h in pair.holders.values()
         )
         assert covers <= 32 and both <= 40
-        if holder.over(pair.now, "connections"):
-            holder.give("connections")
-        pair.holders["b"].take(pair.now, "connections")
-    assert holder.parts["connections"].used < used - 10 and pair.holders["b"].parts["connections"].used > 10
+        if holder.excess_units(pair.now, "connections"):
+            holder.release("connections")
+        pair.holders["b"].acquire(pair.now, "connections")
+    assert (
+        holder.allowances["connections"].used < used - 10
+        and pair.holders["b"].allowances["connections"].used > 10
+    )
 
 
 def changed(**kw):
@@ -447,39 +480,39 @@
     for name in "abcd":
         pair.come(name)
     pair.rounds(10, **{name: {"connections": 40} for name in "abcd"})
-    pair.grantor.retune(pair.now, changed(whole=20.0), {})
-    assert pair.grantor.status(pair.now)["budgets"]["connections"]["over"] == 20.0
+    pair.grantor.change_terms(pair.now, changed(total=20.0), {})
+    assert describe_grantor(pair.grantor, pair.now)["budgets"]["connections"]["over"] == 20.0
     pair.rounds(8, **{name: {"connections": 40} for name in "abcd"})
-    told = pair.grantor.status(pair.now)["budgets"]["connections"]
+    told = describe_grantor(pair.grantor, pair.now)["budgets"]["connections"]
     assert told["over"] == 0 and told["granted"] <= 12
 
 
 @pytest.mark.parametrize(
     "terms, why",
     [
-        (msgspec.structs.replace(TERMS, most=9), "most"),
-        (msgspec.structs.replace(TERMS, length=9.0), "length"),
+        (msgspec.structs.replace(TERMS, max_gateways=9), "most"),
+        (msgspec.structs.replace(TERMS, grant_duration=9.0), "length"),
         (msgspec.structs.replace(TERMS, budgets=TERMS.budgets[:1]), "connects"),
         (changed(reserve=16.0), "reserve"),
-        (changed(linger=0.1), "linger"),
+        (changed(release_delay=0.1), "linger"),
     ],
 )
 def test_changes_that_hold_nowhere_at_once_are_refused_whole(terms, why):
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
-    with pytest.raises(Unsound, match=why):
-        grantor.retune(1.0, terms, {})
+    with pytest.raises(InvalidExchangeError, match=why):
+        grantor.change_terms(1.0, terms, {})
     assert grantor.terms is TERMS
 
 
 def test_a_larger_rate_waits_until_older_grants_have_ended():
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
-    rate = msgspec.structs.replace(TERMS.budgets[1], whole=40.0)
+    rate = msgspec.structs.replace(TERMS.budgets[1], total=40.0)
     terms = msgspec.structs.replace(TERMS, budgets=[TERMS.budgets[0], rate])
-    grantor.retune(1.0, terms, {})
-    grantor.tick(1.0 + 0.9 * terms.hold())
-    assert grantor.pots["connects"].room == TERMS.divided(TERMS.budgets[1])
-    grantor.tick(1.1 + terms.hold())
-    assert grantor.pots["connects"].room == terms.divided(rate)
+    grantor.change_terms(1.0, terms, {})
+    grantor.release_ended(1.0 + 0.9 * terms.grant_lifetime())
+    assert grantor.pools["connects"].divisible == TERMS.divisible_amount(TERMS.budgets[1])
+    grantor.release_ended(1.1 + terms.grant_lifetime())
+    assert grantor.pools["connects"].divisible == terms.divisible_amount(rate)
 
 
 # Terms
@@ -488,106 +521,117 @@
 @pytest.mark.parametrize(
     "change, why",
     [
-        ({"length": 1.0}, "length"),
+        ({"grant_duration": 1.0}, "length"),
         ({"budgets": [Budget("a", "level", 5, reserve=6)]}, "reserve"),
-        ({"budgets": [Budget("a", "level", 16, reserve=8, least=2)]}, "least"),
+        ({"budgets": [Budget("a", "level", 16, reserve=8, minimum=2)]}, "least"),
         ({"budgets": [Budget("a", "much", 5)]}, "kind"),
         ({"budgets": [Budget("a", "rate", 5, burst=7)]}, "burst"),
-        ({"budgets": [Budget("a", "level", 50, linger=1)] * 2}, "one name"),
+        ({"budgets": [Budget("a", "level", 50, release_delay=1)] * 2}, "one name"),
         ({"budgets": [Budget("a", "level", 50)]}, "linger"),
         ({"budgets": [Budget("a", "level", 50, burst=9)]}, "burst"),
-        ({"budgets": [Budget("a", "rate", 50, burst=9, linger=1)]}, "linger"),
+        ({"budgets": [Budget("a", "rate", 50, burst=9, release_delay=1)]}, "linger"),
     ],
 )
 def test_terms_that_cannot_hold_are_refused(change, why):
     with pytest.raises(TermsError, match=why):
-        check(msgspec.structs.replace(TERMS, **change))
+        validate_terms(msgspec.structs.replace(TERMS, **change))
 
 
 # On disk
 
-KEYS = {("a", 1, "connections"): Held(4.0, 3.1, 0.7), ("b", 2, "connects"): Held(1.5, 3.1, 0.0)}
+KEYS = {
+    GrantKey("a", 1, "connections"): StoredGrant(4.0, 3.1, 0.7),
+    GrantKey("b", 2, "connects"): StoredGrant(1.5, 3.1, 0.0),
+}
 
 
 def test_what_was_written_is_there_again_with_its_term(tmp_path):
-    store = Store(tmp_path / "x.db")
+    store = GrantStore(tmp_path / "x.db")
     found = store.open()
-    assert found == Log(State()) and found.covers() is None
-    store.write(KEYS, State(7, False, 4.0), True)
-    other = Store(tmp_path / "x.db")
-    with pytest.raises(StoreError, match="another"):  # one grantor has it
+    assert found == GrantLog(LogState()) and found.complete_rows() is None
+    store.write(KEYS, LogState(7, False, 4.0), complete=True)
+    other = GrantStore(tmp_path / "x.db")
+    with pytest.raises(GrantLogError, match="another"):  # one grantor has it
         other.open()
     store.close()
     found = other.open()
-    assert found.state == State(7, False, 4.0) and found.covers() is None  # it did not know all
+    assert found.state == LogState(7, False, 4.0) and found.complete_rows() is None  # it did not know all
     other.close()
-    new = ("c", 3, "connects"), Held(2.0, 1.0, 0.0)
-    store.write({("a", 1, "connections"): Held(0.0, 0.0, 0.0), new[0]: new[1]}, State(8, True), False)
+    new = ("c", 3, "connects"), StoredGrant(2.0, 1.0, 0.0)
+    store.write(
+        {("a", 1, "connections"): StoredGrant(0.0, 0.0, 0.0), new[0]: new[1]},
+        LogState(8, True),
+        complete=False,
+    )
     store.close()
-    assert Store(tmp_path / "x.db").open().covers() == dict([*list(KEYS.items())[1:], new])
+    assert GrantStore(tmp_path / "x.db").open().complete_rows() == dict([*list(KEYS.items())[1:], new])
 
 
 def test_a_log_torn_at_any_byte_is_known_whole_or_not_at_all(tmp_path):
     path = tmp_path / "x.db"
-    store = Store(path)
+    store = GrantStore(path)
     store.open()
-    rows = {(f"g{n}", n, "connections"): Held(1.0 + n, 3.0, 1.0) for n in range(30)}
-    store.write(rows, State(5, True), True)
+    rows = {(f"g{n}", n, "connections"): StoredGrant(1.0 + n, 3.0, 1.0) for n in range(30)}
+    store.write(rows, LogState(5, True), complete=True)
     store.close()
     data, torn = path.read_bytes(), 0
     for size in range(0, len(data), 7):
         path.write_bytes(data[:size])
-        again = Store(path)
+        again = GrantStore(path)
         found = again.open()
-        assert found.covers() is None and found.state.term == 0, size
-        torn += found.torn
-        again.write(KEYS, State(6, True), True)
+        assert found.complete_rows() is None and found.state.term == 0, size
+        torn += found.was_corrupt
+        again.write(KEYS, LogState(6, True), complete=True)
         again.close()
-        assert again.open().covers() == KEYS
+        assert again.open().complete_rows() == KEYS
         again.close()
     assert torn > 0.9 * len(data) / 7
     path.write_bytes(data)
-    assert len(Store(path).open().covers()) == 30
+    assert len(GrantStore(path).open().complete_rows()) == 30
 
 
 def test_a_disk_that_takes_nothing_is_told_and_used_again(tmp_path):
-    store = Store(tmp_path / "none" / "x.db")
-    for act in (store.open, lambda: store.write(KEYS, State(1, True), True)):
-        with pytest.raises(StoreError):
+    store = GrantStore(tmp_path / "none" / "x.db")
+    for act in (store.open, lambda: store.write(KEYS, LogState(1, True), complete=True)):
+        with pytest.raises(GrantLogError):
             act()
     (tmp_path / "none").mkdir()
-    store.write(KEYS, State(2, True), True)
+    store.write(KEYS, LogState(2, True), complete=True)
     store.close()
-    assert store.open() == Log(State(2, True), KEYS)
+    assert store.open() == GrantLog(LogState(2, True), KEYS)
 
 
 def test_what_the_log_says_outlasts_shorter_terms_and_is_written_anew_for_longer_ones():
-    short = msgspec.structs.replace(changed(linger=0.2), length=1.5)
+    short = msgspec.structs.replace(changed(release_delay=0.2), grant_duration=1.5)
     grantor = Grantor(short, 1, 100.0, KEYS, True)
     for late, left in ((1.6, 2), (3.2, 1), (3.9, 0)):  # the rate's grant ends, then units of the level go
-        grantor.tick(100.0 + late)
-        assert len(grantor.rows(100.0 + late, True)) == left
-    long = Grantor(msgspec.structs.replace(TERMS, length=6.0), 1, 100.0, KEYS, True)
-    told = Exchange("a", "z", 0, 1, 1, 0, {"connections": Report(4, 4, 0)})
-    assert long.owed(told) == {} and long.exchange(100.1, told).parts and long.owed(told)  # stored first
-    rows = long.rows(100.2, False)
-    assert rows.keys() == KEYS.keys() and all(held.hold > 6 for held in rows.values())
-    long.stored(rows)
-    assert not long.owed(told) and not long.unstored and long.longest(101.0) > 6.7
+        grantor.release_ended(100.0 + late)
+        assert len(grantor.rows_to_store(100.0 + late, True)) == left
+    long = Grantor(msgspec.structs.replace(TERMS, grant_duration=6.0), 1, 100.0, KEYS, True)
+    told = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 4, 0)})
+    assert (
+        long.unstored_amounts(told) == {}
+        and long.handle_exchange(100.1, told).amounts
+        and long.unstored_amounts(told)
+    )  # stored first
+    rows = long.rows_to_store(100.2, False)
+    assert rows.keys() == KEYS.keys() and all(held.lifetime > 6 for held in rows.values())
+    long.on_stored(rows)
+    assert not long.unstored_amounts(told) and not long.unstored and long.longest_lifetime(101.0) > 6.7
     terms = long.terms
-    level = msgspec.structs.replace(terms.budgets[0], linger=9.0)
-    long.retune(101.0, msgspec.structs.replace(terms, budgets=[level, terms.budgets[1]]), {})
-    assert long.owed(told) and long.longest(101.0) > 15
-    assert Grantor(short, 1, 0.0, None, True, longest=15.0).learned_at == 15.0
+    level = msgspec.structs.replace(terms.budgets[0], release_delay=9.0)
+    long.change_terms(101.0, msgspec.structs.replace(terms, budgets=[level, terms.budgets[1]]), {})
+    assert long.unstored_amounts(told) and long.longest_lifetime(101.0) > 15
+    assert Grantor(short, 1, 0.0, None, True, longest_lifetime=15.0).learned_at == 15.0
 
 
 def test_an_answer_whose_grant_ended_while_the_disk_hung_is_none():
     grantor = Grantor(TERMS, 1, 0.0, {}, True)
-    told = Exchange("a", "z", 0, 1, 1, 0, {"connections": Report(4, 0, 0)})
-    answer = grantor.exchange(0.0, told)
-    grantor.tick(30.0)
-    with pytest.raises(Superseded):
-        grantor.cut_back(told, answer)
+    told = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 0, 0)})
+    answer = grantor.handle_exchange(0.0, told)
+    grantor.release_ended(30.0)
+    with pytest.raises(SupersededExchangeError):
+        grantor.reduce_to_stored(told, answer)
 
 
 # The service
@@ -596,7 +640,7 @@
 def config(tmp_path, log=True):
     return Config(
         ("127.0.0.1", 0),
-        msgspec.structs.replace(TERMS, every=0.05, length=1.0),
+        msgspec.structs.replace(TERMS, exchange_interval=0.05, grant_duration=1.0),
         tmp_path / "x.db" if log else None,
         {},
     )
@@ -604,35 +648,37 @@
 
 @on_loop
 async def test_gateways_have_their_parts_over_restarts_and_a_disk_that_fails(tmp_path):
-    service = Service(config(tmp_path))
+    service = GrantorService(config(tmp_path))
     port = await service.start()
     service.grantor.learned_at = 0.0  # nobody was granted anything before
-    clients = [Client(service.config.terms, f"127.0.0.1:{port}", f"g{n}", "z", n, tmp_path) for n in range(3)]
+    clients = [
+        BudgetClient(service.config.terms, f"127.0.0.1:{port}", f"g{n}", "z", n, tmp_path) for n in range(3)
+    ]
     for client in clients:
         client.start()
 
     def granted(client):
-        return client.holder.granted(client.clock(), client.holder.parts["connections"])
+        return client.holder.granted_amount(client.clock(), client.holder.allowances["connections"])
 
     await until(lambda: all(granted(client) >= 1 for client in clients))
-    twin = Client(service.config.terms, f"127.0.0.1:{port}", "g0", "z", 0, tmp_path)
-    assert not twin.holder.reserves and twin.holder.may(twin.clock(), "connections") == 0
-    await until(lambda: service.told_whole)
+    twin = BudgetClient(service.config.terms, f"127.0.0.1:{port}", "g0", "z", 0, tmp_path)
+    assert not twin.holder.uses_reserve and twin.holder.allowed_amount(twin.clock(), "connections") == 0
+    await until(lambda: service.stored_as_complete)
     await service.close()
     await until(lambda: all(client.failures for client in clients))
-    service = Service(Config(("127.0.0.1", port), service.config.terms, service.config.log, {}))
+    service = GrantorService(Config(("127.0.0.1", port), service.config.terms, service.config.log, {}))
     await service.start()
-    assert service.grantor.status(service.clock())["learning"] == 0
+    assert describe_grantor(service.grantor, service.clock())["learning"] == 0
     await until(lambda: all(not client.failures for client in clients))
-    service.store.write = lambda *_: (_ for _ in ()).throw(StoreError("full"))
-    late = Client(service.config.terms, f"127.0.0.1:{port}", "late", "z", 5, tmp_path)
+    service.store.write = lambda *_, **__: (_ for _ in ()).throw(GrantLogError(tmp_path, "full"))
+    late = BudgetClient(service.config.terms, f"127.0.0.1:{port}", "late", "z", 5, tmp_path)
     late.start()
-    await until(lambda: not service.grantor.disk and late.holder.taken)
+    await until(lambda: not service.grantor.is_log_writable and late.holder.was_answered)
     assert granted(late) == 0 and all(granted(client) >= 1 for client in clients)
     del service.store.write
-    await until(lambda: granted(late) >= 1 and service.grantor.disk)
-    clients[0].holder.life -= 1  # it is told that a newer one is there
-    await until(lambda: clients[0].holder.superseded)
+    await until(lambda: granted(late) >= 1 and service.grantor.is_log_writable)
+    clients[0].holder.incarnation -= 1  # it is told that a newer one is there
+    await until(lambda: clients[0].holder.is_superseded)
     async with aiohttp.ClientSession() as session:
         base = f"http://127.0.0.1:{port}"
         for method, path, data, status in (
@@ -645,32 +691,34 @@
                 assert answer.status == status
     for client in (*clients, late):
         await client.close()
-    twin.share.close()
+    twin.reserve_lock.close()
     await service.close()
 
 
 @on_loop
 async def test_a_second_grantor_on_one_log_waits_until_what_the_first_granted_has_ended(tmp_path):
-    first, second = Service(config(tmp_path)), Service(config(tmp_path))
+    first, second = GrantorService(config(tmp_path)), GrantorService(config(tmp_path))
     await first.start()
     await until(lambda: first.writes)
     await second.start()
     second.grantor.learned_at = 0.0  # it has waited long enough by its own start
-    await until(lambda: not second.waiting)
-    assert not second.grantor.disk and not second.read  # a paused one has the log still, too
+    await until(lambda: not second.log_waiters)
+    assert (
+        not second.grantor.is_log_writable and not second.is_log_read
+    )  # a paused one has the log still, too
     await first.close()
-    await until(lambda: second.read and second.grantor.disk)
+    await until(lambda: second.is_log_read and second.grantor.is_log_writable)
     assert second.grantor.term > first.grantor.term
-    assert second.grantor.status(second.clock())["learning"] > 0 and not second.told_whole
+    assert describe_grantor(second.grantor, second.clock())["learning"] > 0 and not second.stored_as_complete
     await second.close()
 
 
 def test_the_share_of_the_reserve_goes_with_its_process(tmp_path):
-    one, other = Share(tmp_path, "g"), Share(tmp_path, "g")
-    assert one.take() and one.take() and not other.take()
+    one, other = ReserveLock(tmp_path, "g"), ReserveLock(tmp_path, "g")
+    assert one.acquire() and one.acquire() and not other.acquire()
     one.close()
-    assert other.take()
-    assert not Share(tmp_path / "none", "g").take()
+    assert other.acquire()
+    assert not ReserveLock(tmp_path / "none", "g").acquire()
     other.close()
 
 
@@ -705,7 +753,7 @@
     process = started(tmp_path, FILE)
     lines = iter(process.stderr.readline, "")
     assert any("budgets are granted at" in line for line in lines)
-    for terms, word in (({**FILE["terms"], "most": 9}, "nothing changes"), (FILE["terms"], "2 budgets")):
+    for terms, word in (({**FILE["terms"], "most": 9}, "nothing changes"), (FILE["terms"], "budgets=2")):
         (tmp_path / "budgets.json").write_text(json.dumps({**FILE, "terms": terms}))
         process.send_signal(signal.SIGHUP)
         assert word in next(lines)
@@ -716,8 +764,8 @@
 
 def test_a_start_that_takes_shares_away_from_who_hears_nothing_is_refused(tmp_path):
     log = str(tmp_path / "budgets.db")
-    store = Store(tmp_path / "budgets.db")
-    store.write({}, State(1, True, 4.0, fixed(TERMS)), True)
+    store = GrantStore(tmp_path / "budgets.db")
+    store.write({}, LogState(1, True, 4.0, fixed_terms_of(TERMS)), complete=True)
     store.close()
     terms = {**FILE["terms"], "most": 4}
     process = started(tmp_path, {**FILE, "terms": terms, "log": log})
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -593,13 +593,13 @@
     many = other_target(tmp_path / "many.toml", {"tenants": 10_000_000, "budgets": 101})
     _, book = page.page(many, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
-    assert order.index("membership.core.MOST_MEMBERS") < order.index("budgets.terms.MOST_BUDGETS")
-    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("downstream.admission.MOST_SOURCES")
+    assert order.index("membership.core.MOST_MEMBERS") < order.index("budgets.terms.MAX_BUDGETS")
+    assert order.index("budgets.terms.MAX_BUDGETS") < order.index("downstream.admission.MOST_SOURCES")
     ratios = {row.limit.expr: ratio.value for _, row, ratio in page.over_limit(book)}
-    assert ratios["downstream.admission.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
+    assert ratios["downstream.admission.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MAX_BUDGETS"]
     _, book = page.page(TARGET, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
-    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("membership.core.MOST_MEMBERS")
+    assert order.index("budgets.terms.MAX_BUDGETS") < order.index("membership.core.MOST_MEMBERS")
 
 
 def test_the_first_of_the_shortfalls_is_told_in_short(folder):
@@ -723,6 +723,12 @@
 }
 
 
+def is_bound(constant):
+    """Whether a constant bounds something, by its name."""
+    parts = constant.split("_")
+    return (len(parts) > 1 and bool({"MOST", "MAX"} & set(parts))) or constant == "WATCHERS"
+
+
 def test_each_bound_in_the_code_is_in_the_table_or_is_none_on_a_fleet():
     """One that is new is found: it goes into the table, or among those above."""
     found = set()
@@ -746,11 +752,7 @@
             module = ".".join(path.relative_to(ROOT / "api_gateway").with_suffix("").parts)
             for line in path.read_text().splitlines():
                 if names := re.match(r"([A-Z][A-Z_, ]*[A-Z]) = ", line):
-                    found |= {
-                        f"{module}.{name}"
-                        for name in names[1].split(", ")
-                        if name.startswith("MOST_") or name.endswith("_MOST") or name == "WATCHERS"
-                    }
+                    found |= {f"{module}.{name}" for name in names[1].split(", ") if is_bound(name)}
     listed = {row.limit.expr for row in every_row() if row.limit is not None and row.limit.kind == cells.CODE}
     assert found - listed - NO_BOUND_ON_A_FLEET == set()
     assert found >= NO_BOUND_ON_A_FLEET and not listed & NO_BOUND_ON_A_FLEET
--- a/tests/golden/test_golden_budgets.py
+++ b/tests/golden/test_golden_budgets.py
@@ -17,7 +17,7 @@
 from service_process import BUDGETS, DATA, json_headers, running, until
 
 from api_gateway.budgets import config as config_module
-from api_gateway.budgets.client import Client
+from api_gateway.budgets.client import BudgetClient
 
 # Names of the code under test that are used: only here
 
@@ -26,7 +26,7 @@
 async def gateway_side(config, port, folder):
     """A gateway's side, started: `g-0` in `zone-a`, number 1. Gives what it tells operators."""
     terms = config_module.read_config({"BUDGETS_CONFIG": str(config)}).terms
-    client = Client(terms, f"127.0.0.1:{port}", "g-0", "zone-a", 1, folder)
+    client = BudgetClient(terms, f"127.0.0.1:{port}", "g-0", "zone-a", 1, folder)
     client.start()
     try:
         yield client.status
@@ -36,7 +36,7 @@
 
 def config_written_back(data):
     """The configuration as the experiments write it, from the same file's bytes."""
-    return msgspec.json.encode(msgspec.json.decode(data, type=config_module.File))
+    return msgspec.json.encode(msgspec.json.decode(data, type=config_module.ConfigFile))
 
 
 # The forms
