--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -11,94 +11,102 @@
 from api_gateway.policy.customer_accounts import GAIN, PlanUse
 from api_gateway.policy.endpoints import TICK
 from api_gateway.policy.quota_leases import Quota
-from api_gateway.policy.request_state import GRANT_PRIOR, IDLE_MOST, Job
+from api_gateway.policy.request_state import IDLE_MOST, INITIAL_GRANTED_FRACTION, Job
 
 
 class Gateway(Quota):
     """The module's face: see the folder."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        self.out = []
+        self.actions = []
         match event:
             case api.Request():
                 self.request(now, event)
             case api.AttemptEnded():
                 self.outcome(now, event)
             case api.CounterReply(name=name) if name == BEACON:
-                self.fleet_time_counted(now, event)
+                self.on_cluster_clock_reply(now, event)
             case api.CounterReply():
-                self.counted(now, event)
+                self.on_counter_reply(now, event)
             case api.TimerFired():
-                self.tick(now)
+                self.on_timer(now)
             case api.EndpointList():
                 self.fleet.listed(now, event)
                 if event.mode == "failed":
-                    self.watch_at = now + 1.0
-                elif event.mode == "cached" and self.set.discovery_mode == "ask":
-                    self.out.append(api.WatchEndpoints(True))
+                    self.watch_retry_at = now + 1.0
+                elif event.mode == "cached" and self.settings.discovery_mode == "ask":
+                    self.actions.append(api.WatchEndpoints(True))
             case api.ResponseStarted() if event.request_id in self.jobs:
-                self.began(self.jobs[event.request_id], event)
+                self.on_response_started(self.jobs[event.request_id], event)
             case api.EndpointOverride():
                 self.fleet.ban(now, event)
-            case api.ClusterClockNeeded() if self.counter.on:
-                self.fleet_time.start(now)
+            case api.ClusterClockNeeded() if self.counter.is_enabled:
+                self.cluster_clock.start(now)
             case api.WallClockStepped():
                 self.fleet.clock_stepped(now, event.offset)
             case api.DrainChanged():
-                self.draining = event.draining
+                self.is_draining = event.draining
             case api.SettingsChanged():
                 self.retune(now, event.settings)
             case api.ClientDisconnected() if event.request_id in self.jobs:
-                self.close(now, self.jobs[event.request_id])
-        self.drain_queue(now)
+                self.finish(now, self.jobs[event.request_id])
+        self.send_queued(now)
         if self.fleet.wish:
-            self.out.append(api.ResizeSubset(self.fleet.wish))
+            self.actions.append(api.ResizeSubset(self.fleet.wish))
             self.fleet.wish = 0
-        while self.due and self.due[0][1] not in self.jobs:
-            heapq.heappop(self.due)
-        if now >= self.fleet_time.due:
-            self.out.append(api.AddToCounter(BEACON, self.fleet_time.call(now), LIFETIME))
-        at = min(self.due[0][0] if self.due else math.inf, self.watch_at, self.fleet_time.due)
-        if at < self.timer_at:  # what is due next; nothing when idle
-            self.timer_at = at
-            self.out.append(api.SetTimer(max(0.0, at - now), 0))
-        return self.out
+        while self.due_checks and self.due_checks[0][1] not in self.jobs:
+            heapq.heappop(self.due_checks)
+        if now >= self.cluster_clock.due:
+            self.actions.append(api.AddToCounter(BEACON, self.cluster_clock.call(now), LIFETIME))
+        at = min(
+            self.due_checks[0][0] if self.due_checks else math.inf,
+            self.watch_retry_at,
+            self.cluster_clock.due,
+        )
+        if at < self.timer_due_at:  # what is due next; nothing when idle
+            self.timer_due_at = at
+            self.actions.append(api.SetTimer(max(0.0, at - now), 0))
+        return self.actions
 
-    def fleet_time_counted(self, now: float, event: api.CounterReply) -> None:
+    def on_cluster_clock_reply(self, now: float, event: api.CounterReply) -> None:
         """Windows are named by the fleet's time; where that is another than here, hosts' starts are, too."""
-        time, before, first = self.fleet_time, self.fleet_time.offset, not self.time_checked
+        time, before, first = self.cluster_clock, self.cluster_clock.offset, not self.is_clock_checked
         if event.result == "late":
             return
-        self.time_checked = True
+        self.is_clock_checked = True
         time.counted(now, event.result == "ok", event.total)
-        if first or time.synchronizing != self.counter.wrong_time:
-            self.out.append(api.ClusterClockChanged(time.synchronizing))
-        self.counter.wrong_time = time.synchronizing
+        if first or time.synchronizing != self.counter.is_clock_wrong:
+            self.actions.append(api.ClusterClockChanged(time.synchronizing))
+        self.counter.is_clock_wrong = time.synchronizing
         if time.offset != before:
-            self.out.append(api.LogMessage(f"the fleet's time is {time.offset:+.1f} s from this gateway's"))
+            self.actions.append(
+                api.LogMessage(f"the fleet's time is {time.offset:+.1f} s from this gateway's")
+            )
             self.fleet.clock_stepped(now, time.offset)
 
     def retune(self, now: float, settings: api.Settings) -> None:
         """For what comes from now on: a job keeps its class, its plan and the limits that it began with."""
-        self.set = settings
+        self.settings = settings
         self.fleet.retune(settings)
-        self.counter.retune(settings)
-        self.fleet_time.gateways = settings.gateway_count
+        self.counter.apply_settings(settings)
+        self.cluster_clock.gateways = settings.gateway_count
         for key in itertools.product(settings.plans, (0, 1)):
-            self.uses.setdefault(key, PlanUse(now, GRANT_PRIOR[key[1]]))
+            self.plan_usage.setdefault(key, PlanUse(now, INITIAL_GRANTED_FRACTION[key[1]]))
         self.top = max(c.priority_weight for c in settings.classes.values())
 
     def request(self, now: float, req: api.Request) -> None:
-        cls, plan = self.set.classes[req.service_class], self.set.plans[req.plan]
+        cls, plan = self.settings.classes[req.service_class], self.settings.plans[req.plan]
         acct = self.accounts.pop(req.customer, None)
-        if acct is None or acct.plan != plan or acct.offset != self.fleet_time.offset:
-            acct = self.account(now, req, plan, acct)
-        self.accounts[req.customer], acct.seen_at = acct, now
+        if acct is None or acct.plan != plan or acct.clock_offset != self.cluster_clock.offset:
+            acct = self.current_account(now, req, plan, acct)
+        self.accounts[req.customer], acct.last_request_at = acct, now
         oldest = next(iter(self.accounts.values()))
-        if now - oldest.seen_at > IDLE_MOST and not (oldest.call or oldest.open_here):
+        if now - oldest.last_request_at > IDLE_MOST and not (
+            oldest.pending_call or oldest.open_attempts_here
+        ):
             del self.accounts[oldest.name]
         worth = cls.priority_weight * plan.price_factor * req.units
-        self.worth += (GAIN if self.worth else 1.0) * (worth - self.worth)
+        self.mean_priority += (GAIN if self.mean_priority else 1.0) * (worth - self.mean_priority)
         job = self.jobs[req.request_id] = Job(
             req,
             cls,
@@ -109,24 +117,26 @@
             worth,
             worth / max(self.fleet.mean[cls.name], 1e-6),
             ("host", "class " + cls.name, "plan " + plan.name),
-            self.set.limits,
+            self.settings.limits,
         )
-        if req.time_left < 2 * TICK or self.shed(now, job):  # no check would come round in time, or no room
-            self.refuse(now, job, 0.0)
-        elif acct.ceiling_room(now) < req.units:
-            self.refuse(now, job, (req.units - acct.cap) * acct.spread / plan.ceiling_rate)
+        if req.time_left < 2 * TICK or self.should_shed(
+            now, job
+        ):  # no check would come round in time, or no room
+            self.reject(now, job, 0.0)
+        elif acct.remaining_ceiling(now) < req.units:
+            self.reject(now, job, (req.units - acct.ceiling_units) * acct.gateway_spread / plan.ceiling_rate)
         elif plan.rate:
             self.want_units(now, job)
         else:
-            self.want_slot(now, job)
+            self.request_open_attempt(now, job)
 
-    def tick(self, now: float) -> None:
-        if now >= self.timer_at - 1e-6:
-            self.timer_at = math.inf
-        if now >= self.watch_at:
-            self.watch_at = math.inf
-            self.out.append(api.WatchEndpoints(True))
-        while self.due and self.due[0][0] <= now + 1e-6:
-            name = heapq.heappop(self.due)[1]
+    def on_timer(self, now: float) -> None:
+        if now >= self.timer_due_at - 1e-6:
+            self.timer_due_at = math.inf
+        if now >= self.watch_retry_at:
+            self.watch_retry_at = math.inf
+            self.actions.append(api.WatchEndpoints(True))
+        while self.due_checks and self.due_checks[0][0] <= now + 1e-6:
+            name = heapq.heappop(self.due_checks)[1]
             if name in self.jobs:
-                self.check(now, self.jobs[name])
+                self.check_request(now, self.jobs[name])
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -66,7 +66,7 @@
     return {
         "config": n.config,
         "settings": n.settings,
-        "module": n.module.set,
+        "module": n.module.settings,
         "connects": n.hosts.connect_timeout,
         "rests": n.hosts.idle_time,
         "discovery": n.discovery.url,
@@ -77,7 +77,7 @@
         "hosts": n.hosts.most,
         "bodies": n.clients.budget.most,
         "classes": dict(n.module.fleet.mean),
-        "plans": dict(n.module.uses),
+        "plans": dict(n.module.plan_usage),
         "current": n.changes.current,
         "history": n.changes.history,
         "connections": set(n.hosts.conns) | set(n.clients.clients),
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -167,8 +167,8 @@
 def held(monkeypatch):
     """Requests wait for a place at a host as long as the test likes."""
     for module in (attempts, shedding):
-        monkeypatch.setattr(module, "QUEUE_HOLD", 100.0)
-        monkeypatch.setattr(module, "QUEUE_LEAST", 1000)
+        monkeypatch.setattr(module, "MAX_QUEUE_TIME_FRACTION", 100.0)
+        monkeypatch.setattr(module, "MIN_QUEUE_LENGTH", 1000)
     return lambda node: setattr(node.node.module.fleet, "full", lambda *_: True)
 
 
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -26,8 +26,8 @@
 
 def duplicate():
     """What may have run is sent again, whatever its class."""
-    attempts.Attempts.fits = lambda self, job, s, now: s.host.id not in job.avoid
-    attempts.Attempts.window = lambda self, now, job: 1e9
+    attempts.Attempts.can_send_to = lambda self, job, s, now: s.host.id not in job.tried_endpoints
+    attempts.Attempts.send_time_left = lambda self, now, job: 1e9
 
 
 def drain():
--- a/tests/policy/test_quota_leases.py
+++ b/tests/policy/test_quota_leases.py
@@ -158,7 +158,7 @@
     w = World()
     acct_len = 4.0
     w.ask()
-    phase = w.gw.accounts["c"].start
+    phase = w.gw.accounts["c"].window_started_at
     w.now = phase + 2 * acct_len - 0.5  # late in a window that nothing was drawn in
     n = served(w, 60)
     assert n <= 8 + 4 + 1  # the burst, and what its even part passed uncharged
@@ -173,7 +173,7 @@
         for w in (a, b):
             w.now = max(a.now, b.now)
             served(w, 60)
-        start = a.gw.accounts["c"].start
+        start = a.gw.accounts["c"].window_started_at
         a.now = b.now = start + 4.0 + 0.001
         assert max(a.counts.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was drawn
 
@@ -214,7 +214,7 @@
         for s in of(w.ask()[1], api.SendAttempt):
             w.end(s)
         w.wait(0.04)
-    assert w.gw.counter.fails == 0
+    assert w.gw.counter.failure_count == 0
     assert [a for t, a in w.log if isinstance(a, api.AddToCounter) and t > start]
 
 
@@ -240,7 +240,7 @@
 def test_what_a_quiet_half_lets_pass_too_much_is_taken_from_the_next_window():
     w = World(settings(plans=[plan(rate=2.0, burst=40.0)]))
     w.ask()
-    w.now = w.gw.accounts["c"].start + 2 * 20.0 - 0.5
+    w.now = w.gw.accounts["c"].window_started_at + 2 * 20.0 - 0.5
     n, start = served(w, 120), w.now
     assert n <= 80
     w.now += 1.0
@@ -278,7 +278,7 @@
     w.ask(customer="b", units=4)
     w.mode = "answer"
     assert served(w, 1, customer="c", units=4) == 1
-    assert w.gw.counter.fails == 0
+    assert w.gw.counter.failure_count == 0
 
 
 def test_calls_without_answer_do_not_renew_the_local_allowance():
@@ -310,10 +310,10 @@
     use = PlanUse(100.0, 0.7)  # the first request comes much later
     passed = {}
     for second in range(130, 170):
-        use.note(float(second), 2.0, 2.0)
-        use.credit = 0.0
-        use.refill(second + 0.5)
-        passed[second - 130] = use.credit / 0.5
+        use.record_grant(float(second), 2.0, 2.0)
+        use.credit_units = 0.0
+        use.refill_credit(second + 0.5)
+        passed[second - 130] = use.credit_units / 0.5
     assert passed[1] > 0.5 and 1.2 < passed[5] < 2.8  # two a second are granted
     assert all(1.5 < passed[second] < 2.5 for second in range(10, 40))
 
@@ -322,17 +322,22 @@
     w = World(settings(plans=[plan(rate=2.0, burst=60.0)]))
     served(w, 12)
     acct = w.gw.accounts["c"]
-    acct.debt = 3.4376251  # as a fractional burst leaves it
+    acct.overdraft = 3.4376251  # as a fractional burst leaves it
     for name in w.counts:
-        w.counts[name] += acct.debt
-    acct.put, acct.total = acct.put + acct.debt, acct.total + acct.debt
+        w.counts[name] += acct.overdraft
+    acct.counted_units, acct.counter_total = (
+        acct.counted_units + acct.overdraft,
+        acct.counter_total + acct.overdraft,
+    )
     before = {name: total - 4e-7 for name, total in w.counts.items()}  # seven digits of it
     w.counts = dict(before)
     acct.lease = 0.0
     w.ask()
-    assert acct.put < 1.5 * max(before.values()) and max(w.counts.values()) - max(before.values()) <= 8
+    assert (
+        acct.counted_units < 1.5 * max(before.values()) and max(w.counts.values()) - max(before.values()) <= 8
+    )
     w.counts = {name: 0.0 for name in w.counts}  # one that is lost is added again
-    acct.lease, put = 0.0, acct.put
+    acct.lease, put = 0.0, acct.counted_units
     served(w, 4)
     assert max(w.counts.values()) >= put
 
--- a/tests/policy/test_quota_leases_cluster.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -70,7 +70,9 @@
         file.write_text(json.dumps(told(listed, discovery, self.counter.port, settings | {"index": n})))
         node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
         node.clock = self.clock
-        node.module.fleet_time.start = lambda now: None  # one clock for all, which the parts move on by hand
+        node.module.cluster_clock.start = lambda now: (
+            None
+        )  # one clock for all, which the parts move on by hand
         bear(node, 1000.0)  # hosts have room for all
         node.module.fleet.full = lambda *_: False
         node.port = await node.start()
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -40,7 +40,7 @@
     first = spend(w)
     change(w, TWICE)
     more = spend(w, 90)  # and at most as much again: the window's refill so far counts at the new rate
-    assert first >= 16 and 15 <= more <= 20 + w.gw.accounts["c"].hold(w.now) / 2 - 20
+    assert first >= 16 and 15 <= more <= 20 + w.gw.accounts["c"].window_quota(w.now) / 2 - 20
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -57,13 +57,13 @@
 def test_back_in_the_window_that_was_left_its_count_hears_what_was_spent_meanwhile(seed):
     w = world(seed)
     spend(w, 4)
-    kept, left = w.gw.accounts["c"], w.gw.accounts["c"].life
+    kept, left = w.gw.accounts["c"], w.gw.accounts["c"].lifetime_units
     change(w, FASTER)
     between = spend(w, 6)
     change(w, OLD)
     spend(w, 1)
-    assert w.gw.accounts["c"] is kept and between == 6 and kept.life - left >= 6
-    assert kept.total + kept.uncharged >= left + between
+    assert w.gw.accounts["c"] is kept and between == 6 and kept.lifetime_units - left >= 6
+    assert kept.counter_total + kept.uncharged_units >= left + between
 
 
 @pytest.mark.parametrize("fresh", [FASTER, DEARER])
@@ -91,14 +91,14 @@
     limited = plan(rate=2.0, burst=20.0, max_concurrent=4)
     w = World(settings(plans=[limited]))
     out = [s for _ in range(2) for s in of(w.ask(spread=2)[1], api.SendAttempt)]
-    assert len(out) == 2 and w.gw.accounts["c"].open_here == 2
+    assert len(out) == 2 and w.gw.accounts["c"].open_attempts_here == 2
     change(w, plan(rate=3.0, burst=20.0, max_concurrent=4))
     assert of(w.ask(spread=2)[1], api.RejectRequest)
     acct = w.gw.accounts["c"]
-    assert acct.open_here == 0 and acct.past[0].open_here == 2
+    assert acct.open_attempts_here == 0 and acct.previous_accounts[0].open_attempts_here == 2
     for s in out:
         w.end(s)
-    assert of(w.ask(spread=2)[1], api.SendAttempt) and acct.open_here == 1
+    assert of(w.ask(spread=2)[1], api.SendAttempt) and acct.open_attempts_here == 1
 
 
 def test_a_plan_that_went_and_came_back_goes_on_where_it_was():
@@ -122,7 +122,7 @@
     assert w.gw.jobs[waiting].stage == "units"
     change(w, FASTER)
     w.ask()
-    assert w.gw.accounts["c"].past
+    assert w.gw.accounts["c"].previous_accounts
     acts = w.do(api.CounterReply(calls[0].name, "ok", calls[0].amount, 0.002))
     w.mode = "answer"
     acts += w.do(
