--- a/api_gateway/experiments/scale/stamped.py
+++ b/api_gateway/experiments/scale/stamped.py
@@ -103,7 +103,7 @@
 
     def made(self, act: Callable[..., None], node: Any, *args: Any) -> None:
         act(node, *args)
-        handle, enqueue, jobs = node.module.handle, node.module.enqueue, node.module.jobs
+        handle, enqueue, jobs = node.module.handle, node.module.load_shedder.enqueue, node.module.jobs
 
         def handled(now: float, event: api.Event) -> list[api.Action]:
             began = monotonic()
@@ -121,12 +121,12 @@
             return actions
 
         def enqueued(now: float, job: Any) -> None:
-            trace = self.open.get(job.req.request_id)
+            trace = self.open.get(job.request.request_id)
             if trace is not None and trace.part == "lease":
                 trace.at("queue", monotonic())
             enqueue(now, job)
 
-        node.module.handle, node.module.enqueue = handled, enqueued
+        node.module.handle, node.module.load_shedder.enqueue = handled, enqueued
 
     def decided(
         self, action: api.SendAttempt | api.RejectRequest | api.FailRequest, began: float, ended: float
--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -1,4 +1,8 @@
-"""What a customer has left: windows and leases, and how the counter and the use of plans stand."""
+"""What this gateway knows of customers' quotas: windows, leases, ceilings, the counter and the use of plans.
+
+A quota holds over all gateways. A shared counter adds up what they charge in each window; a gateway leases
+units from it ahead of need, or admits a small allowance uncharged and charges that later.
+"""
 
 from __future__ import annotations
 
@@ -11,234 +15,286 @@
 from api_gateway import interface as api
 
 if TYPE_CHECKING:
-    from api_gateway.policy.request_state import Job
-
-UNCHARGED_ALLOWANCE_FRACTION, CHARGE_THRESHOLD_FRACTION = (
-    0.5,
-    0.5,
-)  # part of the even room passed uncharged; part of that which is then charged
-MIN_STRANDING_CHANCE = (
-    0.05  # least chance that an unspent unit is missed elsewhere (c2), customer nearly idle
-)
-FRACTIONAL_SHARE_REFILL = (
-    0.5  # part of the refill in a thin customer's hold: its overdrafts are seldom brought along
-)
-CONGESTED_LATENCY_FRACTION, CONGESTION_PRICE_SLOPE = (
-    0.5,
-    4.0,
-)  # part of the time-out from which a call is rationed; price there, in tries
-HALF_CONGESTION_GATEWAY_COUNT = 20.0  # gateways that are half a crowd, before the counter has been heard
-GRANT_RATE_WINDOW_S, GRANT_CREDIT_LIMIT_S = (
-    10.0,
-    2.0,
-)  # s that a plan's granted use is taken over; part of it that may pass at once
-MIN_OVER_QUOTA_COST = 0.2  # least cost of a unit sent on beyond quota, in its worth: it loads what all share
-BACKOFF_MOST, SILENT_FAILURE_COUNT = (
-    1.0,
-    2,
-)  # s; longest pause of a counter that is silent: so many failures in a row
-GAIN, QUICK = 0.05, 0.15  # weight of a new answer in means; where a change must show in a few answers
+    from api_gateway.policy.request_state import RequestState
+
+IDLE_MOST = 60.0  # s; life of an account without requests
+
+# Uncharged use
+UNCHARGED_ALLOWANCE_FRACTION = 0.5  # of this gateway's even part of what is left: may be admitted uncharged
+CHARGE_THRESHOLD_FRACTION = 0.5  # of that allowance: so much uncharged use starts a call that charges it
+FRACTIONAL_SHARE_REFILL = 0.5  # part of the refill counted where the even part of a burst is under a unit,
+# since there the overdraft of the last window is seldom brought along
+
+# Leases
+MIN_STRANDING_CHANCE = 0.05  # least chance that an unspent leased unit is missed at another gateway
+
+# The counter
+CONGESTED_LATENCY_FRACTION = 0.5  # part of the time-out from which on calls are rationed
+CONGESTION_PRICE_SLOPE = 4.0  # price of a call, in attempts, for each further part of the time-out
+HALF_CONGESTION_GATEWAY_COUNT = 20.0  # gateways at which half the congestion is expected before any answer
+BACKOFF_MOST = 1.0  # s; longest backoff from a silent counter
+SILENT_FAILURE_COUNT = 2  # failures in a row after which the counter is taken for silent
+
+# Use of plans
+GRANT_RATE_WINDOW_S = 10.0  # over which a plan's granted rate is averaged
+GRANT_CREDIT_LIMIT_S = 2.0  # of that rate: what may be admitted at once without asking
+MIN_OVER_QUOTA_COST = 0.2  # of a unit forwarded beyond quota, in its own value: it loads what all share
+
+# Running means
+GAIN = 0.05  # weight of a new value
+QUICK = 0.15  # the same where a change must show within a few values
 
 
 def stable_hash(*parts: object) -> int:
-    text = "\x1f".join(str(p) for p in parts).encode()
+    """Return a hash of the parts' texts that is the same in each process: 63 bits, not negative."""
+    text = "\x1f".join(str(part) for part in parts).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
 @dataclass(slots=True)
 class CounterCall:
+    """A call to the counter that was sent. This plain kind corrects a count: nobody waits for its reply."""
+
     account: Account
-    kind: str  # units, slot (a SlotCall) or void
-    window_number: int
-    charged_units: float = 0.0
-    requested_units: float = 0.0
-    sampled_units: float = 0.0  # for those that passed unasked
-    sample_weight: float = 1.0  # tries that it stands for
-    unrefilled_units: float = 0.0  # of the charge: spent just now
+    window_number: int  # the quota window, or the epoch of a count of open attempts
+
+
+@dataclass(slots=True)
+class LeaseCall(CounterCall):
+    """A call that charges units admitted before and leases further ones."""
 
+    charged_units: float
+    requested_units: float  # the lease
+    sampled_units: float  # counted for requests that were decided without a call
+    sample_weight: float  # requests that each waiting one stands for
+    unrefilled_units: float  # of `charged_units`: admitted just now, not made good by the refill
 
-@dataclass(slots=True, kw_only=True)
+
+@dataclass(slots=True)
 class OpenAttemptCall(CounterCall):
-    """For a place among the open attempts: always for one request. What gives a place back is void."""
+    """A call that counts one more open attempt, for the request that waits for it."""
 
-    job: Job
+    state: RequestState
 
 
 class Account:
+    """A customer's quota as this gateway sees it, in windows of one length.
+
+    A window refills at the plan's rate and holds at most a burst. Units are the plan's; times are seconds
+    of the module's clock.
+    """
+
     def __init__(
         self,
-        req: api.Request,
+        request: api.Request,
         plan: api.Plan,
-        born: float,
+        gateway_started_at: float,
         now: float,
         rng: random.Random,
-        offset: float = 0.0,
+        clock_offset: float = 0.0,
     ) -> None:
-        """`offset`: s by which the fleet's time, which names the windows, is ahead of `now`."""
-        self.name, self.plan, self.gateway_spread, self.open_attempts_here = (
-            req.customer,
-            plan,
-            req.gateway_spread,
-            0,
-        )
-        self.has_fractional_share = (
-            0 < plan.burst < self.gateway_spread
-        )  # an even part of the burst is less than a unit
+        """Begin an account with an empty ceiling and nothing charged.
+
+        Args:
+            request: The request that needs it.
+            plan: The customer's plan.
+            gateway_started_at: When this gateway began to decide; the ceiling fills up from then on.
+            now: The time, s.
+            rng: The gateway's generator; one number is drawn here and one with each new window.
+            clock_offset: s by which the cluster's time, which names the windows, is ahead of `now`.
+        """
+        self.name = request.customer
+        self.gateway_spread = request.gateway_spread
+        self.set_plan(plan)
+        self.rng = rng
+        self.last_request_at = now
+        self.open_attempts_here = 0  # within this gateway's own part of the limit
+        self.waiting_requests: list[str] = []  # ids of those that wait for the pending call
+        self.pending_call: LeaseCall | None = None
+        self.previous_accounts: list[Account] = []  # in other windows, while these or their attempts last
+
+        self.clock_offset = clock_offset
         self.window_length = plan.burst / plan.rate if plan.rate else 1.0
         self.window_phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.window_length
-        self.clock_offset = offset
         self.window_number = self.window_at(now)
         self.window_started_at = self.window_start(self.window_number)
-        self.lease = self.uncharged_units = self.unconfirmed_units = self.counted_units = (
-            0.0  # adrift: charged on calls without answer
-        )
-        self.counter_total = self.overdraft = self.used_units = self.previous_used_units = 0.0
+        self.exhausted_until = 0.0
+        self.rounding_draw = rng.random()  # rounds what is less than a request, once a window
+
+        self.lease = 0.0  # leased and not spent
+        self.uncharged_units = 0.0  # admitted and not charged at the counter
         self.uncharged_since = now
-        self.carried_units = self.others_carried_units = self.lifetime_units = (
-            0.0  # owed from old windows, here and by others; ever used
-        )
-        self.previous_accounts: list[
-            Account
-        ] = []  # the customer's in other windows, as long as these or their work last
-        self.pending_call: CounterCall | None = None
-        self.exhausted_until, self.last_request_at, self.rng, self.rounding_draw = 0.0, now, rng, rng.random()
-        self.waiting_requests: list[str] = []
-        # Ceiling: an even share, no failure can pass it; empty at a start, as the last life's use is unknown.
-        self.ceiling_updated_at, self.ceiling_units = (
-            now,
-            min(plan.ceiling_burst, (now - born) * plan.ceiling_rate) / self.gateway_spread,
-        )
+        self.unconfirmed_units = 0.0  # charged by calls that got no answer
+        self.counted_units = 0.0  # in the counter's total from this gateway alone
+        self.counter_total = 0.0  # as last known, with what was charged since
+        self.overdraft = 0.0  # of the window before, which counts in this one
+        self.carried_units = 0.0  # owed here from windows of another length
+        self.others_carried_units = 0.0  # the same owed by the other gateways
+        self.used_units = 0.0  # in this window, here
+        self.previous_used_units = 0.0  # in the window before
+        self.lifetime_units = 0.0  # ever
+
+        # An even part of the ceiling is enforced here alone, so that no failure can exceed it. It is empty
+        # at the start, since what the gateway's last incarnation used is unknown.
+        self.ceiling_updated_at = now
+        filled = (now - gateway_started_at) * plan.ceiling_rate
+        self.ceiling_units = min(plan.ceiling_burst, filled) / self.gateway_spread
+
+    def set_plan(self, plan: api.Plan) -> None:
+        """Go on under another plan whose windows are of the same length."""
+        self.plan = plan
+        self.has_fractional_share = 0 < plan.burst < self.gateway_spread  # an even part is under a unit
+
+    def has_windows_of(self, other: Account) -> bool:
+        """Say whether both have the same windows, by length and by time."""
+        is_same_length = math.isclose(self.window_length, other.window_length)
+        return is_same_length and self.clock_offset == other.clock_offset
 
     def window_at(self, now: float) -> int:
+        """Return the number of the window that `now` lies in."""
         return math.floor((now + self.clock_offset - self.window_phase) / self.window_length)
 
-    def window_start(self, window: int) -> float:
-        """When it begins, by the module's clock."""
-        return window * self.window_length + self.window_phase - self.clock_offset
+    def window_start(self, window_number: int) -> float:
+        """Return when a window begins, by the module's clock."""
+        return window_number * self.window_length + self.window_phase - self.clock_offset
 
     def advance_window(self, now: float) -> None:
-        """Turn to the window of `now`: leases lapse; what passed the burst is carried as debt."""
-        k = self.window_at(now)
-        if k == self.window_number:
+        """Turn to the window of `now`: leases lapse, and what exceeded the burst is carried as overdraft."""
+        number = self.window_at(now)
+        if number == self.window_number:
             return
-        debt = max(
-            0.0,
-            self.counter_total
-            + self.uncharged_units * self.gateway_spread
-            - self.plan.burst * (k - self.window_number),
-        )
-        self.previous_used_units = self.used_units if k == self.window_number + 1 else 0.0
-        self.window_number, self.window_started_at = k, self.window_start(k)
-        self.lease = self.uncharged_units = self.unconfirmed_units = self.counted_units = self.used_units = (
-            self.exhausted_until
-        ) = 0.0
-        self.counter_total, self.overdraft, self.rounding_draw = debt, debt, self.rng.random()
-        self.carried_units = self.others_carried_units = 0.0
+        refilled = self.plan.burst * (number - self.window_number)
+        overdraft = max(0.0, self.counter_total + self.uncharged_units * self.gateway_spread - refilled)
+        self.previous_used_units = self.used_units if number == self.window_number + 1 else 0.0
+        self.window_number = number
+        self.window_started_at = self.window_start(number)
+        self.lease = 0.0
+        self.uncharged_units = 0.0
+        self.unconfirmed_units = 0.0
+        self.counted_units = 0.0
+        self.used_units = 0.0
+        self.exhausted_until = 0.0
+        self.counter_total = overdraft
+        self.overdraft = overdraft
+        self.rounding_draw = self.rng.random()
+        self.carried_units = 0.0
+        self.others_carried_units = 0.0
 
     def record_use(self, units: float) -> None:
+        """Note that units were admitted here."""
         self.used_units += units
         self.lifetime_units += units
 
     def unrefilled_units(self, now: float) -> float:
-        """What of the uncharged the refill has not made good: missing from the store, however full it was."""
+        """Return what of the uncharged units the refill has not made good, however full the window was."""
         return max(0.0, self.uncharged_units - self.plan.rate * (now - self.uncharged_since))
 
     def carry_over_from(self, old: Account, now: float) -> None:
-        """In windows of another length a count begins from nothing, so each gateway owes what it let pass
-        itself, at most what the refill has not made good, and counts on the others to do the same. This
-        window has refilled nothing so far. Harm: leases in hand lapse as at a turn."""
+        """Take over the use of an account whose windows have another length or another time.
+
+        A count in new windows begins from nothing, so each gateway owes what it admitted itself, at most
+        what the refill has not made good, and relies on the others to do the same. This window has refilled
+        nothing so far. Harm: leases that are not spent lapse as at the end of a window.
+        """
         refill = old.window_quota(now) - old.plan.burst
-        missing = max(
-            old.unrefilled_units(now), old.counter_total + old.uncharged_units - max(refill, old.overdraft)
-        )
-        self.uncharged_units = self.carried_units = min(old.carried_units + old.used_units, missing)
+        used = old.counter_total + old.uncharged_units - max(refill, old.overdraft)
+        missing = max(old.unrefilled_units(now), used)
+        self.uncharged_units = min(old.carried_units + old.used_units, missing)
+        self.carried_units = self.uncharged_units
         self.overdraft = self.window_quota(now) - self.plan.burst + max(0.0, old.overdraft - refill)
         self.others_carried_units = missing - self.carried_units
-        self.counter_total, self.previous_used_units = (
-            self.overdraft + self.others_carried_units,
-            max(old.used_units, old.previous_used_units),
-        )
+        self.counter_total = self.overdraft + self.others_carried_units
+        self.previous_used_units = max(old.used_units, old.previous_used_units)
         if old.plan.ceiling_rate:
             self.ceiling_units = min(self.ceiling_units, old.remaining_ceiling(now))
 
     def window_quota(self, now: float) -> float:
-        return self.plan.burst + (
-            FRACTIONAL_SHARE_REFILL if self.has_fractional_share else 1.0
-        ) * self.plan.rate * (now - self.window_started_at)
+        """Return the units that all gateways may have used in this window by `now`."""
+        part = FRACTIONAL_SHARE_REFILL if self.has_fractional_share else 1.0
+        return self.plan.burst + part * self.plan.rate * (now - self.window_started_at)
 
     def remaining_units(self, now: float) -> float:
+        """Return the units left over all gateways, as far as is known here."""
         return min(self.plan.burst, self.window_quota(now) - self.counter_total) - self.uncharged_units
 
-    def uncharged_allowance(self, now: float, silent: bool) -> float:
-        part = (
-            max(
-                0.0,
-                min(self.plan.burst, self.window_quota(now) - self.counter_total + self.unconfirmed_units),
-            )
-            / self.gateway_spread
-        )
-        return (part if silent else part * UNCHARGED_ALLOWANCE_FRACTION) - self.unconfirmed_units
-
-    def block(self, c1: float) -> int:
-        """w = sqrt(c1 A / c2); c2 is the chance that a unit left unspent here is missed elsewhere."""
-        full = min(1.0, self.counter_total / self.plan.burst)
-        w = math.sqrt(
-            c1 * max(self.previous_used_units, self.used_units) / max(MIN_STRANDING_CHANCE, full * full)
-        )
-        return max(1, int(min(w, self.plan.burst, max(self.previous_used_units, self.used_units, 1.0))))
+    def uncharged_allowance(self, now: float, *, is_counter_failing: bool) -> float:
+        """Return the units that may be admitted here before they are charged.
+
+        Args:
+            now: The time, s.
+            is_counter_failing: Then the whole even part of what is left may be.
+        """
+        left = self.window_quota(now) - self.counter_total + self.unconfirmed_units
+        part = max(0.0, min(self.plan.burst, left)) / self.gateway_spread
+        allowed = part if is_counter_failing else part * UNCHARGED_ALLOWANCE_FRACTION
+        return allowed - self.unconfirmed_units
+
+    def block(self, call_cost: float) -> int:
+        """Return the units to lease at once: sqrt(call cost x use / chance that one is missed elsewhere).
+
+        Args:
+            call_cost: Of one call to the counter, in the value of a usual request.
+        """
+        used_fraction = min(1.0, self.counter_total / self.plan.burst)
+        stranding_chance = max(MIN_STRANDING_CHANCE, used_fraction * used_fraction)
+        size = math.sqrt(call_cost * max(self.previous_used_units, self.used_units) / stranding_chance)
+        return max(1, int(min(size, self.plan.burst, max(self.previous_used_units, self.used_units, 1.0))))
 
     def remaining_ceiling(self, now: float) -> float:
+        """Bring the ceiling up to `now` and return the units left under it here; infinite without one."""
         plan = self.plan
         if not plan.ceiling_rate:
             return math.inf
-        more = (now - self.ceiling_updated_at) * plan.ceiling_rate / self.gateway_spread
-        self.ceiling_units, self.ceiling_updated_at = (
-            min(plan.ceiling_burst / self.gateway_spread, self.ceiling_units + more),
-            now,
-        )
+        refill = (now - self.ceiling_updated_at) * plan.ceiling_rate / self.gateway_spread
+        self.ceiling_units = min(plan.ceiling_burst / self.gateway_spread, self.ceiling_units + refill)
+        self.ceiling_updated_at = now
         return self.ceiling_units
 
 
 class CounterState:
+    """How the shared counter fares, as its answers show, and whether a call is worth its price."""
+
     def __init__(self, settings: api.Settings) -> None:
+        """Begin as with many gateways that start at once: the more there are, the slower it is taken for."""
         self.apply_settings(settings)
-        self.failure_count, self.retry_at = int(not self.is_enabled), 0.0
-        self.latency_fraction = (
-            0.5 * settings.gateway_count / (settings.gateway_count + HALF_CONGESTION_GATEWAY_COUNT)
-        )  # many start as in a crowd
-        self.is_clock_wrong = False  # counts by this gateway's time would be another window's for the rest
+        self.failure_count = int(not self.is_enabled)  # in a row
+        self.retry_at = 0.0
+        count = settings.gateway_count
+        # Mean time of an answer, in parts of the time-out
+        self.latency_fraction = 0.5 * count / (count + HALF_CONGESTION_GATEWAY_COUNT)
+        self.is_clock_wrong = False  # then calls would name another window than the other gateways' do
 
     def apply_settings(self, settings: api.Settings) -> None:
-        self.is_enabled, self.timeout, self.price = (
-            settings.has_counter,
-            settings.counter_timeout,
-            settings.counter_price,
-        )
+        """Take over the settings' figures of the counter."""
+        self.is_enabled = settings.has_counter
+        self.timeout = settings.counter_timeout  # s
+        self.price = settings.counter_price  # of a call, in attempts
 
     def is_usable(self, now: float) -> bool:
-        return (
-            self.is_enabled
-            and not self.is_clock_wrong
-            and (now >= self.retry_at or self.failure_count < SILENT_FAILURE_COUNT)
-        )
+        """Say whether a call may be made now."""
+        is_backing_off = now < self.retry_at and self.failure_count >= SILENT_FAILURE_COUNT
+        return self.is_enabled and not self.is_clock_wrong and not is_backing_off
 
     def call_probability(self, gain: float) -> float:
-        """Chance that a call is made: the less it can change the decision, the sooner it gives way."""
-        return min(
-            1.0,
-            gain
-            / max(
-                1e-9,
-                self.price
-                + CONGESTION_PRICE_SLOPE * max(0.0, self.latency_fraction - CONGESTED_LATENCY_FRACTION),
-            ),
-        )
-
-    def record_answer(self, now: float, ok: bool, elapsed: float) -> None:
-        self.latency_fraction += QUICK * (
-            (min(1.0, elapsed / self.timeout) if ok else 1.0) - self.latency_fraction
-        )
-        if ok:
+        """Return the chance with which to make a call: the less it can change a decision, the lower.
+
+        Args:
+            gain: What the call is expected to gain, in the value of a usual request.
+        """
+        congestion = max(0.0, self.latency_fraction - CONGESTED_LATENCY_FRACTION)
+        return min(1.0, gain / max(1e-9, self.price + CONGESTION_PRICE_SLOPE * congestion))
+
+    def record_answer(self, now: float, *, is_ok: bool, elapsed: float) -> None:
+        """Take the end of a call into account.
+
+        Args:
+            now: The time, s.
+            is_ok: Whether the counter answered.
+            elapsed: s that it took.
+        """
+        latency = min(1.0, elapsed / self.timeout) if is_ok else 1.0
+        self.latency_fraction += QUICK * (latency - self.latency_fraction)
+        if is_ok:
             self.failure_count = 0
         elif now >= self.retry_at:  # a burst of failures counts once
             self.failure_count += 1
@@ -246,38 +302,119 @@
 
 
 class PlanUse:
-    """What the counter granted to a plan's customers here. They share their even parts, so a counter away or
-    crowded lets pass about what it did before. Harm: a flood takes the part of others of its plan."""
-
-    def __init__(self, now: float, share: float) -> None:
-        self.granted_fraction, self.answer_count, self.granted_rate, self.credit_units = share, 2, 0.0, 0.0
-        self.granted_rate_updated_at = self.credit_updated_at = now
-        self.first_grant_at = math.inf  # the first grant
+    """What the counter granted to a plan's customers here.
+
+    These share their even parts, so while the counter is silent or congested about as much is admitted as
+    before. Harm: a flood of one customer takes the part of others of its plan.
+    """
+
+    def __init__(self, now: float, granted_fraction: float) -> None:
+        """Begin without grants.
+
+        Args:
+            now: The time, s.
+            granted_fraction: Part of the asked units that is taken to be granted until answers show more.
+        """
+        self.granted_fraction = granted_fraction
+        self.answer_count = 2  # with those that the first fraction stands for
+        self.granted_rate = 0.0  # units a second, a fading mean
+        self.granted_rate_updated_at = now
+        self.credit_units = 0.0  # that may be admitted without asking
+        self.credit_updated_at = now
+        self.first_grant_at = math.inf
 
-    def record_grant(self, now: float, asked: float, granted: float) -> None:
+    def record_grant(self, now: float, requested: float, granted: float) -> None:
+        """Take an answer of the counter into account, in units."""
         self.refill_credit(now)
         self.answer_count += 1
-        self.granted_fraction += max(GAIN, 1 / self.answer_count) * (
-            min(1.0, granted / asked) - self.granted_fraction
-        )
+        fraction = min(1.0, granted / requested)
+        self.granted_fraction += max(GAIN, 1 / self.answer_count) * (fraction - self.granted_fraction)
         faded = self.granted_rate * math.exp((self.granted_rate_updated_at - now) / GRANT_RATE_WINDOW_S)
-        self.granted_rate, self.granted_rate_updated_at, self.first_grant_at = (
-            faded + granted / GRANT_RATE_WINDOW_S,
-            now,
-            min(self.first_grant_at, now),
-        )
+        self.granted_rate = faded + granted / GRANT_RATE_WINDOW_S
+        self.granted_rate_updated_at = now
+        self.first_grant_at = min(self.first_grant_at, now)
 
     def refill_credit(self, now: float) -> None:
-        """The mean counts from the first grant: over its whole span it would be too low for long, at a start
-        of all gateways as in each new life. Harm: a start with more than usual lets more pass for a while."""
-        heard = -math.expm1(-max(now - self.first_grant_at, GRANT_RATE_WINDOW_S / 2) / GRANT_RATE_WINDOW_S)
-        rate = self.granted_rate / heard
-        self.credit_units = min(
-            max(1.0, rate * GRANT_CREDIT_LIMIT_S), self.credit_units + rate * (now - self.credit_updated_at)
-        )
+        """Add what the plan's usual rate grants until `now`.
+
+        The mean is taken from the first grant on: over its whole window it would be too low for long at each
+        start. Harm: a start with more traffic than usual admits more for a while.
+        """
+        observed = max(now - self.first_grant_at, GRANT_RATE_WINDOW_S / 2)
+        rate = self.granted_rate / -math.expm1(-observed / GRANT_RATE_WINDOW_S)
+        limit = max(1.0, rate * GRANT_CREDIT_LIMIT_S)
+        self.credit_units = min(limit, self.credit_units + rate * (now - self.credit_updated_at))
         self.credit_updated_at = now
 
     def unasked_error_cost(self, plan: api.Plan) -> float:
+        """Return the expected cost of admitting a unit without asking, in the value of a unit."""
         return (1 - self.granted_fraction) * max(
             MIN_OVER_QUOTA_COST, plan.over_quota_cost - plan.over_quota_weight
         )
+
+
+class AccountTable:
+    """The customers' accounts at this gateway, in order of their last request."""
+
+    def __init__(self, now: float, rng: random.Random) -> None:
+        """Begin empty; `now` is when the gateway started to decide."""
+        self.started_at = now
+        self.rng = rng
+        self.accounts: dict[str, Account] = {}
+
+    def account_for(self, now: float, request: api.Request, plan: api.Plan, clock_offset: float) -> Account:
+        """Return the account of a request's customer, and forget the one that was idle longest.
+
+        Args:
+            now: The time, s.
+            request: The request.
+            plan: The customer's plan by the present settings.
+            clock_offset: s by which the cluster's time is ahead of `now`.
+        """
+        account = self.accounts.pop(request.customer, None)
+        if account is None or account.plan != plan or account.clock_offset != clock_offset:
+            account = self.renewed(
+                now, account, Account(request, plan, self.started_at, now, self.rng, clock_offset)
+            )
+        self.accounts[request.customer] = account
+        account.last_request_at = now
+        oldest = next(iter(self.accounts.values()))
+        is_idle = now - oldest.last_request_at > IDLE_MOST
+        if is_idle and not (oldest.pending_call or oldest.open_attempts_here):
+            del self.accounts[oldest.name]
+        return account
+
+    def renewed(self, now: float, old: Account | None, fresh: Account) -> Account:
+        """Return the account to go on with: `fresh`, or one whose windows go on under the new plan.
+
+        Args:
+            now: The time, s.
+            old: The customer's account so far, if there is one.
+            fresh: A new one for the present plan and time.
+        """
+        if old is None:
+            return fresh
+        old.advance_window(now)
+        if old.has_windows_of(fresh):
+            old.set_plan(fresh.plan)
+            return old
+        previous = [
+            account
+            for account in (*old.previous_accounts, old)
+            if account.open_attempts_here
+            or account.pending_call
+            or account.window_at(now) == account.window_number
+        ]
+        for account in previous:
+            if account.has_windows_of(fresh) and account.window_at(now) == account.window_number:
+                account.set_plan(fresh.plan)
+                missed = old.lifetime_units - account.lifetime_units  # its count has not heard of these
+                account.uncharged_units += missed
+                account.record_use(missed)
+                fresh = account
+                break
+        else:
+            fresh.carry_over_from(old, now)
+        fresh.lifetime_units = old.lifetime_units
+        fresh.previous_accounts = [account for account in previous if account is not fresh]
+        return fresh
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -1,43 +1,134 @@
-"""One gateway: which event goes where, and when it wants to be woken."""
+"""The decision engine of one gateway: wires the parts, hands each event to its part, and sets the timer."""
 
 from __future__ import annotations
 
-import heapq
-import itertools
 import math
+import random
 
 from api_gateway import interface as api
-from api_gateway.policy.cluster_clock import BEACON, LIFETIME
-from api_gateway.policy.customer_accounts import GAIN, PlanUse
-from api_gateway.policy.endpoints import TICK
-from api_gateway.policy.quota_leases import Quota
-from api_gateway.policy.request_state import IDLE_MOST, INITIAL_GRANTED_FRACTION, Job
+from api_gateway.policy.cluster_clock import BEACON, LIFETIME, FleetTime
+from api_gateway.policy.customer_accounts import Account, AccountTable, CounterState
+from api_gateway.policy.endpoints import TICK, Fleet
+from api_gateway.policy.load_shedding import LoadShedder
+from api_gateway.policy.quota_leases import OpenAttemptLimit, Quota
+from api_gateway.policy.request_state import TIMER_SLACK_S, CounterCalls, RequestState, RequestTable
+from api_gateway.policy.retries import Attempts, RetryBudget
 
+WATCH_RETRY_DELAY_S = 1.0  # after the endpoint list failed
+COUNTER_WAIT_TIMEOUTS = 2  # time-outs of the counter for which a request waits for it at most
 
-class Gateway(Quota):
-    """The module's face: see the folder."""
+
+class Gateway:
+    """The decisions of one gateway: events in, actions out.
+
+    It has no clock and does no I/O. All parts append to one list of actions and draw from one generator, so
+    the same events with the same seed give the same actions.
+    """
+
+    def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
+        """Build the parts.
+
+        Args:
+            settings: The deployment's settings.
+            seed: Of all random draws.
+            now: The time, s; that of events must not be less.
+        """
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.actions: list[api.Action] = []
+        self.timer_due_at = math.inf  # what the timer that was last asked for is set to
+        self.watch_retry_at = math.inf
+        self.is_clock_checked = False  # whether the counter has answered on the cluster's time
+        self.cluster_clock = FleetTime(settings.gateway_count, self.rng)
+        self.fleet = Fleet(settings, self.rng)
+        self.counter = CounterState(settings)
+        self.account_table = AccountTable(now, self.rng)
+        self.counter_calls = CounterCalls(self.actions)
+        self.requests = RequestTable(self.counter_calls, self.actions)
+        self.retry_budget = RetryBudget(settings.gateway_count)
+        self.attempts = Attempts(settings, self.fleet, self.requests, self.retry_budget, self.actions)
+        self.load_shedder = LoadShedder(
+            settings, now, self.rng, self.fleet, self.requests, self.attempts, self.retry_budget
+        )
+        self.open_attempts = OpenAttemptLimit(
+            self.rng,
+            self.fleet,
+            self.counter,
+            self.cluster_clock,
+            self.counter_calls,
+            self.requests,
+            self.load_shedder,
+        )
+        self.quota = Quota(
+            settings,
+            now,
+            self.rng,
+            self.counter,
+            self.cluster_clock,
+            self.counter_calls,
+            self.requests,
+            self.load_shedder,
+            self.open_attempts,
+        )
+
+    @property
+    def jobs(self) -> dict[str, RequestState]:
+        """The requests in work, by id."""
+        return self.requests.requests
+
+    @property
+    def accounts(self) -> dict[str, Account]:
+        """The customers' accounts, by name."""
+        return self.account_table.accounts
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        self.actions = []
+        """Decide on an event.
+
+        Args:
+            now: The time, s: not less than with the event before.
+            event: What happened.
+
+        Returns:
+            What to do, in order; the list is the caller's.
+        """
+        self.actions.clear()
+        self.dispatch(now, event)
+        self.load_shedder.send_queued(now)
+        if self.fleet.wish:
+            self.actions.append(api.ResizeSubset(self.fleet.wish))
+            self.fleet.wish = 0
+        next_check_at = self.requests.next_check_at()
+        if now >= self.cluster_clock.due:
+            self.actions.append(api.AddToCounter(BEACON, self.cluster_clock.call(now), LIFETIME))
+        due_at = min(next_check_at, self.watch_retry_at, self.cluster_clock.due)
+        if due_at < self.timer_due_at:  # what is due next; nothing when idle
+            self.timer_due_at = due_at
+            self.actions.append(api.SetTimer(max(0.0, due_at - now), 0))
+        return self.actions.copy()
+
+    def dispatch(self, now: float, event: api.Event) -> None:
+        """Hand an event to the part that it concerns: here those of the frequent kinds."""
         match event:
             case api.Request():
                 self.request(now, event)
             case api.AttemptEnded():
-                self.outcome(now, event)
+                self.attempts.outcome(now, event)
             case api.CounterReply(name=name) if name == BEACON:
                 self.on_cluster_clock_reply(now, event)
             case api.CounterReply():
-                self.on_counter_reply(now, event)
+                self.quota.on_counter_reply(now, event)
             case api.TimerFired():
                 self.on_timer(now)
             case api.EndpointList():
-                self.fleet.listed(now, event)
-                if event.mode == "failed":
-                    self.watch_retry_at = now + 1.0
-                elif event.mode == "cached" and self.settings.discovery_mode == "ask":
-                    self.actions.append(api.WatchEndpoints(True))
-            case api.ResponseStarted() if event.request_id in self.jobs:
-                self.on_response_started(self.jobs[event.request_id], event)
+                self.on_endpoint_list(now, event)
+            case _:
+                self.dispatch_rare(now, event)
+
+    def dispatch_rare(self, now: float, event: api.Event) -> None:
+        """Hand an event of the other kinds to its part; drop what concerns a request that has ended."""
+        match event:
+            case api.ResponseStarted() if event.request_id in self.requests.requests:
+                self.attempts.on_response_started(self.requests.requests[event.request_id], event)
             case api.EndpointOverride():
                 self.fleet.ban(now, event)
             case api.ClusterClockNeeded() if self.counter.is_enabled:
@@ -45,98 +136,102 @@
             case api.WallClockStepped():
                 self.fleet.clock_stepped(now, event.offset)
             case api.DrainChanged():
-                self.is_draining = event.draining
+                self.quota.is_draining = event.draining
             case api.SettingsChanged():
                 self.retune(now, event.settings)
-            case api.ClientDisconnected() if event.request_id in self.jobs:
-                self.finish(now, self.jobs[event.request_id])
-        self.send_queued(now)
-        if self.fleet.wish:
-            self.actions.append(api.ResizeSubset(self.fleet.wish))
-            self.fleet.wish = 0
-        while self.due_checks and self.due_checks[0][1] not in self.jobs:
-            heapq.heappop(self.due_checks)
-        if now >= self.cluster_clock.due:
-            self.actions.append(api.AddToCounter(BEACON, self.cluster_clock.call(now), LIFETIME))
-        at = min(
-            self.due_checks[0][0] if self.due_checks else math.inf,
-            self.watch_retry_at,
-            self.cluster_clock.due,
-        )
-        if at < self.timer_due_at:  # what is due next; nothing when idle
-            self.timer_due_at = at
-            self.actions.append(api.SetTimer(max(0.0, at - now), 0))
-        return self.actions
+            case api.ClientDisconnected() if event.request_id in self.requests.requests:
+                self.requests.finish(now, self.requests.requests[event.request_id])
+
+    def on_endpoint_list(self, now: float, event: api.EndpointList) -> None:
+        """Take over a list of endpoints; watch again where it failed or came from the cache."""
+        self.fleet.listed(now, event)
+        if event.mode == "failed":
+            self.watch_retry_at = now + WATCH_RETRY_DELAY_S
+        elif event.mode == "cached" and self.settings.discovery_mode == "ask":
+            self.actions.append(api.WatchEndpoints(True))
 
     def on_cluster_clock_reply(self, now: float, event: api.CounterReply) -> None:
-        """Windows are named by the fleet's time; where that is another than here, hosts' starts are, too."""
-        time, before, first = self.cluster_clock, self.cluster_clock.offset, not self.is_clock_checked
+        """Take over the cluster's time, which names the windows and dates the endpoints' starts."""
         if event.result == "late":
             return
+        clock = self.cluster_clock
+        offset_before = clock.offset
+        is_first = not self.is_clock_checked
         self.is_clock_checked = True
-        time.counted(now, event.result == "ok", event.total)
-        if first or time.synchronizing != self.counter.is_clock_wrong:
-            self.actions.append(api.ClusterClockChanged(time.synchronizing))
-        self.counter.is_clock_wrong = time.synchronizing
-        if time.offset != before:
-            self.actions.append(
-                api.LogMessage(f"the fleet's time is {time.offset:+.1f} s from this gateway's")
-            )
-            self.fleet.clock_stepped(now, time.offset)
+        clock.counted(now, event.result == "ok", event.total)
+        if is_first or clock.synchronizing != self.counter.is_clock_wrong:
+            self.actions.append(api.ClusterClockChanged(clock.synchronizing))
+        self.counter.is_clock_wrong = clock.synchronizing
+        if clock.offset != offset_before:
+            text = f"the fleet's time is {clock.offset:+.1f} s from this gateway's"
+            self.actions.append(api.LogMessage(text))
+            self.fleet.clock_stepped(now, clock.offset)
 
     def retune(self, now: float, settings: api.Settings) -> None:
-        """For what comes from now on: a job keeps its class, its plan and the limits that it began with."""
+        """Take over new settings for what comes from now on.
+
+        A request in work keeps its class, its plan and the limits that it began with.
+        """
         self.settings = settings
         self.fleet.retune(settings)
         self.counter.apply_settings(settings)
         self.cluster_clock.gateways = settings.gateway_count
-        for key in itertools.product(settings.plans, (0, 1)):
-            self.plan_usage.setdefault(key, PlanUse(now, INITIAL_GRANTED_FRACTION[key[1]]))
-        self.top = max(c.priority_weight for c in settings.classes.values())
-
-    def request(self, now: float, req: api.Request) -> None:
-        cls, plan = self.settings.classes[req.service_class], self.settings.plans[req.plan]
-        acct = self.accounts.pop(req.customer, None)
-        if acct is None or acct.plan != plan or acct.clock_offset != self.cluster_clock.offset:
-            acct = self.current_account(now, req, plan, acct)
-        self.accounts[req.customer], acct.last_request_at = acct, now
-        oldest = next(iter(self.accounts.values()))
-        if now - oldest.last_request_at > IDLE_MOST and not (
-            oldest.pending_call or oldest.open_attempts_here
-        ):
-            del self.accounts[oldest.name]
-        worth = cls.priority_weight * plan.price_factor * req.units
-        self.mean_priority += (GAIN if self.mean_priority else 1.0) * (worth - self.mean_priority)
-        job = self.jobs[req.request_id] = Job(
-            req,
-            cls,
-            plan,
-            acct,
-            now,
-            now + req.time_left,
-            worth,
-            worth / max(self.fleet.mean[cls.name], 1e-6),
-            ("host", "class " + cls.name, "plan " + plan.name),
-            self.settings.limits,
+        self.attempts.settings = settings
+        self.load_shedder.settings = settings
+        self.quota.apply_settings(now, settings)
+
+    def request(self, now: float, event: api.Request) -> None:
+        """Admit a new request, or reject it: by pressure, by its customer's ceiling, by its quota."""
+        service_class = self.settings.classes[event.service_class]
+        plan = self.settings.plans[event.plan]
+        account = self.account_table.account_for(now, event, plan, self.cluster_clock.offset)
+        priority = service_class.priority_weight * plan.price_factor * event.units
+        self.quota.record_priority(priority)
+        state = RequestState(
+            request=event,
+            service_class=service_class,
+            plan=plan,
+            account=account,
+            arrived_at=now,
+            deadline=now + event.time_left,
+            priority=priority,
+            priority_per_unit=priority / max(self.fleet.mean[service_class.name], 1e-6),
+            health_keys=("host", "class " + service_class.name, "plan " + plan.name),
+            limits=self.settings.limits,
         )
-        if req.time_left < 2 * TICK or self.should_shed(
-            now, job
-        ):  # no check would come round in time, or no room
-            self.reject(now, job, 0.0)
-        elif acct.remaining_ceiling(now) < req.units:
-            self.reject(now, job, (req.units - acct.ceiling_units) * acct.gateway_spread / plan.ceiling_rate)
+        self.requests.add(state)
+        # With so little time left no check would come round before the deadline.
+        if event.time_left < 2 * TICK or self.load_shedder.should_shed(now, state):
+            self.requests.reject(now, state, 0.0)
+        elif account.remaining_ceiling(now) < event.units:
+            missing = event.units - account.ceiling_units
+            self.requests.reject(now, state, missing * account.gateway_spread / plan.ceiling_rate)
         elif plan.rate:
-            self.want_units(now, job)
+            self.quota.want_units(now, state)
         else:
-            self.request_open_attempt(now, job)
+            self.open_attempts.request_place(now, state)
 
     def on_timer(self, now: float) -> None:
-        if now >= self.timer_due_at - 1e-6:
+        """Do what is due: watch the endpoint list again, and check requests."""
+        if now >= self.timer_due_at - TIMER_SLACK_S:
             self.timer_due_at = math.inf
         if now >= self.watch_retry_at:
             self.watch_retry_at = math.inf
             self.actions.append(api.WatchEndpoints(True))
-        while self.due_checks and self.due_checks[0][0] <= now + 1e-6:
-            name = heapq.heappop(self.due_checks)[1]
-            if name in self.jobs:
-                self.check_request(now, self.jobs[name])
+        while (state := self.requests.pop_due(now)) is not None:
+            self.check_request(now, state)
+
+    def check_request(self, now: float, state: RequestState) -> None:
+        """Reject a request that waited too long or nears its deadline; look after attempts in flight."""
+        is_ending = now >= state.deadline - 2 * TICK - TIMER_SLACK_S
+        if state.stage == "sent":
+            if not is_ending and not state.is_streaming:
+                self.attempts.handle_overdue_attempts(now, state)
+            return
+        max_wait = math.inf
+        if state.stage == "units":
+            max_wait = COUNTER_WAIT_TIMEOUTS * self.counter.timeout
+        elif state.stage == "queue":
+            max_wait = self.load_shedder.max_queue_time(state.service_class)
+        if is_ending or now - state.arrived_at >= max_wait - TIMER_SLACK_S:
+            self.requests.reject(now, state, 0.0)
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -1,92 +1,134 @@
-"""What is given up when hosts have no room or a quota is spent, and in which order."""
+"""Which requests are given up when endpoints have no capacity or a quota is spent, and in which order."""
 
 from __future__ import annotations
 
 import bisect
 import math
+import random
 
-from api_gateway.policy.endpoints import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR
-from api_gateway.policy.request_state import RETRY_MOST, Job
-from api_gateway.policy.retries import (
-    MAX_QUEUE_TIME_FRACTION,
-    MIN_QUEUE_LENGTH,
-    RETRY_BUDGET_PER_SEND,
-    RETRY_BUDGET_PER_SEND_WITH_CAPACITY,
-    Attempts,
-)
-
-ADMISSION_DECREASE_PER_S, ADMISSION_INCREASE_PER_S, MIN_ADMITTED_FRACTION = (
-    0.7,
-    0.15,
-    0.05,
-)  # 1/s down, 1/s up, least part that still passes
-
-
-class Shedding(Attempts):
-    """The queue in front of the hosts: the best paid goes first, the worst paid is refused."""
-
-    def should_shed(self, now: float, job: Job) -> bool:
-        """While answers come from servers that hold too much, what is worth least a unit of work is refused,
-        whatever the cause: one gateway of many has too few out for a limit of its own to relieve them."""
-        ranks = self.recent_priorities = [*self.recent_priorities[-63:], job.priority_per_unit]
-        step, fleet, self.admitted_fraction_updated_at = (
-            now - self.admitted_fraction_updated_at,
-            self.fleet,
-            now,
-        )
-        if fleet.pressure * math.exp(min(0.0, (fleet.answer_at + 1 - now) / PRESS_SPAN)) > PRESSED:
-            self.admitted_fraction = max(
-                MIN_ADMITTED_FRACTION,
-                self.admitted_fraction * math.exp(-ADMISSION_DECREASE_PER_S * min(step, 1.0)),
-            )
+from api_gateway import interface as api
+from api_gateway.policy.endpoints import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR, Fleet
+from api_gateway.policy.request_state import RequestState, RequestTable
+from api_gateway.policy.retries import Attempts, RetryBudget
+
+MAX_QUEUE_TIME_FRACTION = 0.5  # of the latency objective: longest wait for an endpoint
+MIN_QUEUE_LENGTH = 4  # requests that may always wait
+RECENT_REQUEST_COUNT = 64  # latest requests that a new one is ranked among
+ADMISSION_DECREASE_PER_S = 0.7  # rate at which the admitted fraction falls under pressure
+ADMISSION_INCREASE_PER_S = 0.15  # rate at which it recovers
+MIN_ADMITTED_FRACTION = 0.05  # least part that is admitted whatever the pressure
+PRESSURE_HOLD_S = 1.0  # for which the last answers' pressure counts in full
+
+
+def queue_rank(state: RequestState) -> tuple[bool, float]:
+    """Return the order in the queue: the last is sent first, the first is rejected first."""
+    return not state.is_over_quota, state.priority_per_unit
+
+
+class LoadShedder:
+    """The queue in front of the endpoints: the best paid goes first, the worst paid is rejected."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        now: float,
+        rng: random.Random,
+        fleet: Fleet,
+        requests: RequestTable,
+        attempts: Attempts,
+        retry_budget: RetryBudget,
+    ) -> None:
+        """Wire the parts; all requests are admitted at first."""
+        self.settings = settings
+        self.rng = rng
+        self.fleet = fleet
+        self.requests = requests
+        self.attempts = attempts
+        self.retry_budget = retry_budget
+        self.queue: list[RequestState] = []  # by rank; ended ones stay until they are reached
+        self.admitted_fraction = 1.0
+        self.admitted_fraction_updated_at = now
+        self.recent_priorities: list[float] = []  # per unit of work, of the latest requests
+
+    def should_shed(self, now: float, state: RequestState) -> bool:
+        """Say whether to reject a new request, since it is worth too little under the present pressure.
+
+        While answers come from endpoints that hold too much, what is worth least a unit of work is rejected,
+        whatever the cause: one gateway of many has too few in flight for a limit of its own to relieve them.
+        """
+        value = state.priority_per_unit
+        recent = [*self.recent_priorities[1 - RECENT_REQUEST_COUNT :], value]
+        self.recent_priorities = recent
+        elapsed = now - self.admitted_fraction_updated_at
+        self.admitted_fraction_updated_at = now
+        faded = math.exp(min(0.0, (self.fleet.answer_at + PRESSURE_HOLD_S - now) / PRESS_SPAN))
+        if self.fleet.pressure * faded > PRESSED:
+            decrease = math.exp(-ADMISSION_DECREASE_PER_S * min(elapsed, 1.0))
+            self.admitted_fraction = max(MIN_ADMITTED_FRACTION, self.admitted_fraction * decrease)
         else:
-            self.admitted_fraction = min(1.0, self.admitted_fraction + ADMISSION_INCREASE_PER_S * step)
-        luck, most = (
-            self.rng.random(),
-            (1 - self.admitted_fraction) * len(ranks) * (self.settings.gateway_count > LIMIT_MOST),
-        )
-        return (
-            most > 0
-            and luck * ranks.count(job.priority_per_unit) + sum(v < job.priority_per_unit for v in ranks)
-            < most
-        )
-
-    def handle_over_quota(self, now: float, job: Job, wait: float) -> None:
-        clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST and not self.queue
-        if job.plan.over_quota_weight > job.plan.over_quota_cost and clear:
-            job.is_over_quota = True
-            self.enqueue(now, job)
+            increase = ADMISSION_INCREASE_PER_S * elapsed
+            self.admitted_fraction = min(1.0, self.admitted_fraction + increase)
+        draw = self.rng.random()  # breaks the tie among equals; one draw for each request
+        if self.settings.gateway_count <= LIMIT_MOST:
+            return False  # the limit of each gateway relieves the endpoints
+        rejected_count = (1 - self.admitted_fraction) * len(recent)
+        if rejected_count <= 0:
+            return False
+        rank = draw * recent.count(value) + sum(other < value for other in recent)
+        return rank < rejected_count
+
+    def has_spare_capacity(self) -> bool:
+        """Say whether endpoints clearly have capacity."""
+        return self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
+
+    def max_queue_time(self, service_class: api.ServiceClass) -> float:
+        """Return the s that a request may wait for an endpoint."""
+        return MAX_QUEUE_TIME_FRACTION * service_class.latency_objective
+
+    def handle_over_quota(self, now: float, state: RequestState, retry_after: float) -> None:
+        """Forward a request beyond its quota where that pays and capacity is spare; else reject it.
+
+        Args:
+            now: The time, s.
+            state: The request.
+            retry_after: s until its quota has units again.
+        """
+        has_capacity = self.has_spare_capacity() and not self.queue
+        if state.plan.over_quota_weight > state.plan.over_quota_cost and has_capacity:
+            state.is_over_quota = True
+            self.enqueue(now, state)
         else:
-            self.reject(now, job, wait)
+            self.requests.reject(now, state, retry_after)
+
+    def enqueue(self, now: float, state: RequestState) -> None:
+        """Queue an admitted request under its customer's ceiling, and send what can be sent.
 
-    def enqueue(self, now: float, job: Job) -> None:
-        acct, units = job.account, job.req.units
-        if acct.remaining_ceiling(now) < units:
-            self.reject(now, job, 0.0)
+        The lowest rank is rejected when more wait than endpoints will take in time.
+        """
+        account = state.account
+        units = state.request.units
+        if account.remaining_ceiling(now) < units:
+            self.requests.reject(now, state, 0.0)
             return
-        acct.ceiling_units -= units  # spent before sending
-        job.stage = "queue"
-        bisect.insort(self.queue, job, key=lambda j: (not j.is_over_quota, j.priority_per_unit))
-        most = max(
-            MIN_QUEUE_LENGTH,
-            self.fleet.own_rate(now) * MAX_QUEUE_TIME_FRACTION * job.service_class.latency_objective,
-        )
-        self.queue = [j for j in self.queue if not j.is_done] if len(self.queue) > most else self.queue
-        if len(self.queue) > most:
-            self.reject(now, self.queue.pop(0), 0.0)
+        account.ceiling_units -= units  # spent before sending
+        state.stage = "queue"
+        bisect.insort(self.queue, state, key=queue_rank)
+        max_queue_time = self.max_queue_time(state.service_class)
+        max_length = max(MIN_QUEUE_LENGTH, self.fleet.own_rate(now) * max_queue_time)
+        if len(self.queue) > max_length:
+            self.queue = [queued for queued in self.queue if not queued.is_done]
+        if len(self.queue) > max_length:
+            self.requests.reject(now, self.queue.pop(0), 0.0)
         self.send_queued(now)
-        if job.stage == "queue" and not job.is_done:
-            self.schedule_check(now + MAX_QUEUE_TIME_FRACTION * job.service_class.latency_objective, job)
+        if state.stage == "queue" and not state.is_done:
+            self.requests.schedule_check(now + max_queue_time, state)
 
     def send_queued(self, now: float) -> None:
+        """Send what waits, best first, until no endpoint has capacity."""
         while self.queue:
-            job = self.queue[-1]
-            if not job.is_done:
-                if not self.send_attempt(now, job):
-                    return  # nothing was sent for it yet, so no server has room for any other either
-                clear = self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
-                share = RETRY_BUDGET_PER_SEND_WITH_CAPACITY if clear else RETRY_BUDGET_PER_SEND
-                self.retry_budget = min(
-                    max(2.0, RETRY_MOST / self.settings.gateway_count), self.retry_budget + share
-                )
+            state = self.queue[-1]
+            if not state.is_done:
+                if not self.attempts.send_attempt(now, state):
+                    return  # nothing was sent for it yet, so no endpoint has capacity for any other either
+                self.retry_budget.refill(self.settings.gateway_count, has_capacity=self.has_spare_capacity())
             self.queue.pop()
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -1,319 +1,422 @@
-"""Units and open attempts of customers: by lease, by allowance, by a count over all gateways."""
+"""Admission by quota: units leased at the shared counter, and places among the open attempts.
+
+`Quota` decides whether a customer has units left, by lease, by an uncharged allowance, or by a call to the
+counter where that is worth its price. `OpenAttemptLimit` does the same for attempts that are open at once.
+"""
 
 from __future__ import annotations
 
+import itertools
 import math
+import random
 
 from api_gateway import interface as api
+from api_gateway.policy.cluster_clock import FleetTime
 from api_gateway.policy.customer_accounts import (
     CHARGE_THRESHOLD_FRACTION,
     CONGESTED_LATENCY_FRACTION,
+    GAIN,
     Account,
     CounterCall,
+    CounterState,
+    LeaseCall,
     OpenAttemptCall,
+    PlanUse,
     stable_hash,
 )
-from api_gateway.policy.endpoints import TICK
-from api_gateway.policy.load_shedding import Shedding
-from api_gateway.policy.request_state import OPEN_COUNT_EPOCH_S, Job
-
-RESERVED_BURST_FRACTION = (
-    0.2  # share of a burst kept from the class worth least a unit, for the one worth most
-)
-CALL_TIME_COST = (
-    0.3  # worth of a call's time at the full time-out (c1 grows as the counter slows), squared share
-)
-UNHEARD_MOST = 256  # timed-out calls that are remembered in case that their totals come after all
-CORRECTION_CALL_VALUE = (
-    0.15  # worth of a call that only mends a count for others, or finds a limit seldom reached
+from api_gateway.policy.endpoints import TICK, Fleet
+from api_gateway.policy.load_shedding import LoadShedder
+from api_gateway.policy.request_state import (
+    OPEN_COUNT_EPOCH_S,
+    OWN_PART,
+    CounterCalls,
+    RequestState,
+    RequestTable,
 )
-TOTAL_ROUNDING_UNITS = 0.01  # units by which a total may be off: it is told to some digits only
-MAX_SAMPLE_WEIGHT = 20.0  # tries that a call stands for at most in what a plan was granted
-SAMPLE_MOST = 4.0  # a sampled charge stands for so many at most: more makes the count jump
-
-
-class Quota(Shedding):
-    """The design's mechanism: leases by adds on the counter, and the light customers' allowance."""
-
-    def current_account(self, now: float, req: api.Request, plan: api.Plan, old: Account | None) -> Account:
-        """A new customer's, or one whose plan or whose time has changed: the same windows go on."""
-        fresh = Account(req, plan, self.started_at, now, self.rng, self.cluster_clock.offset)
-        if old is None:
-            return fresh
-        old.advance_window(now)
-        if math.isclose(fresh.window_length, old.window_length) and fresh.clock_offset == old.clock_offset:
-            old.plan, old.has_fractional_share = plan, 0 < plan.burst < old.gateway_spread
-            return old
-        past = [
-            a
-            for a in (*old.previous_accounts, old)
-            if a.open_attempts_here or a.pending_call or a.window_at(now) == a.window_number
-        ]
-        same = [
-            a
-            for a in past
-            if math.isclose(a.window_length, fresh.window_length) and a.clock_offset == fresh.clock_offset
-        ]
-        left = [a for a in same if a.window_at(now) == a.window_number]
-        if left:
-            fresh = left[0]
-            fresh.plan, fresh.has_fractional_share = plan, 0 < plan.burst < fresh.gateway_spread
-            fresh.uncharged_units += (
-                old.lifetime_units - fresh.lifetime_units
-            )  # its count has not heard what was spent meanwhile
-            fresh.record_use(old.lifetime_units - fresh.lifetime_units)
+
+INITIAL_GRANTED_FRACTION = (0.5, 0.3)  # of first requests and of repeats, taken as granted before any was
+RESERVED_BURST_FRACTION = 0.2  # kept from the class with the lowest priority weight for the highest one
+CALL_TIME_COST = 0.3  # cost of a call's time at the full time-out, for the square of the part of it
+UNHEARD_MOST = 256  # timed-out calls that are remembered in case their totals come after all
+CORRECTION_CALL_VALUE = 0.15  # of a call that only corrects a count, or checks a limit seldom reached
+TOTAL_ROUNDING_UNITS = 0.01  # by which a total may be off: it is written with some digits only
+MAX_SAMPLE_WEIGHT = 20.0  # requests that a call stands for at most in what a plan was granted
+SAMPLE_MOST = 4.0  # requests that a sampled charge stands for at most: more makes the count jump
+COUNT_LIFETIME_WINDOWS = 3  # windows for which the counter is asked to keep a count
+
+
+class OpenAttemptLimit:
+    """Holds customers to their limit of open attempts over all gateways."""
+
+    def __init__(
+        self,
+        rng: random.Random,
+        fleet: Fleet,
+        counter: CounterState,
+        cluster_clock: FleetTime,
+        counter_calls: CounterCalls,
+        requests: RequestTable,
+        load_shedder: LoadShedder,
+    ) -> None:
+        """Wire the parts; places that are taken are noted in the accounts and the requests."""
+        self.rng = rng
+        self.fleet = fleet
+        self.counter = counter
+        self.cluster_clock = cluster_clock
+        self.counter_calls = counter_calls
+        self.requests = requests
+        self.load_shedder = load_shedder
+
+    def request_place(self, now: float, state: RequestState, *, can_ask: bool = True) -> None:
+        """Take a place for a request and queue it, or handle it as over quota.
+
+        This gateway owns an even part of the limit. The rest is shared by a count, which is asked with the
+        chance that the answer is worth, or judged by the expected number of open attempts.
+
+        Args:
+            now: The time, s.
+            state: The request.
+            can_ask: Whether the shared count may be asked.
+        """
+        account = state.account
+        plan = state.plan
+        own_part, shared_part = divmod(plan.max_concurrent, account.gateway_spread)
+        excess_chance = self.excess_probability(now, state)
+        cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
+        state.stage = "slot"
+        if own_part and sum(a.open_attempts_here for a in (account, *account.previous_accounts)) < own_part:
+            state.open_attempt_epoch = OWN_PART
+            account.open_attempts_here += 1
+        elif shared_part and can_ask and self.is_call_worthwhile(now, excess_chance, cost):
+            epoch = int((now + self.cluster_clock.offset) / OPEN_COUNT_EPOCH_S) + 1
+            self.counter_calls.count_open_attempt(account, epoch, 1, state)
+            self.requests.schedule_check(state.deadline, state)
+            return
+        elif plan.max_concurrent and (
+            plan.max_concurrent >= account.gateway_spread or excess_chance * cost >= 1 - excess_chance
+        ):
+            self.load_shedder.handle_over_quota(now, state, 0.0)
+            return
+        self.load_shedder.enqueue(now, state)
+
+    def excess_probability(self, now: float, state: RequestState) -> float:
+        """Return the chance that the limit is reached, by Little's law.
+
+        The customer's rate, which its units bound, times the usual time of an answer is the mean number of
+        open attempts; their number is taken as Poisson distributed.
+        """
+        account = state.account
+        plan = state.plan
+        window_age = max(now - account.window_started_at, account.window_length / 4)
+        rate = max(account.counter_total, account.used_units) / window_age
+        requests_per_s = min(rate, plan.rate or rate) / max(state.request.units, 1e-9)
+        mean = requests_per_s * self.fleet.mean[state.service_class.name]
+        return 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.max_concurrent))
+
+    def is_call_worthwhile(self, now: float, excess_chance: float, cost: float) -> bool:
+        """Say whether to ask the shared count; draws a number if the counter is usable."""
+        if not self.counter.is_usable(now):
+            return False
+        gain = max(excess_chance, CORRECTION_CALL_VALUE) * cost
+        return self.rng.random() < self.counter.call_probability(gain)
+
+    def on_counter_reply(self, now: float, event: api.CounterReply, call: OpenAttemptCall) -> None:
+        """Go on with the request that waited for the count, and give a place back that it can't use."""
+        state = call.state
+        account = call.account
+        is_full = event.total > account.plan.max_concurrent % account.gateway_spread
+        if event.result != "ok":
+            if not state.is_done:
+                state.open_attempt_epoch = 0
+                self.request_place(now, state, can_ask=False)
+            return
+        if state.is_done or is_full:
+            self.counter_calls.count_open_attempt(account, call.window_number, -1)
+        if state.is_done:
+            return
+        if is_full:
+            self.load_shedder.handle_over_quota(now, state, 0.0)
         else:
-            fresh.carry_over_from(old, now)
-        fresh.lifetime_units, fresh.previous_accounts = (
-            old.lifetime_units,
-            [a for a in past if a is not fresh],
-        )
-        return fresh
-
-    def reserved_units(self, job: Job) -> float:
-        """Kept for classes that earn more with a unit; binds near the end of a quota only."""
-        return (
-            RESERVED_BURST_FRACTION
-            * job.plan.burst
-            * (1 - job.service_class.priority_weight / self.max_priority_weight)
-            if self.max_priority_weight
-            else 0.0
-        )
+            state.open_attempt_epoch = call.window_number
+            self.load_shedder.enqueue(now, state)
+
+
+class Quota:
+    """Holds customers to their units by leases from the counter, and light ones by an uncharged allowance."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        now: float,
+        rng: random.Random,
+        counter: CounterState,
+        cluster_clock: FleetTime,
+        counter_calls: CounterCalls,
+        requests: RequestTable,
+        load_shedder: LoadShedder,
+        open_attempts: OpenAttemptLimit,
+    ) -> None:
+        """Wire the parts; nothing is known yet of the use of plans."""
+        self.rng = rng
+        self.counter = counter
+        self.cluster_clock = cluster_clock
+        self.counter_calls = counter_calls
+        self.requests = requests
+        self.load_shedder = load_shedder
+        self.open_attempts = open_attempts
+        self.plan_usage: dict[tuple[str, int], PlanUse] = {}  # by plan, for first requests and for repeats
+        self.timed_out_calls: dict[int, LeaseCall] = {}  # the last one of each count, by its name
+        self.mean_priority = 0.0  # a running mean over requests
+        self.is_draining = False  # clients are sent away: units leased ahead would lapse unused
+        self.apply_settings(now, settings)
 
-    def spare_units(self, now: float, job: Job) -> float:
-        return job.account.remaining_units(now) - self.reserved_units(job) - job.req.units
+    def apply_settings(self, now: float, settings: api.Settings) -> None:
+        """Take over the plans of new settings; what is known of the use of earlier plans stays."""
+        for plan, is_repeat in itertools.product(settings.plans, (0, 1)):
+            if (plan, is_repeat) not in self.plan_usage:
+                self.plan_usage[plan, is_repeat] = PlanUse(now, INITIAL_GRANTED_FRACTION[is_repeat])
+        self.max_priority_weight = max(c.priority_weight for c in settings.classes.values())
 
-    def take_units(self, now: float, job: Job) -> bool:
-        acct, units = job.account, job.req.units
-        if self.spare_units(now, job) + acct.lease < 0:
+    def record_priority(self, priority: float) -> None:
+        """Take a new request's priority into the mean."""
+        gain = GAIN if self.mean_priority else 1.0
+        self.mean_priority += gain * (priority - self.mean_priority)
+
+    def reserved_units(self, state: RequestState) -> float:
+        """Return the units kept from a request for classes that earn more with them."""
+        if not self.max_priority_weight:
+            return 0.0
+        relative = state.service_class.priority_weight / self.max_priority_weight
+        return RESERVED_BURST_FRACTION * state.plan.burst * (1 - relative)
+
+    def spare_units(self, now: float, state: RequestState) -> float:
+        """Return what is left over all gateways after a request's units and those kept from it."""
+        return state.account.remaining_units(now) - self.reserved_units(state) - state.request.units
+
+    def take_units(self, now: float, state: RequestState) -> bool:
+        """Admit a request by lease or by allowance; say whether it was admitted."""
+        account = state.account
+        units = state.request.units
+        if self.spare_units(now, state) + account.lease < 0:
             return False
-        left = acct.uncharged_allowance(now, self.counter.failure_count > 0) - acct.uncharged_units
-        if acct.lease >= units:
-            acct.lease -= units
+        is_failing = self.counter.failure_count > 0
+        allowed = account.uncharged_allowance(now, is_counter_failing=is_failing) - account.uncharged_units
+        if account.lease >= units:
+            account.lease -= units
         # What is less than a request is rounded at random, once a window: over all gateways it comes out.
-        elif acct.remaining_units(now) >= units and left >= units * (1 - acct.rounding_draw):
-            acct.uncharged_since = acct.uncharged_since if acct.uncharged_units else now
-            acct.uncharged_units += units
+        elif account.remaining_units(now) >= units and allowed >= units * (1 - account.rounding_draw):
+            if not account.uncharged_units:
+                account.uncharged_since = now
+            account.uncharged_units += units
         else:
             return False
-        acct.record_use(units)
-        self.request_open_attempt(now, job)
+        account.record_use(units)
+        self.open_attempts.request_place(now, state)
         return True
 
-    def want_units(self, now: float, job: Job) -> None:
-        job.account.advance_window(now)
-        use = self.plan_usage[job.plan.name, job.req.is_retry]
-        gain = (
-            job.priority
-            / max(self.mean_priority, 1e-9)
-            * min(use.granted_fraction, use.unasked_error_cost(job.plan))
-        )
+    def want_units(self, now: float, state: RequestState) -> None:
+        """Decide on the units of a new request, and lease more for its customer if that is due."""
+        state.account.advance_window(now)
+        use = self.plan_usage[state.plan.name, state.request.is_retry]
+        relative_priority = state.priority / max(self.mean_priority, 1e-9)
+        gain = relative_priority * min(use.granted_fraction, use.unasked_error_cost(state.plan))
         chance = self.counter.call_probability(gain)
-        self.decide_units(now, job, self.rng.random() < chance)
-        self.renew(
-            now, job.account, 1 / max(chance, 1 / MAX_SAMPLE_WEIGHT)
-        )  # it stands for those not asked too
-
-    def decide_units(self, now: float, job: Job, ask: bool) -> None:
-        acct, room = job.account, job.account.remaining_units(now)
-        if self.take_units(now, job):
+        self.decide_units(now, state, can_ask=self.rng.random() < chance)
+        self.renew(now, state.account, 1 / max(chance, 1 / MAX_SAMPLE_WEIGHT))
+
+    def decide_units(self, now: float, state: RequestState, *, can_ask: bool) -> None:
+        """Admit a request, handle it as over quota, or have it wait for a call to the counter.
+
+        Args:
+            now: The time, s.
+            state: The request.
+            can_ask: Whether it may wait for a call.
+        """
+        account = state.account
+        remaining = account.remaining_units(now)
+        if self.take_units(now, state):
             return
-        if now < acct.exhausted_until or self.spare_units(now, job) < 0:
-            self.handle_over_quota(now, job, (job.req.units - room) / acct.plan.rate)
-        elif ask and self.counter.is_usable(now):
-            acct.waiting_requests.append(job.req.request_id)
-            self.schedule_check(now + 2 * self.counter.timeout + TICK, job)
+        if now < account.exhausted_until or self.spare_units(now, state) < 0:
+            retry_after = (state.request.units - remaining) / account.plan.rate
+            self.load_shedder.handle_over_quota(now, state, retry_after)
+        elif can_ask and self.counter.is_usable(now):
+            account.waiting_requests.append(state.request.request_id)
+            self.requests.schedule_check(now + 2 * self.counter.timeout + TICK, state)
         else:
-            self.unasked(now, job)
+            self.unasked(now, state)
 
-    def unasked(self, now: float, job: Job) -> None:
-        use, units = self.plan_usage[job.plan.name, job.req.is_retry], job.req.units
+    def unasked(self, now: float, state: RequestState) -> None:
+        """Decide without the counter: admit a light customer as far as its plan's customers usually are."""
+        use = self.plan_usage[state.plan.name, state.request.is_retry]
+        units = state.request.units
         use.refill_credit(now)
-        if (
-            job.account.has_fractional_share
-            and use.credit_units >= units
-            and use.granted_fraction > use.unasked_error_cost(job.plan)
-        ):
+        is_likely_granted = use.granted_fraction > use.unasked_error_cost(state.plan)
+        if state.account.has_fractional_share and use.credit_units >= units and is_likely_granted:
             use.credit_units -= units
-            job.account.record_use(units)
-            self.request_open_attempt(now, job)
+            state.account.record_use(units)
+            self.open_attempts.request_place(now, state)
         else:
-            self.handle_over_quota(now, job, 0.0)
+            self.load_shedder.handle_over_quota(now, state, 0.0)
 
-    def renew(self, now: float, acct: Account, factor: float = 1.0) -> None:
-        if acct.pending_call is not None or not self.counter.is_usable(now):
+    def waiting(self, account: Account) -> list[RequestState]:
+        """Return the requests that still wait for the account's call."""
+        requests = self.requests.requests
+        return [requests[name] for name in account.waiting_requests if name in requests]
+
+    def renew(self, now: float, account: Account, sample_weight: float = 1.0) -> None:
+        """Call the counter if requests wait for it, a charge is due or the lease runs low.
+
+        Args:
+            now: The time, s.
+            account: The customer's.
+            sample_weight: Requests that each waiting one stands for, with those that were not asked for.
+        """
+        if account.pending_call is not None or not self.counter.is_usable(now):
             return
-        need = sum(self.jobs[i].req.units for i in acct.waiting_requests if i in self.jobs)
-        w = (
-            0
-            if self.is_draining
-            else acct.block(self.counter.price + CALL_TIME_COST * self.counter.latency_fraction**2)
-        )
-        room = acct.remaining_units(now)
-        more = acct.lease < w / 2 and room > w * acct.gateway_spread and now >= acct.exhausted_until
-        due = acct.uncharged_units > max(
-            1.0, CHARGE_THRESHOLD_FRACTION * acct.uncharged_allowance(now, False)
+        needed = sum(state.request.units for state in self.waiting(account))
+        lease_size = 0
+        if not self.is_draining:
+            time_cost = CALL_TIME_COST * self.counter.latency_fraction**2
+            lease_size = account.block(self.counter.price + time_cost)
+        remaining = account.remaining_units(now)
+        is_lease_low = (
+            account.lease < lease_size / 2
+            and remaining > lease_size * account.gateway_spread
+            and now >= account.exhausted_until
         )
-        if not (need or due or (acct.counted_units and more)):
+        allowance = account.uncharged_allowance(now, is_counter_failing=False)
+        is_charge_due = account.uncharged_units > max(1.0, CHARGE_THRESHOLD_FRACTION * allowance)
+        if not (needed or is_charge_due or (account.counted_units and is_lease_low)):
             return
-        ask = max(need, w) - acct.lease if need else w * more
-        ask = max(0, int(min(math.ceil(ask), max(room, 0.0))))
-        if ask + acct.uncharged_units <= 0:
-            self.settle_waiting_requests(now, acct)
+        wanted = max(needed, lease_size) - account.lease if needed else lease_size * is_lease_low
+        requested = max(0, int(min(math.ceil(wanted), max(remaining, 0.0))))
+        if requested + account.uncharged_units <= 0:
+            self.settle_waiting_requests(now, account)
             return
-        extra = need * (min(SAMPLE_MOST, factor) - 1)
-        call = acct.pending_call = CounterCall(
-            acct,
-            "units",
-            acct.window_number,
-            acct.uncharged_units,
-            ask,
-            extra,
-            factor,
-            acct.unrefilled_units(now),
-        )
-        acct.counter_total += acct.uncharged_units
-        acct.uncharged_units = 0.0
-        self.add_to_counter(
-            stable_hash(acct.name, acct.window_number),
-            ask + call.charged_units + call.sampled_units,
-            3 * acct.window_length,
-            call,
+        sampled = needed * (min(SAMPLE_MOST, sample_weight) - 1)
+        self.send_lease_call(now, account, requested, sampled, sample_weight)
+
+    def send_lease_call(
+        self, now: float, account: Account, requested: float, sampled: float, sample_weight: float
+    ) -> None:
+        """Charge what was admitted uncharged and ask for a lease: all amounts in units."""
+        call = LeaseCall(
+            account,
+            account.window_number,
+            charged_units=account.uncharged_units,
+            requested_units=requested,
+            sampled_units=sampled,
+            sample_weight=sample_weight,
+            unrefilled_units=account.unrefilled_units(now),
         )
+        account.pending_call = call
+        account.counter_total += account.uncharged_units
+        account.uncharged_units = 0.0
+        self.add_to_window(account, requested + call.charged_units + call.sampled_units, call)
+
+    def add_to_window(self, account: Account, units: float, call: CounterCall) -> None:
+        """Send a call that adds units to the count of the account's window."""
+        name = stable_hash(account.name, account.window_number)
+        self.counter_calls.add(name, units, COUNT_LIFETIME_WINDOWS * account.window_length, call)
 
     def on_counter_reply(self, now: float, event: api.CounterReply) -> None:
+        """Handle the end of a call to the counter."""
         if event.result == "late":
             self.on_late_counter_reply(now, event)
-        if event.result == "late" or event.name not in self.pending_calls:
             return
-        call, *rest = self.pending_calls.pop(event.name)
-        self.pending_calls.update({event.name: rest} if rest else {})
-        ok, acct = event.result == "ok", call.account
-        self.counter.record_answer(now, ok, event.elapsed)
-        if ok:
+        call = self.counter_calls.take(event.name)
+        if call is None:
+            return
+        is_ok = event.result == "ok"
+        self.counter.record_answer(now, is_ok=is_ok, elapsed=event.elapsed)
+        if is_ok:
             self.cluster_clock.counter_answers(now)
-        if call.kind == "units":
-            acct.pending_call = None
-            acct.advance_window(now)
-            if call.window_number == acct.window_number and ok:
-                self.apply_grant(now, acct, event.total, call)
-            elif call.window_number == acct.window_number and event.result != "timeout":
-                acct.uncharged_units += call.charged_units  # surely not added: the charge is still owed
-                acct.counter_total -= call.charged_units
-            elif call.window_number == acct.window_number:
-                acct.unconfirmed_units += (
-                    call.charged_units
-                )  # else each silent call would renew the allowance
+        if isinstance(call, LeaseCall):
+            self.on_lease_reply(now, event, call)
+        elif isinstance(call, OpenAttemptCall):
+            self.open_attempts.on_counter_reply(now, event, call)
+
+    def on_lease_reply(self, now: float, event: api.CounterReply, call: LeaseCall) -> None:
+        """Take over a lease, or what is owed when there was no answer, and go on with who waited."""
+        account = call.account
+        account.pending_call = None
+        account.advance_window(now)
+        if call.window_number == account.window_number:
+            if event.result == "ok":
+                self.apply_grant(now, account, event.total, call)
+            elif event.result != "timeout":
+                account.uncharged_units += call.charged_units  # surely not added: the charge is still owed
+                account.counter_total -= call.charged_units
+            else:
+                account.unconfirmed_units += call.charged_units  # else silent calls would renew the allowance
                 self.timed_out_calls[event.name] = call
                 while len(self.timed_out_calls) > UNHEARD_MOST:
                     del self.timed_out_calls[next(iter(self.timed_out_calls))]
-            self.settle_waiting_requests(now, acct)
-        elif isinstance(call, OpenAttemptCall):
-            self.on_open_attempt_counted(now, event, call)
+        self.settle_waiting_requests(now, account)
 
     def on_late_counter_reply(self, now: float, event: api.CounterReply) -> None:
-        """The lease is in the count, so it is spent here: left alone, it would fill the count for nobody."""
+        """Take over a lease whose call had timed out: it is in the count, so it is spent here."""
         call = self.timed_out_calls.pop(event.name, None)
         if call is not None:
             call.account.advance_window(now)
             if call.window_number == call.account.window_number:
                 self.apply_grant(now, call.account, event.total, call)
 
-    def apply_grant(self, now: float, acct: Account, total: float, call: CounterCall) -> None:
-        mine, extra = call.charged_units + call.requested_units + call.sampled_units, 0.0
-        if total <= mine + TOTAL_ROUNDING_UNITS and not acct.counted_units:
-            extra = acct.overdraft  # whoever finds the count empty brings the last window's overdraft along
-        elif (
-            total < acct.counted_units + mine - TOTAL_ROUNDING_UNITS
-        ):  # less than what is ours alone: a count was lost; ours again
-            extra = acct.counted_units
-        total = max(total, acct.others_carried_units + acct.counted_units + mine)
-        if (
-            not acct.has_fractional_share
-        ):  # the store holds a burst at most: what a quiet customer let run over is gone
-            extra += max(
-                0,
-                int(
-                    acct.window_quota(now)
-                    - acct.plan.burst
-                    - (total + extra - call.requested_units - call.unrefilled_units)
-                ),
-            )
-        jobs = [self.jobs[i] for i in acct.waiting_requests if i in self.jobs]
-        kept = min((self.reserved_units(j) for j in jobs), default=0.0)
-        over = min(call.requested_units, max(0.0, math.ceil(total + extra + kept - acct.window_quota(now))))
-        acct.counted_units += mine + extra - over
-        acct.counter_total, acct.unconfirmed_units = total + extra - over, 0.0
-        acct.lease += call.requested_units - over
-        need = sum(j.req.units for j in jobs)
-        if need:
-            use = self.plan_usage[acct.plan.name, jobs[0].req.is_retry]
-            use.record_grant(now, need * call.sample_weight, min(need, acct.lease) * call.sample_weight)
-        if self.rng.random() < self.counter.call_probability(
-            CORRECTION_CALL_VALUE
-        ):  # in a crowd the excess stays counted
-            extra -= over
-        if extra:
-            self.add_to_counter(
-                stable_hash(acct.name, acct.window_number),
-                extra,
-                3 * acct.window_length,
-                CounterCall(acct, "void", acct.window_number),
-            )
-
-    def settle_waiting_requests(self, now: float, acct: Account) -> None:
-        waiting, acct.waiting_requests = acct.waiting_requests, []
-        jobs = [self.jobs[i] for i in waiting if i in self.jobs]
-        for job in sorted(jobs, key=lambda j: -j.priority / max(j.req.units, 1e-9)):
-            if acct.remaining_units(now) + acct.lease < job.req.units:
-                wait = max(0.0, 1 - acct.remaining_units(now)) / acct.plan.rate
-                crowd = (
-                    self.counter.latency_fraction > CONGESTED_LATENCY_FRACTION
-                )  # others wait for the same unit: no call until the turn
-                acct.exhausted_until = acct.window_started_at + acct.window_length if crowd else now + wait
-            self.decide_units(now, job, not self.counter.failure_count > 0)
-        if acct.waiting_requests:
-            self.renew(now, acct)
-
-    def request_open_attempt(self, now: float, job: Job, ask: bool = True) -> None:
-        """Own even part of the open limit; the rest is shared by a count, asked for what that changes, or
-        judged by Little's law from the customer's rate, which its units bound, and the time of answers."""
-        acct, plan = job.account, job.plan
-        own, shared = divmod(plan.max_concurrent, acct.gateway_spread)
-        rate = max(acct.counter_total, acct.used_units) / max(
-            now - acct.window_started_at, acct.window_length / 4
-        )
-        mean = (
-            min(rate, plan.rate or rate) / max(job.req.units, 1e-9) * self.fleet.mean[job.service_class.name]
-        )
-        over = 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.max_concurrent))
-        cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
-        job.stage = "slot"
-        if own and sum(a.open_attempts_here for a in (acct, *acct.previous_accounts)) < own:
-            job.open_attempt_epoch = -1
-            acct.open_attempts_here += 1
-        elif (
-            shared
-            and ask
-            and self.counter.is_usable(now)
-            and (self.rng.random() < self.counter.call_probability(max(over, CORRECTION_CALL_VALUE) * cost))
-        ):
-            self.count_open_attempt(
-                acct, int((now + self.cluster_clock.offset) / OPEN_COUNT_EPOCH_S) + 1, 1, job
-            )
-            self.schedule_check(job.deadline, job)
-            return
-        elif plan.max_concurrent and (plan.max_concurrent >= acct.gateway_spread or over * cost >= 1 - over):
-            self.handle_over_quota(now, job, 0.0)
-            return
-        self.enqueue(now, job)
-
-    def on_open_attempt_counted(self, now: float, event: api.CounterReply, call: OpenAttemptCall) -> None:
-        job, acct, ok = call.job, call.account, event.result == "ok"
-        if ok and (job.is_done or event.total > acct.plan.max_concurrent % acct.gateway_spread):
-            self.count_open_attempt(acct, call.window_number, -1)
-        if ok and not job.is_done and event.total > acct.plan.max_concurrent % acct.gateway_spread:
-            self.handle_over_quota(now, job, 0.0)
-        elif not job.is_done:
-            job.open_attempt_epoch = call.window_number if ok else 0
-            self.enqueue(now, job) if ok else self.request_open_attempt(now, job, False)
+    def apply_grant(self, now: float, account: Account, total: float, call: LeaseCall) -> None:
+        """Take over what the counter's total leaves of a lease, and correct the count where it has to be.
+
+        Args:
+            now: The time, s.
+            account: The customer's, in the window of the call.
+            total: The count after the call, in units.
+            call: The call.
+        """
+        added = call.charged_units + call.requested_units + call.sampled_units
+        correction = 0.0
+        if total <= added + TOTAL_ROUNDING_UNITS and not account.counted_units:
+            correction = account.overdraft  # whoever finds the count empty brings the last overdraft along
+        elif total < account.counted_units + added - TOTAL_ROUNDING_UNITS:
+            correction = account.counted_units  # less than what is ours alone: a count was lost
+        total = max(total, account.others_carried_units + account.counted_units + added)
+        quota = account.window_quota(now)
+        if not account.has_fractional_share:  # a window holds a burst at most: what ran over is gone
+            used = total + correction - call.requested_units - call.unrefilled_units
+            correction += max(0, int(quota - account.plan.burst - used))
+        waiting = self.waiting(account)
+        reserved = min((self.reserved_units(state) for state in waiting), default=0.0)
+        excess = min(call.requested_units, max(0.0, math.ceil(total + correction + reserved - quota)))
+        account.counted_units += added + correction - excess
+        account.counter_total = total + correction - excess
+        account.unconfirmed_units = 0.0
+        account.lease += call.requested_units - excess
+        self.record_grant(now, account, waiting, call.sample_weight)
+        if self.rng.random() < self.counter.call_probability(CORRECTION_CALL_VALUE):
+            correction -= excess  # in congestion the excess stays counted
+        if correction:
+            self.add_to_window(account, correction, CounterCall(account, account.window_number))
+
+    def record_grant(
+        self, now: float, account: Account, waiting: list[RequestState], sample_weight: float
+    ) -> None:
+        """Note in the use of a plan what the waiting requests need and what the lease covers."""
+        needed = sum(state.request.units for state in waiting)
+        if needed:
+            use = self.plan_usage[account.plan.name, waiting[0].request.is_retry]
+            use.record_grant(now, needed * sample_weight, min(needed, account.lease) * sample_weight)
+
+    def settle_waiting_requests(self, now: float, account: Account) -> None:
+        """Decide on the requests that waited for a call, those with the most priority a unit first."""
+        waiting = self.waiting(account)
+        account.waiting_requests = []
+        waiting.sort(key=lambda state: -state.priority / max(state.request.units, 1e-9))
+        for state in waiting:
+            remaining = account.remaining_units(now)
+            if remaining + account.lease < state.request.units:
+                if self.counter.latency_fraction > CONGESTED_LATENCY_FRACTION:
+                    # Others wait for the same unit: no call until the window ends.
+                    account.exhausted_until = account.window_started_at + account.window_length
+                else:
+                    account.exhausted_until = now + max(0.0, 1 - remaining) / account.plan.rate
+            self.decide_units(now, state, can_ask=self.counter.failure_count == 0)
+        if account.waiting_requests:
+            self.renew(now, account)
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -1,128 +1,169 @@
-"""The requests in work, and all that their parts share: what is due, what is counted, how one ends."""
+"""The requests that were taken and not yet ended, when each is to be checked, and the calls to the counter.
+
+`RequestTable` ends requests; whatever a request holds is given back there. `CounterCalls` owns the calls that
+were sent to the shared counter and not answered.
+"""
 
 from __future__ import annotations
 
 import heapq
 import math
-import random
 from dataclasses import dataclass, field
+from typing import Literal
 
 from api_gateway import interface as api
-from api_gateway.policy.cluster_clock import FleetTime
-from api_gateway.policy.customer_accounts import (
-    Account,
-    CounterCall,
-    CounterState,
-    OpenAttemptCall,
-    PlanUse,
-    stable_hash,
-)
-from api_gateway.policy.endpoints import TICK, Fleet
-
-INITIAL_GRANTED_FRACTION = (
-    0.5,
-    0.3,
-)  # share of first tries and of repeats taken to be granted, before any was
-OPEN_COUNT_EPOCH_S, IDLE_MOST = 5.0, 60.0  # s; life of a count of open attempts, and of an idle account
-INITIAL_RETRY_BUDGET, RETRY_MOST = 15.0, 30.0  # retries over all gateways at the start; that may be saved up
+from api_gateway.policy.customer_accounts import Account, CounterCall, OpenAttemptCall, stable_hash
+from api_gateway.policy.endpoints import TICK
+
+OPEN_COUNT_EPOCH_S = 5.0  # life of one count of open attempts
+MAX_COUNTER_LIFETIME_S = 60.0  # longest and shortest time for which the counter is asked to keep a count
+MIN_COUNTER_LIFETIME_S = 1.0
+TIMER_SLACK_S = 1e-6  # a timer may fire early by so much, by rounding
+OWN_PART = -1  # in place of an epoch: the open attempt is within this gateway's own part of the limit
+
+# What a request waits for: units of its quota, a place among the open attempts, an endpoint, or its answer
+Stage = Literal["units", "slot", "queue", "sent"]
+
+
+@dataclass(slots=True)
+class SentAttempt:
+    """An attempt that was sent."""
+
+    endpoint: api.Endpoint
+    sent_at: float
 
 
 @dataclass(slots=True)
-class Job:
-    req: api.Request
+class RequestState:
+    """A request and all that its decisions need.
+
+    Its class, plan and limits stay those that it began with when the settings change.
+    """
+
+    request: api.Request
     service_class: api.ServiceClass
     plan: api.Plan
     account: Account
     arrived_at: float
-    deadline: float
-    priority: float
-    priority_per_unit: float  # worth a unit of work
-    health_keys: tuple[str, ...]  # levels at which a host may fail it: wholly, for its class, for its plan
+    deadline: float  # when the client gives up
+    priority: float  # value of an answer in time
+    priority_per_unit: float  # the same for each second of an endpoint's work
+    health_keys: tuple[str, ...]  # levels at which an endpoint may fail it: wholly, for its class, its plan
     limits: api.Limits
-    stage: str = "units"  # units, slot, queue, sent
-    is_over_quota: bool = False
-    open_attempt_epoch: int = 0  # open attempt held: own part -1, or the epoch of the shared count
+    stage: Stage = "units"
+    is_over_quota: bool = False  # forwarded beyond its quota
+    open_attempt_epoch: int = 0  # of the count that it holds a place in; or OWN_PART; 0: none
     sent_count: int = 0
-    is_streaming: bool = False
-    in_flight: dict[int, tuple[api.Endpoint, float]] = field(default_factory=dict)
-    possibly_executed: list[tuple[api.Endpoint, float]] = field(
-        default_factory=list
-    )  # ended, but may have run
-    overdue_attempts: set[int] = field(default_factory=set)  # attempts whose silence was noted
-    tried_endpoints: set[str] = field(default_factory=set)
+    is_streaming: bool = False  # its answer has begun
     is_done: bool = False
+    in_flight: dict[int, SentAttempt] = field(default_factory=dict)  # by number of the attempt
+    possibly_executed: list[SentAttempt] = field(default_factory=list)  # ended without an answer
+    overdue_attempts: set[int] = field(default_factory=set)  # whose silence was noted
+    tried_endpoints: set[str] = field(default_factory=set)
 
-    def unresolved_attempts(self) -> list[tuple[api.Endpoint, float]]:
-        """Attempts that may have run, or may yet."""
+    def unresolved_attempts(self) -> list[SentAttempt]:
+        """Return the attempts that may have been executed, or may yet be."""
         return self.possibly_executed + list(self.in_flight.values())
 
 
-class State:
-    """Each layer above adds one responsibility: attempts, shedding, quota, and the gateway as a whole. Each
-    uses only what lies below it."""
-
-    def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self.settings, self.started_at, self.rng = settings, now, random.Random(seed)
-        self.cluster_clock = FleetTime(settings.gateway_count, self.rng)
-        self.fleet, self.counter = Fleet(settings, self.rng), CounterState(settings)
-        self.plan_usage = {
-            (p, again): PlanUse(now, INITIAL_GRANTED_FRACTION[again])
-            for p in self.settings.plans
-            for again in (0, 1)
-        }
-        self.accounts: dict[str, Account] = {}  # in order of their last request
-        self.jobs, self.queue = dict[str, Job](), list[Job]()
-        self.pending_calls: dict[int, list[CounterCall]] = {}  # by count name, in order of the calls
-        self.timed_out_calls: dict[int, CounterCall] = {}  # the last that timed out, by count name
-        self.retry_budget = INITIAL_RETRY_BUDGET / settings.gateway_count
-        self.max_priority_weight = max(c.priority_weight for c in settings.classes.values())
-        self.due_checks: list[tuple[float, str]] = []  # when which job is to be looked at
-        self.timer_due_at = self.watch_retry_at = math.inf
-        self.is_clock_checked = False  # whether the counter has been asked for the fleet's time
-        self.is_draining = False  # clients are sent away: leases sought ahead would lapse unused
-        self.admitted_fraction, self.admitted_fraction_updated_at, self.mean_priority = (
-            1.0,
-            now,
-            0.0,
-        )  # worth: running mean of a request's
-        self.recent_priorities: list[float] = []  # values of the latest requests
-        self.actions: list[api.Action] = []
-
-    def schedule_check(self, at: float, job: Job) -> None:
-        heapq.heappush(self.due_checks, (min(at, job.deadline - 2 * TICK), job.req.request_id))
-
-    def add_to_counter(self, name: int, amount: float, life: float, call: CounterCall) -> None:
-        self.pending_calls.setdefault(name, []).append(call)
-        self.actions.append(api.AddToCounter(name, amount, min(60.0, max(life, 1.0))))
-
-    def count_open_attempt(self, acct: Account, epoch: int, amount: int, job: Job | None = None) -> None:
-        call = (
-            OpenAttemptCall(acct, "slot", epoch, job=job)
-            if job is not None
-            else CounterCall(acct, "void", epoch)
+class CounterCalls:
+    """The calls to the shared counter that were sent and not answered; the caller passes on the actions."""
+
+    def __init__(self, actions: list[api.Action]) -> None:
+        """Begin without calls; `actions` belongs to the engine and takes what is to be sent."""
+        self.actions = actions
+        self.pending: dict[int, list[CounterCall]] = {}  # by name of the count, in order of the calls
+
+    def add(self, name: int, amount: float, lifetime: float, call: CounterCall) -> None:
+        """Send a call that adds `amount` to a count, which is to be kept for `lifetime` s."""
+        self.pending.setdefault(name, []).append(call)
+        kept_for = min(MAX_COUNTER_LIFETIME_S, max(lifetime, MIN_COUNTER_LIFETIME_S))
+        self.actions.append(api.AddToCounter(name, amount, kept_for))
+
+    def count_open_attempt(
+        self, account: Account, epoch: int, amount: int, state: RequestState | None = None
+    ) -> None:
+        """Add to the count of a customer's open attempts over all gateways.
+
+        Args:
+            account: The customer's.
+            epoch: Of the count.
+            amount: 1 for a request that waits for a place, -1 to give one back.
+            state: The request that waits, if one does.
+        """
+        call = CounterCall(account, epoch) if state is None else OpenAttemptCall(account, epoch, state)
+        self.add(stable_hash("open", account.name, epoch), amount, 2 * OPEN_COUNT_EPOCH_S, call)
+
+    def take(self, name: int) -> CounterCall | None:
+        """Remove and return the oldest call to a count; None if none is out."""
+        if name not in self.pending:
+            return None
+        call, *rest = self.pending.pop(name)
+        if rest:
+            self.pending[name] = rest
+        return call
+
+
+class RequestTable:
+    """The requests in work, by id, and when each is to be checked next."""
+
+    def __init__(self, counter_calls: CounterCalls, actions: list[api.Action]) -> None:
+        """Begin empty; `actions` belongs to the engine and takes what is to be done."""
+        self.counter_calls = counter_calls
+        self.actions = actions
+        self.requests: dict[str, RequestState] = {}
+        self.due_checks: list[tuple[float, str]] = []  # a heap of times and ids
+
+    def add(self, state: RequestState) -> None:
+        """Take a request in."""
+        self.requests[state.request.request_id] = state
+
+    def schedule_check(self, at: float, state: RequestState) -> None:
+        """Have a request checked at a time, or just before its deadline if that comes first."""
+        heapq.heappush(self.due_checks, (min(at, state.deadline - 2 * TICK), state.request.request_id))
+
+    def pop_due(self, now: float) -> RequestState | None:
+        """Remove the next check that is due and return its request; None if none is due."""
+        while self.due_checks and self.due_checks[0][0] <= now + TIMER_SLACK_S:
+            state = self.requests.get(heapq.heappop(self.due_checks)[1])
+            if state is not None:
+                return state
+        return None
+
+    def next_check_at(self) -> float:
+        """Return when the next check is due; infinite without one. Checks of ended requests are dropped."""
+        while self.due_checks and self.due_checks[0][1] not in self.requests:
+            heapq.heappop(self.due_checks)
+        return self.due_checks[0][0] if self.due_checks else math.inf
+
+    def reject(self, now: float, state: RequestState, retry_after: float) -> None:
+        """End a request without an answer: rejected, or failed where it may have been executed.
+
+        Args:
+            now: The time, s.
+            state: The request.
+            retry_after: s after which the client may try again.
+        """
+        service_class = state.service_class
+        is_repeat_harmless = service_class.idempotency == "safe" or (
+            service_class.idempotency == "keyed" and service_class.dedup_scope == "all"
         )
-        self.add_to_counter(stable_hash("open", acct.name, epoch), amount, 2 * OPEN_COUNT_EPOCH_S, call)
-
-    def reject(self, now: float, job: Job, wait: float) -> None:
-        ran = job.service_class.idempotency != "safe" and (
-            job.service_class.idempotency,
-            job.service_class.dedup_scope,
-        ) != ("keyed", "all")
-        if not (ran and (job.possibly_executed or job.in_flight)):
-            most = job.limits.max_retry_after if job.limits.sends_retry_after else 0.0
-            self.actions.append(
-                api.RejectRequest(job.req.request_id, min(max(wait, 0.0), most), job.stage == "queue")
-            )
+        if is_repeat_harmless or not (state.possibly_executed or state.in_flight):
+            limit = state.limits.max_retry_after if state.limits.sends_retry_after else 0.0
+            wait = min(max(retry_after, 0.0), limit)
+            self.actions.append(api.RejectRequest(state.request.request_id, wait, state.stage == "queue"))
         else:
-            self.actions.append(api.FailRequest(job.req.request_id))
-        self.finish(now, job)
-
-    def finish(self, now: float, job: Job) -> None:
-        job.is_done = True
-        self.jobs.pop(job.req.request_id, None)
-        self.actions += [
-            api.CancelAttempt(job.req.request_id, number) for number in job.in_flight if job.limits.can_cancel
-        ]
-        if job.open_attempt_epoch > 0:
-            self.count_open_attempt(job.account, job.open_attempt_epoch, -1)
-        job.account.open_attempts_here -= job.open_attempt_epoch < 0
+            self.actions.append(api.FailRequest(state.request.request_id))
+        self.finish(now, state)
+
+    def finish(self, now: float, state: RequestState) -> None:
+        """End a request: cancel what is in flight and give its place among the open attempts back."""
+        state.is_done = True
+        self.requests.pop(state.request.request_id, None)
+        if state.limits.can_cancel:
+            for number in state.in_flight:
+                self.actions.append(api.CancelAttempt(state.request.request_id, number))
+        if state.open_attempt_epoch > 0:
+            self.counter_calls.count_open_attempt(state.account, state.open_attempt_epoch, -1)
+        elif state.open_attempt_epoch == OWN_PART:
+            state.account.open_attempts_here -= 1
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -1,149 +1,191 @@
-"""First sends, further attempts and second copies, and the budget that they draw on."""
+"""First sends, retries and hedged requests, and the retry budget that the latter two draw on."""
 
 from __future__ import annotations
 
 import math
 
 from api_gateway import interface as api
-from api_gateway.policy.endpoints import TICK, Server
-from api_gateway.policy.request_state import Job, State
-
-MAX_QUEUE_TIME_FRACTION, MIN_QUEUE_LENGTH = (
-    0.5,
-    4,
-)  # share of the aim spent waiting for a server; requests that always may
-RETRY_BUDGET_PER_SEND, RETRY_BUDGET_PER_SEND_WITH_CAPACITY, REFUSED_ATTEMPT_RETRY_COST = (
-    0.1,
-    0.3,
-    0.2,
-)  # per first send; with room; price of one after `full`
-
-
-class Attempts(State):
-    """Sends what waits for it, hears how it ended, and tries again where the class and the budget allow."""
-
-    def can_send_to(self, job: Job, s: Server, now: float) -> bool:
-        if (
-            s.host.id in job.tried_endpoints
-            or job.service_class.idempotency == "safe"
-            or not job.unresolved_attempts()
-        ):
-            return s.host.id not in job.tried_endpoints
-        if job.service_class.idempotency == "unsafe" or self.send_time_left(now, job) <= 0:
+from api_gateway.policy.endpoints import TICK, Fleet, Server
+from api_gateway.policy.request_state import RequestState, RequestTable, SentAttempt
+
+INITIAL_RETRY_BUDGET = 15.0  # retries over all gateways at the start
+RETRY_MOST = 30.0  # retries over all gateways that may be saved up
+MIN_RETRY_BUDGET_LIMIT = 2.0  # retries that one gateway may save up at least
+RETRY_BUDGET_PER_SEND = 0.1  # retries that a first send adds
+RETRY_BUDGET_PER_SEND_WITH_CAPACITY = 0.3  # the same while endpoints clearly have capacity
+CONNECT_FAILED_RETRY_COST = 0.0  # price of a retry after a connect that failed
+REFUSED_ATTEMPT_RETRY_COST = 0.2  # price of a retry after an endpoint that had no capacity
+RETRY_COST = 1.0  # price of any other retry and of a hedged request
+
+ENDED_REQUEST_HEALTH_KEYS = ("host",)  # levels that a late end, of a request that is gone, tells of
+
+
+class RetryBudget:
+    """What this gateway may spend on retries: first sends fill it, so retries can't multiply an overload."""
+
+    def __init__(self, gateway_count: int) -> None:
+        """Begin with this gateway's part of what all may spend at a start."""
+        self.balance = INITIAL_RETRY_BUDGET / gateway_count  # retries
+
+    def refill(self, gateway_count: int, *, has_capacity: bool) -> None:
+        """Add what one first send earns.
+
+        Args:
+            gateway_count: Gateways that share the limit.
+            has_capacity: Whether endpoints clearly have capacity.
+        """
+        earned = RETRY_BUDGET_PER_SEND_WITH_CAPACITY if has_capacity else RETRY_BUDGET_PER_SEND
+        limit = max(MIN_RETRY_BUDGET_LIMIT, RETRY_MOST / gateway_count)
+        self.balance = min(limit, self.balance + earned)
+
+    def can_afford(self, cost: float) -> bool:
+        """Say whether so much is left."""
+        return self.balance >= cost
+
+    def spend(self, cost: float) -> None:
+        """Take the price of a retry that was sent."""
+        self.balance -= cost
+
+
+class Attempts:
+    """Sends requests to endpoints, again where an attempt failed or is overdue and the class allows it."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        fleet: Fleet,
+        requests: RequestTable,
+        retry_budget: RetryBudget,
+        actions: list[api.Action],
+    ) -> None:
+        """Wire the parts; `actions` belongs to the engine and takes what is to be sent."""
+        self.settings = settings
+        self.fleet = fleet
+        self.requests = requests
+        self.retry_budget = retry_budget
+        self.actions = actions
+
+    def can_send_to(self, state: RequestState, server: Server, now: float) -> bool:
+        """Say whether another attempt may go to an endpoint without a risk of executing the request twice."""
+        if server.host.id in state.tried_endpoints:
+            return False
+        service_class = state.service_class
+        if service_class.idempotency == "safe" or not state.unresolved_attempts():
+            return True
+        if service_class.idempotency == "unsafe" or self.send_time_left(now, state) <= 0:
             return False
-        scope = job.service_class.dedup_scope
+        scope = service_class.dedup_scope
         return scope == "all" or all(
-            getattr(h, scope) == getattr(s.host, scope) for h, _ in job.unresolved_attempts()
+            getattr(sent.endpoint, scope) == getattr(server.host, scope)
+            for sent in state.unresolved_attempts()
         )
 
-    def send_time_left(self, now: float, job: Job) -> float:
-        """How long another attempt may go out: hosts know a key so long after the first that may have run."""
-        first = min((t for _, t in job.unresolved_attempts()), default=math.inf)
-        return (
-            first + job.service_class.dedup_window - TICK - now
-            if job.service_class.idempotency == "keyed"
-            else math.inf
-        )
+    def send_time_left(self, now: float, state: RequestState) -> float:
+        """Return the s within which another attempt may go out.
 
-    def choose_endpoint(self, now: float, job: Job) -> Server | None:
-        fits = (
-            [x for x in self.fleet.some(self.fleet.own) if self.can_send_to(job, x, now)]
-            if job.tried_endpoints
-            else None
-        )
-        if fits == [] and self.fleet.own is not self.fleet.up:
-            fits = [x for x in self.fleet.others(now) if self.can_send_to(job, x, now)]
-        return self.fleet.pick(now, job.health_keys, fits)
-
-    def send_attempt(self, now: float, job: Job) -> bool:
-        more = job.sent_count < job.limits.max_attempts and not job.is_streaming
-        s = self.choose_endpoint(now, job) if more and (job.limits.hedging or not job.in_flight) else None
-        if s is None:
+        Endpoints know an idempotency key for so long after the first attempt that may have been executed.
+        """
+        if state.service_class.idempotency != "keyed":
+            return math.inf
+        first_sent_at = min((sent.sent_at for sent in state.unresolved_attempts()), default=math.inf)
+        return first_sent_at + state.service_class.dedup_window - TICK - now
+
+    def choose_endpoint(self, now: float, state: RequestState) -> Server | None:
+        """Choose where the next attempt goes; None if no endpoint that may get it has capacity."""
+        fleet = self.fleet
+        candidates: list[Server] | None = None  # any of its own
+        if state.tried_endpoints:
+            candidates = [s for s in fleet.some(fleet.own) if self.can_send_to(state, s, now)]
+            if not candidates and fleet.own is not fleet.up:
+                candidates = [s for s in fleet.others(now) if self.can_send_to(state, s, now)]
+        return fleet.pick(now, state.health_keys, candidates)
+
+    def send_attempt(self, now: float, state: RequestState) -> bool:
+        """Send one more attempt if there is an endpoint for it; say whether one was sent."""
+        if state.sent_count >= state.limits.max_attempts or state.is_streaming:
             return False
-        self.actions.append(
-            api.SendAttempt(job.req.request_id, s.host.id, send_within=self.send_time_left(now, job))
-        )
-        job.in_flight[job.sent_count] = (s.host, now)
-        self.fleet.sent(s, (job.req.request_id, job.sent_count), now)
-        job.sent_count += 1
-        job.tried_endpoints.add(s.host.id)
-        job.stage = "sent"
-        self.schedule_check(now + self.fleet.patience(job.service_class.name), job)
+        if state.in_flight and not state.limits.hedging:
+            return False
+        server = self.choose_endpoint(now, state)
+        if server is None:
+            return False
+        request_id = state.request.request_id
+        send_within = self.send_time_left(now, state)
+        self.actions.append(api.SendAttempt(request_id, server.host.id, send_within=send_within))
+        state.in_flight[state.sent_count] = SentAttempt(server.host, now)
+        self.fleet.sent(server, (request_id, state.sent_count), now)
+        state.sent_count += 1
+        state.tried_endpoints.add(server.host.id)
+        state.stage = "sent"
+        self.requests.schedule_check(now + self.fleet.patience(state.service_class.name), state)
         return True
 
     def outcome(self, now: float, event: api.AttemptEnded) -> None:
-        job = self.jobs.get(event.request_id)
-        self.fleet.answered(
-            now, event, job.service_class if job else None, job.health_keys if job else ("host",)
-        )
-        if job is None:
+        """Handle the end of an attempt: end its request, or retry it where class and budget allow."""
+        state = self.requests.requests.get(event.request_id)
+        if state is None:
+            self.fleet.answered(now, event, None, ENDED_REQUEST_HEALTH_KEYS)
             return
-        sent = job.in_flight.pop(event.attempt, None)
-        if event.actual_units and self.settings.settles_units and job.plan.rate and not job.is_over_quota:
-            job.account.uncharged_units += event.actual_units - job.req.units
+        self.fleet.answered(now, event, state.service_class, state.health_keys)
+        sent = state.in_flight.pop(event.attempt, None)
+        if event.actual_units and self.settings.settles_units and state.plan.rate and not state.is_over_quota:
+            state.account.uncharged_units += event.actual_units - state.request.units
         if event.is_final:
-            self.finish(now, job)
+            self.requests.finish(now, state)
             return
         if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
-            job.possibly_executed.append(sent)
-        if job.in_flight:
-            return
-        cost = {"connect_failed": 0.0, "full": REFUSED_ATTEMPT_RETRY_COST}.get(event.result, 1.0)
-        late = (
-            now + max(TICK, self.fleet.mean[job.service_class.name]) > job.deadline or event.result == "moot"
-        )
-        if late or self.retry_budget < cost or not self.send_attempt(now, job):
-            self.reject(now, job, 0.0)
+            state.possibly_executed.append(sent)
+        if not state.in_flight:
+            self.retry(now, state, event.result)
+
+    def retry(self, now: float, state: RequestState, result: str) -> None:
+        """Send a request again after its last attempt ended with `result`, or reject it."""
+        if result == "connect_failed":
+            cost = CONNECT_FAILED_RETRY_COST
+        else:
+            cost = REFUSED_ATTEMPT_RETRY_COST if result == "full" else RETRY_COST
+        usual_time = self.fleet.mean[state.service_class.name]
+        is_too_late = now + max(TICK, usual_time) > state.deadline or result == "moot"
+        if is_too_late or not self.retry_budget.can_afford(cost) or not self.send_attempt(now, state):
+            self.requests.reject(now, state, 0.0)
         else:
-            self.retry_budget -= cost
+            self.retry_budget.spend(cost)
 
-    def on_response_started(self, job: Job, event: api.ResponseStarted) -> None:
-        """The answer flows: its host's work is done, so it holds no place there at its client's pace."""
-        job.is_streaming = True
+    def on_response_started(self, state: RequestState, event: api.ResponseStarted) -> None:
+        """Note that an answer has begun to flow, and cancel the request's other attempts.
+
+        The endpoint's work is done, so the attempt holds no place there at the pace of its client.
+        """
+        state.is_streaming = True
         self.fleet.ended(event.endpoint_id, (event.request_id, event.attempt))
-        if job.limits.can_cancel:
-            self.actions += [
-                api.CancelAttempt(event.request_id, number)
-                for number in job.in_flight
-                if number != event.attempt
-            ]
-
-    def check_request(self, now: float, job: Job) -> None:
-        ending = now >= job.deadline - 2 * TICK - 1e-6
-        most = {
-            "units": 2 * self.counter.timeout,
-            "queue": MAX_QUEUE_TIME_FRACTION * job.service_class.latency_objective,
-        }.get(job.stage, math.inf)
-        if job.stage != "sent" and (ending or now - job.arrived_at >= most - 1e-6):
-            self.reject(now, job, 0.0)
-        elif job.stage == "sent" and not ending and not job.is_streaming:
-            self.handle_overdue_attempts(now, job)
-
-    def handle_overdue_attempts(self, now: float, job: Job) -> None:
-        """An attempt long without answer: evidence against its host, and reason for another one, whatever the
-        cause. Harm: work done twice where an answer was only slow, so it draws on the budget for retries."""
-        patience = self.fleet.patience(job.service_class.name) - TICK
-        late = [n for n, (_, sent) in job.in_flight.items() if now - sent >= patience]
-        for number in set(late) - job.overdue_attempts:
-            host = job.in_flight[number][0].id
-            self.fleet.ended(host, (job.req.request_id, number))  # a silent one holds no other's place
-            self.fleet.health.record(host, job.health_keys, True, now)
-        job.overdue_attempts.update(late)
-        self.schedule_check(now + max(2 * TICK, self.fleet.dev[job.service_class.name]), job)
-        if (
-            not late
-            or len(job.in_flight) > 1
-            or job.service_class.idempotency == "unsafe"
-            or self.retry_budget < 1.0
-        ):
+        if state.limits.can_cancel:
+            for number in state.in_flight:
+                if number != event.attempt:
+                    self.actions.append(api.CancelAttempt(event.request_id, number))
+
+    def handle_overdue_attempts(self, now: float, state: RequestState) -> None:
+        """Take long silence as evidence against the endpoint and send a hedged request, whatever the cause.
+
+        Harm: work is done twice where an answer was only slow, so it draws on the retry budget.
+        """
+        patience = self.fleet.patience(state.service_class.name) - TICK
+        overdue = [number for number, sent in state.in_flight.items() if now - sent.sent_at >= patience]
+        for number in set(overdue) - state.overdue_attempts:
+            endpoint_id = state.in_flight[number].endpoint.id
+            self.fleet.ended(endpoint_id, (state.request.request_id, number))  # it holds no other's place
+            self.fleet.health.record(endpoint_id, state.health_keys, True, now)
+        state.overdue_attempts.update(overdue)
+        check_after = max(2 * TICK, self.fleet.dev[state.service_class.name])
+        self.requests.schedule_check(now + check_after, state)
+        is_unsafe = state.service_class.idempotency == "unsafe"
+        if not overdue or len(state.in_flight) > 1 or is_unsafe:
+            return
+        if not self.retry_budget.can_afford(RETRY_COST):
+            return
+        if state.limits.hedging:
+            if self.send_attempt(now, state):
+                self.retry_budget.spend(RETRY_COST)
             return
-        if job.limits.hedging:
-            self.retry_budget -= self.send_attempt(now, job)
-        elif (
-            job.limits.can_cancel
-            and job.sent_count < job.limits.max_attempts
-            and self.choose_endpoint(now, job)
-        ):
-            self.actions.append(
-                api.CancelAttempt(job.req.request_id, late[0])
-            )  # its outcome starts the next attempt
+        can_retry = state.limits.can_cancel and state.sent_count < state.limits.max_attempts
+        if can_retry and self.choose_endpoint(now, state):  # the outcome of the cancelled one sends the next
+            self.actions.append(api.CancelAttempt(state.request.request_id, overdue[0]))
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -77,7 +77,7 @@
         "hosts": n.hosts.most,
         "bodies": n.clients.budget.most,
         "classes": dict(n.module.fleet.mean),
-        "plans": dict(n.module.plan_usage),
+        "plans": dict(n.module.quota.plan_usage),
         "current": n.changes.current,
         "history": n.changes.history,
         "connections": set(n.hosts.conns) | set(n.clients.clients),
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -13,7 +13,6 @@
 from api_gateway.downstream import client_connection as clients
 from api_gateway.gateway import shutdown
 from api_gateway.policy import load_shedding as shedding
-from api_gateway.policy import retries as attempts
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
@@ -166,9 +165,8 @@
 @pytest.fixture
 def held(monkeypatch):
     """Requests wait for a place at a host as long as the test likes."""
-    for module in (attempts, shedding):
-        monkeypatch.setattr(module, "MAX_QUEUE_TIME_FRACTION", 100.0)
-        monkeypatch.setattr(module, "MIN_QUEUE_LENGTH", 1000)
+    monkeypatch.setattr(shedding, "MAX_QUEUE_TIME_FRACTION", 100.0)
+    monkeypatch.setattr(shedding, "MIN_QUEUE_LENGTH", 1000)
     return lambda node: setattr(node.node.module.fleet, "full", lambda *_: True)
 
 
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -196,7 +196,7 @@
 
     with stamped.watching() as stamps:
         async with StubHost(answer) as one, StubHost(answer) as other, Node(one, other, path=tmp_path) as gw:
-            gw.node.module.retry_budget = 2.0
+            gw.node.module.retry_budget.balance = 2.0
             assert await gw.ask(command()) == SERVED
             trace = stamps.told_of("r1")
             summed(trace)
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -26,8 +26,8 @@
 
 def duplicate():
     """What may have run is sent again, whatever its class."""
-    attempts.Attempts.can_send_to = lambda self, job, s, now: s.host.id not in job.tried_endpoints
-    attempts.Attempts.send_time_left = lambda self, now, job: 1e9
+    attempts.Attempts.can_send_to = lambda self, state, s, now: s.host.id not in state.tried_endpoints
+    attempts.Attempts.send_time_left = lambda self, now, state: 1e9
 
 
 def drain():
--- a/tests/policy/test_request_handling.py
+++ b/tests/policy/test_request_handling.py
@@ -285,7 +285,7 @@
             leased[on] = max(leased[on], w.gw.accounts["c"].lease)
     assert leased[False] >= 2.0 and leased[True] == 0.0
     w.do(api.DrainChanged(False))
-    assert not w.gw.is_draining
+    assert not w.gw.quota.is_draining
 
 
 def test_an_answer_that_flows_is_the_only_one_and_holds_no_place_at_its_host():
