--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of customers' quotas: windows, leases, ceilings, the counter and the use of plans.
+"""What this gateway knows of customers' quotas: windows, leases, ceilings and the use of plans.
 
 A quota holds over all gateways. A shared counter adds up what they charge in each window; a gateway leases
 units from it ahead of need, or admits a small allowance uncharged and charges that later.
@@ -9,13 +9,12 @@
 import hashlib
 import math
 import random
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from api_gateway import interface as api
 
 if TYPE_CHECKING:
-    from api_gateway.policy.request_state import RequestState
+    from api_gateway.policy.counter_calls import LeaseCall
 
 IDLE_MOST = 60.0  # s; life of an account without requests
 
@@ -28,13 +27,6 @@
 # Leases
 MIN_STRANDING_CHANCE = 0.05  # least chance that an unspent leased unit is missed at another gateway
 
-# The counter
-CONGESTED_LATENCY_FRACTION = 0.5  # part of the time-out from which on calls are rationed
-CONGESTION_PRICE_SLOPE = 4.0  # price of a call, in attempts, for each further part of the time-out
-HALF_CONGESTION_GATEWAY_COUNT = 20.0  # gateways at which half the congestion is expected before any answer
-BACKOFF_MOST = 1.0  # s; longest backoff from a silent counter
-SILENT_FAILURE_COUNT = 2  # failures in a row after which the counter is taken for silent
-
 # Use of plans
 GRANT_RATE_WINDOW_S = 10.0  # over which a plan's granted rate is averaged
 GRANT_CREDIT_LIMIT_S = 2.0  # of that rate: what may be admitted at once without asking
@@ -51,32 +43,6 @@
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
-@dataclass(slots=True)
-class CounterCall:
-    """A call to the counter that was sent. This plain kind corrects a count: nobody waits for its reply."""
-
-    account: Account
-    window_number: int  # the quota window, or the epoch of a count of open attempts
-
-
-@dataclass(slots=True)
-class LeaseCall(CounterCall):
-    """A call that charges units admitted before and leases further ones."""
-
-    charged_units: float
-    requested_units: float  # the lease
-    sampled_units: float  # counted for requests that were decided without a call
-    sample_weight: float  # requests that each waiting one stands for
-    unrefilled_units: float  # of `charged_units`: admitted just now, not made good by the refill
-
-
-@dataclass(slots=True)
-class OpenAttemptCall(CounterCall):
-    """A call that counts one more open attempt, for the request that waits for it."""
-
-    state: RequestState
-
-
 class Account:
     """A customer's quota as this gateway sees it, in windows of one length.
 
@@ -251,56 +217,6 @@
         return self.ceiling_units
 
 
-class CounterState:
-    """How the shared counter fares, as its answers show, and whether a call is worth its price."""
-
-    def __init__(self, settings: api.Settings) -> None:
-        """Begin as with many gateways that start at once: the more there are, the slower it is taken for."""
-        self.apply_settings(settings)
-        self.failure_count = int(not self.is_enabled)  # in a row
-        self.retry_at = 0.0
-        count = settings.gateway_count
-        # Mean time of an answer, in parts of the time-out
-        self.latency_fraction = 0.5 * count / (count + HALF_CONGESTION_GATEWAY_COUNT)
-        self.is_clock_wrong = False  # then calls would name another window than the other gateways' do
-
-    def apply_settings(self, settings: api.Settings) -> None:
-        """Take over the settings' figures of the counter."""
-        self.is_enabled = settings.has_counter
-        self.timeout = settings.counter_timeout  # s
-        self.price = settings.counter_price  # of a call, in attempts
-
-    def is_usable(self, now: float) -> bool:
-        """Say whether a call may be made now."""
-        is_backing_off = now < self.retry_at and self.failure_count >= SILENT_FAILURE_COUNT
-        return self.is_enabled and not self.is_clock_wrong and not is_backing_off
-
-    def call_probability(self, gain: float) -> float:
-        """Return the chance with which to make a call: the less it can change a decision, the lower.
-
-        Args:
-            gain: What the call is expected to gain, in the value of a usual request.
-        """
-        congestion = max(0.0, self.latency_fraction - CONGESTED_LATENCY_FRACTION)
-        return min(1.0, gain / max(1e-9, self.price + CONGESTION_PRICE_SLOPE * congestion))
-
-    def record_answer(self, now: float, *, is_ok: bool, elapsed: float) -> None:
-        """Take the end of a call into account.
-
-        Args:
-            now: The time, s.
-            is_ok: Whether the counter answered.
-            elapsed: s that it took.
-        """
-        latency = min(1.0, elapsed / self.timeout) if is_ok else 1.0
-        self.latency_fraction += QUICK * (latency - self.latency_fraction)
-        if is_ok:
-            self.failure_count = 0
-        elif now >= self.retry_at:  # a burst of failures counts once
-            self.failure_count += 1
-            self.retry_at = now + min(BACKOFF_MOST, self.timeout * 2.0 ** (self.failure_count - 1))
-
-
 class PlanUse:
     """What the counter granted to a plan's customers here.
 
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -7,11 +7,13 @@
 
 from api_gateway import interface as api
 from api_gateway.policy.cluster_clock import BEACON, LIFETIME, FleetTime
-from api_gateway.policy.customer_accounts import Account, AccountTable, CounterState
+from api_gateway.policy.counter_calls import CounterCalls, CounterState
+from api_gateway.policy.customer_accounts import Account, AccountTable
 from api_gateway.policy.endpoints import TICK, Fleet
 from api_gateway.policy.load_shedding import LoadShedder
-from api_gateway.policy.quota_leases import OpenAttemptLimit, Quota
-from api_gateway.policy.request_state import TIMER_SLACK_S, CounterCalls, RequestState, RequestTable
+from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
+from api_gateway.policy.quota_leases import Quota
+from api_gateway.policy.request_state import TIMER_SLACK_S, RequestState, RequestTable
 from api_gateway.policy.retries import Attempts, RetryBudget
 
 WATCH_RETRY_DELAY_S = 1.0  # after the endpoint list failed
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -1,7 +1,7 @@
-"""Admission by quota: units leased at the shared counter, and places among the open attempts.
+"""Admission by quota: units that this gateway leases at the shared counter ahead of need.
 
-`Quota` decides whether a customer has units left, by lease, by an uncharged allowance, or by a call to the
-counter where that is worth its price. `OpenAttemptLimit` does the same for attempts that are open at once.
+`Quota` decides whether a customer has units left: by lease, by an uncharged allowance, or by a call to the
+counter where that is worth its price.
 """
 
 from __future__ import annotations
@@ -12,135 +12,38 @@
 
 from api_gateway import interface as api
 from api_gateway.policy.cluster_clock import FleetTime
-from api_gateway.policy.customer_accounts import (
-    CHARGE_THRESHOLD_FRACTION,
+from api_gateway.policy.counter_calls import (
     CONGESTED_LATENCY_FRACTION,
-    GAIN,
-    Account,
+    CORRECTION_CALL_VALUE,
     CounterCall,
+    CounterCalls,
     CounterState,
     LeaseCall,
     OpenAttemptCall,
+)
+from api_gateway.policy.customer_accounts import (
+    CHARGE_THRESHOLD_FRACTION,
+    GAIN,
+    Account,
     PlanUse,
     stable_hash,
 )
-from api_gateway.policy.endpoints import TICK, Fleet
+from api_gateway.policy.endpoints import TICK
 from api_gateway.policy.load_shedding import LoadShedder
-from api_gateway.policy.request_state import (
-    OPEN_COUNT_EPOCH_S,
-    OWN_PART,
-    CounterCalls,
-    RequestState,
-    RequestTable,
-)
+from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
+from api_gateway.policy.request_state import RequestState, RequestTable
 
 INITIAL_GRANTED_FRACTION = (0.5, 0.3)  # of first requests and of repeats, taken as granted before any was
 RESERVED_BURST_FRACTION = 0.2  # kept from the class with the lowest priority weight for the highest one
 CALL_TIME_COST = 0.3  # cost of a call's time at the full time-out, for the square of the part of it
 UNHEARD_MOST = 256  # timed-out calls that are remembered in case their totals come after all
-CORRECTION_CALL_VALUE = 0.15  # of a call that only corrects a count, or checks a limit seldom reached
 TOTAL_ROUNDING_UNITS = 0.01  # by which a total may be off: it is written with some digits only
 MAX_SAMPLE_WEIGHT = 20.0  # requests that a call stands for at most in what a plan was granted
 SAMPLE_MOST = 4.0  # requests that a sampled charge stands for at most: more makes the count jump
+MIN_CHARGE_UNITS = 1.0  # uncharged use up to this starts no call by itself
 COUNT_LIFETIME_WINDOWS = 3  # windows for which the counter is asked to keep a count
 
 
-class OpenAttemptLimit:
-    """Holds customers to their limit of open attempts over all gateways."""
-
-    def __init__(
-        self,
-        rng: random.Random,
-        fleet: Fleet,
-        counter: CounterState,
-        cluster_clock: FleetTime,
-        counter_calls: CounterCalls,
-        requests: RequestTable,
-        load_shedder: LoadShedder,
-    ) -> None:
-        """Wire the parts; places that are taken are noted in the accounts and the requests."""
-        self.rng = rng
-        self.fleet = fleet
-        self.counter = counter
-        self.cluster_clock = cluster_clock
-        self.counter_calls = counter_calls
-        self.requests = requests
-        self.load_shedder = load_shedder
-
-    def request_place(self, now: float, state: RequestState, *, can_ask: bool = True) -> None:
-        """Take a place for a request and queue it, or handle it as over quota.
-
-        This gateway owns an even part of the limit. The rest is shared by a count, which is asked with the
-        chance that the answer is worth, or judged by the expected number of open attempts.
-
-        Args:
-            now: The time, s.
-            state: The request.
-            can_ask: Whether the shared count may be asked.
-        """
-        account = state.account
-        plan = state.plan
-        own_part, shared_part = divmod(plan.max_concurrent, account.gateway_spread)
-        excess_chance = self.excess_probability(now, state)
-        cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
-        state.stage = "slot"
-        if own_part and sum(a.open_attempts_here for a in (account, *account.previous_accounts)) < own_part:
-            state.open_attempt_epoch = OWN_PART
-            account.open_attempts_here += 1
-        elif shared_part and can_ask and self.is_call_worthwhile(now, excess_chance, cost):
-            epoch = int((now + self.cluster_clock.offset) / OPEN_COUNT_EPOCH_S) + 1
-            self.counter_calls.count_open_attempt(account, epoch, 1, state)
-            self.requests.schedule_check(state.deadline, state)
-            return
-        elif plan.max_concurrent and (
-            plan.max_concurrent >= account.gateway_spread or excess_chance * cost >= 1 - excess_chance
-        ):
-            self.load_shedder.handle_over_quota(now, state, 0.0)
-            return
-        self.load_shedder.enqueue(now, state)
-
-    def excess_probability(self, now: float, state: RequestState) -> float:
-        """Return the chance that the limit is reached, by Little's law.
-
-        The customer's rate, which its units bound, times the usual time of an answer is the mean number of
-        open attempts; their number is taken as Poisson distributed.
-        """
-        account = state.account
-        plan = state.plan
-        window_age = max(now - account.window_started_at, account.window_length / 4)
-        rate = max(account.counter_total, account.used_units) / window_age
-        requests_per_s = min(rate, plan.rate or rate) / max(state.request.units, 1e-9)
-        mean = requests_per_s * self.fleet.mean[state.service_class.name]
-        return 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.max_concurrent))
-
-    def is_call_worthwhile(self, now: float, excess_chance: float, cost: float) -> bool:
-        """Say whether to ask the shared count; draws a number if the counter is usable."""
-        if not self.counter.is_usable(now):
-            return False
-        gain = max(excess_chance, CORRECTION_CALL_VALUE) * cost
-        return self.rng.random() < self.counter.call_probability(gain)
-
-    def on_counter_reply(self, now: float, event: api.CounterReply, call: OpenAttemptCall) -> None:
-        """Go on with the request that waited for the count, and give a place back that it can't use."""
-        state = call.state
-        account = call.account
-        is_full = event.total > account.plan.max_concurrent % account.gateway_spread
-        if event.result != "ok":
-            if not state.is_done:
-                state.open_attempt_epoch = 0
-                self.request_place(now, state, can_ask=False)
-            return
-        if state.is_done or is_full:
-            self.counter_calls.count_open_attempt(account, call.window_number, -1)
-        if state.is_done:
-            return
-        if is_full:
-            self.load_shedder.handle_over_quota(now, state, 0.0)
-        else:
-            state.open_attempt_epoch = call.window_number
-            self.load_shedder.enqueue(now, state)
-
-
 class Quota:
     """Holds customers to their units by leases from the counter, and light ones by an uncharged allowance."""
 
@@ -273,7 +176,9 @@
         """
         if account.pending_call is not None or not self.counter.is_usable(now):
             return
-        needed = sum(state.request.units for state in self.waiting(account))
+        needed = 0.0
+        if account.waiting_requests:
+            needed = sum(state.request.units for state in self.waiting(account))
         lease_size = 0
         if not self.is_draining:
             time_cost = CALL_TIME_COST * self.counter.latency_fraction**2
@@ -284,8 +189,10 @@
             and remaining > lease_size * account.gateway_spread
             and now >= account.exhausted_until
         )
-        allowance = account.uncharged_allowance(now, is_counter_failing=False)
-        is_charge_due = account.uncharged_units > max(1.0, CHARGE_THRESHOLD_FRACTION * allowance)
+        is_charge_due = False
+        if account.uncharged_units > MIN_CHARGE_UNITS:
+            allowance = account.uncharged_allowance(now, is_counter_failing=False)
+            is_charge_due = account.uncharged_units > CHARGE_THRESHOLD_FRACTION * allowance
         if not (needed or is_charge_due or (account.counted_units and is_lease_low)):
             return
         wanted = max(needed, lease_size) - account.lease if needed else lease_size * is_lease_low
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -1,7 +1,6 @@
-"""The requests that were taken and not yet ended, when each is to be checked, and the calls to the counter.
+"""The requests that were taken and not yet ended, and when each is to be checked.
 
-`RequestTable` ends requests; whatever a request holds is given back there. `CounterCalls` owns the calls that
-were sent to the shared counter and not answered.
+`RequestTable` ends requests; whatever a request holds is given back there.
 """
 
 from __future__ import annotations
@@ -12,12 +11,10 @@
 from typing import Literal
 
 from api_gateway import interface as api
-from api_gateway.policy.customer_accounts import Account, CounterCall, OpenAttemptCall, stable_hash
+from api_gateway.policy.counter_calls import CounterCalls
+from api_gateway.policy.customer_accounts import Account
 from api_gateway.policy.endpoints import TICK
 
-OPEN_COUNT_EPOCH_S = 5.0  # life of one count of open attempts
-MAX_COUNTER_LIFETIME_S = 60.0  # longest and shortest time for which the counter is asked to keep a count
-MIN_COUNTER_LIFETIME_S = 1.0
 TIMER_SLACK_S = 1e-6  # a timer may fire early by so much, by rounding
 OWN_PART = -1  # in place of an epoch: the open attempt is within this gateway's own part of the limit
 
@@ -66,44 +63,6 @@
         return self.possibly_executed + list(self.in_flight.values())
 
 
-class CounterCalls:
-    """The calls to the shared counter that were sent and not answered; the caller passes on the actions."""
-
-    def __init__(self, actions: list[api.Action]) -> None:
-        """Begin without calls; `actions` belongs to the engine and takes what is to be sent."""
-        self.actions = actions
-        self.pending: dict[int, list[CounterCall]] = {}  # by name of the count, in order of the calls
-
-    def add(self, name: int, amount: float, lifetime: float, call: CounterCall) -> None:
-        """Send a call that adds `amount` to a count, which is to be kept for `lifetime` s."""
-        self.pending.setdefault(name, []).append(call)
-        kept_for = min(MAX_COUNTER_LIFETIME_S, max(lifetime, MIN_COUNTER_LIFETIME_S))
-        self.actions.append(api.AddToCounter(name, amount, kept_for))
-
-    def count_open_attempt(
-        self, account: Account, epoch: int, amount: int, state: RequestState | None = None
-    ) -> None:
-        """Add to the count of a customer's open attempts over all gateways.
-
-        Args:
-            account: The customer's.
-            epoch: Of the count.
-            amount: 1 for a request that waits for a place, -1 to give one back.
-            state: The request that waits, if one does.
-        """
-        call = CounterCall(account, epoch) if state is None else OpenAttemptCall(account, epoch, state)
-        self.add(stable_hash("open", account.name, epoch), amount, 2 * OPEN_COUNT_EPOCH_S, call)
-
-    def take(self, name: int) -> CounterCall | None:
-        """Remove and return the oldest call to a count; None if none is out."""
-        if name not in self.pending:
-            return None
-        call, *rest = self.pending.pop(name)
-        if rest:
-            self.pending[name] = rest
-        return call
-
-
 class RequestTable:
     """The requests in work, by id, and when each is to be checked next."""
 
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -707,7 +707,7 @@
     "discovery.client.GRACE_MOST",
     "discovery.client.BACKOFF_MOST",
     "control.config_changes.CONFIRM_MOST",
-    "policy.customer_accounts.BACKOFF_MOST",
+    "policy.counter_calls.BACKOFF_MOST",
     "policy.customer_accounts.IDLE_MOST",
     "policy.retries.RETRY_MOST",
     "policy.quota_leases.UNHEARD_MOST",
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -42,9 +42,11 @@
         "outlier_detection",
         "endpoints",
         "cluster_clock",
+        "counter_calls",
         "request_state",
         "retries",
         "load_shedding",
+        "open_attempt_limit",
         "quota_leases",
         "engine",
     ]
