--- a/api_gateway/interface/checks.py
+++ b/api_gateway/interface/checks.py
@@ -2,6 +2,14 @@
 
 
 def require(condition: bool, message: str) -> None:
-    """Raises ValueError with `message` where `condition` does not hold."""
+    """Check a value of the interface.
+
+    Args:
+        condition: What must hold.
+        message: What is wrong if it does not.
+
+    Raises:
+        ValueError: With the message, if the condition does not hold.
+    """
     if not condition:
         raise ValueError(message)
