--- a/api_gateway/demo/play.py
+++ b/api_gateway/demo/play.py
@@ -16,7 +16,8 @@
 import uvloop
 
 from api_gateway.demo.traffic import OUTCOMES, Traffic
-from api_gateway.supervisor.fleet import Fleet, StartFailed
+from api_gateway.supervisor.errors import StartError
+from api_gateway.supervisor.local_cluster import LocalCluster
 
 BEYOND_MOST = 1.0  # bursts that a customer may be past its quota: what the dead spent, nobody was told
 REFRESH = 0.5  # s
@@ -39,7 +40,7 @@
 
 class Demo:
     def __init__(self, plan: Plan, folder: Path) -> None:
-        self.plan, self.fleet = plan, Fleet(folder, plan.gateways, plan.hosts)
+        self.plan, self.fleet = plan, LocalCluster(folder, plan.gateways, plan.hosts)
         self.traffic: Traffic | None = None
         self.hosts: dict[str, Any] = {}
         self.events: list[dict[str, Any]] = []
@@ -50,10 +51,10 @@
         self.events.append({"at": round(self.traffic.elapsed() if self.traffic else 0.0, 1), "what": what})
 
     async def run(self, show: Callable[[dict[str, Any]], None] | None) -> dict[str, Any]:
-        """Raises StartFailed. What it all came to."""
+        """Raises StartError. What it all came to."""
         try:
             await self.fleet.start()
-            places = [part.places["listen"] for part in self.fleet.gateways]
+            places = [part.addresses["listen"] for part in self.fleet.gateways]
             self.traffic = Traffic(places, self.plan.seed, self.plan.scale)
             troubles = [asyncio.create_task(act) for act in (self.kill(), self.silence(), self.look(show))]
             try:
@@ -75,16 +76,16 @@
             await part.kill()
             self.note(f"{part.name} killed")
             await asyncio.sleep(self.plan.lasting)
-            await self.fleet.begin(part)
+            await self.fleet.start_gateway(part)
             self.note(f"{part.name} back")
 
     async def silence(self) -> None:
         if self.plan.stop_counter_at:
             await asyncio.sleep(self.plan.stop_counter_at)
-            await self.fleet.counter_silent(True)
+            await self.fleet.set_counter_silent(True)
             self.note("counter silent")
             await asyncio.sleep(self.plan.lasting)
-            await self.fleet.counter_silent(False)
+            await self.fleet.set_counter_silent(False)
             self.note("counter back")
 
     async def look(self, show: Callable[[dict[str, Any]], None] | None) -> None:
@@ -96,13 +97,13 @@
             await asyncio.sleep(REFRESH)
 
     def note_dead(self) -> None:
-        for name in set(self.fleet.died()) - self.dead:
+        for name in set(self.fleet.unexpected_exits()) - self.dead:
             self.dead.add(name)
             self.note(f"{name} has died")
 
     async def ask_hosts(self) -> None:
         for part in self.fleet.hosts:
-            told = await self.fleet.ask(f"http://{part.places['control']}/status")
+            told = await self.fleet.request_json(f"http://{part.addresses['control']}/status")
             self.hosts[part.name] = {"commands": told["commands"], "inside": told["inside"]} if told else None
 
     def result(self) -> dict[str, Any]:
@@ -115,9 +116,9 @@
             "quota_bound_in_bursts": BEYOND_MOST,
             "gateways": {
                 part.name: {
-                    "alive": part.alive,
+                    "alive": part.is_running,
                     "ready": door.ready,
-                    "control": part.places["control"],
+                    "control": part.addresses["control"],
                     **door.outcomes,
                 }
                 for part, door in zip(self.fleet.gateways, self.traffic.doors, strict=True)
@@ -220,7 +221,7 @@
                 live = stack.enter_context(Live(console=out, auto_refresh=False))
             show = (lambda told: live.update(table(told), refresh=True)) if live else None
             told = uvloop.run(watched(demo, show))
-    except (StartFailed, OSError) as err:
+    except (StartError, OSError) as err:
         print(f"api-gateway demo: {' '.join(str(err).split())}", file=sys.stderr)
         return 2
     except asyncio.CancelledError:
--- a/api_gateway/demo/traffic.py
+++ b/api_gateway/demo/traffic.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from api_gateway.emulators.site import S
-from api_gateway.supervisor.fleet import CLASSES, PLANS
+from api_gateway.supervisor.sample_deployment import CLASSES, PLANS
 
 PING_EVERY, PING_WITHIN = 0.5, 1.0  # s
 AGAIN_MOST = 2  # more tries of a request whose connection broke, on other gateways
--- a/api_gateway/experiments/budgets/__main__.py
+++ b/api_gateway/experiments/budgets/__main__.py
@@ -23,7 +23,8 @@
 from api_gateway.budgets.terms import LEVEL, Budget, Terms
 from api_gateway.experiments.budgets.world import IDLE, WORK, Gateway, World
 from api_gateway.experiments.connection_load import cpu
-from api_gateway.supervisor.fleet import Part, free_port
+from api_gateway.supervisor.ports import free_port
+from api_gateway.supervisor.process import ManagedProcess
 
 GATEWAYS, MOST = 20, 24
 EVEN = 10.0  # units of the level for each of the gateways that are there, and a second of the rate
@@ -167,7 +168,7 @@
         folder, place = Path(text), f"127.0.0.1:{free_port()}"
         config = ConfigFile(place, terms, str(folder / "x.db"))
         (folder / "budgets.json").write_bytes(msgspec.json.encode(config))
-        part = Part(
+        part = ManagedProcess(
             "grantor", folder, "api_gateway.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
         )
         await part.start()
--- a/api_gateway/experiments/connection_load.py
+++ b/api_gateway/experiments/connection_load.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from api_gateway.demo.traffic import Door, Line, encode
-from api_gateway.supervisor.fleet import Fleet
+from api_gateway.supervisor.local_cluster import LocalCluster
 
 PLAN = {"name": "open", "rate": 1e5, "most_at_once": 1e6}  # nobody is beyond quota here
 TERMS = b"c=reading,t=open,d=3000,units=1,spread=1,first=0"
@@ -155,12 +155,12 @@
 
 async def play(kind: Kind, on: bool, seconds: float) -> dict[str, float]:
     with tempfile.TemporaryDirectory(prefix="crowd-") as folder:
-        fleet = Fleet(Path(folder), 1, HOSTS, kind.work, SLOTS, [PLAN], {"edge": {}} if on else {})
+        fleet = LocalCluster(Path(folder), 1, HOSTS, kind.work, SLOTS, [PLAN], {"edge": {}} if on else {})
         try:
             await fleet.start()
             (gateway,) = fleet.gateways
             assert gateway.process is not None
-            place, told = gateway.places["listen"], list[tuple[float, bytes]]()
+            place, told = gateway.addresses["listen"], list[tuple[float, bytes]]()
             await asyncio.sleep(WARM)
             before, end = cpu(gateway.process.pid), time.monotonic() + seconds
             presser = await asyncio.create_subprocess_exec(
--- a/api_gateway/experiments/faults/__main__.py
+++ b/api_gateway/experiments/faults/__main__.py
@@ -15,7 +15,7 @@
 
 from api_gateway.experiments.faults.play import FAILED, KEPT, VOID, Play, lines_to
 from api_gateway.experiments.faults.scenario import SHIPPED, ScenarioError, read_scenario
-from api_gateway.supervisor.fleet import StartFailed
+from api_gateway.supervisor.errors import StartError
 
 CODES = {KEPT: 0, FAILED: 1, VOID: 3}
 
@@ -49,7 +49,7 @@
             files = [stack.enter_context(open(args.events, "w"))] if args.events else []
             play = Play(scenario, args.folder.resolve(), args.seed, lines_to(sys.stdout, *files))
             return CODES[uvloop.run(ended_by_signals(play))]
-        except (ScenarioError, StartFailed, OSError) as err:
+        except (ScenarioError, StartError, OSError) as err:
             print(f"faults: {err}", file=sys.stderr)
             return 2
         except asyncio.CancelledError:
--- a/api_gateway/experiments/faults/play.py
+++ b/api_gateway/experiments/faults/play.py
@@ -15,7 +15,7 @@
 from api_gateway.experiments.faults import scenario as told
 from api_gateway.experiments.faults.lines import Treatment
 from api_gateway.experiments.faults.world import World
-from api_gateway.supervisor.fleet import StartFailed
+from api_gateway.supervisor.errors import StartError
 
 LOOK = 0.1  # s between two looks at what is checked
 KEPT, FAILED, VOID = "kept", "failed", "void"
@@ -34,7 +34,7 @@
         self.began = time.monotonic()
 
     async def run(self) -> str:
-        """The verdict. Raises ScenarioError or StartFailed. All that was started ends with it."""
+        """The verdict. Raises ScenarioError or StartError. All that was started ends with it."""
         verdict, why = KEPT, ""
         try:
             await self.world.start()
@@ -42,9 +42,11 @@
             try:
                 for number, step in enumerate(self.scenario.step):
                     await self.take(number, step)
-            except (Broken, StartFailed) as err:
+            except (Broken, StartError) as err:
                 verdict, why = FAILED, str(err)
-            traced = [part.name for part in self.world.parts() if self.world.logged(part, "Traceback")]
+            traced = [
+                part.name for part in self.world.all_processes() if self.world.logged(part, "Traceback")
+            ]
             if traced and verdict == KEPT:
                 verdict, why = FAILED, f"an exception stands in the log of {', '.join(traced)}"
             await self.world.watch_members()
@@ -148,7 +150,7 @@
             ends = await self.let_end(ends, time.monotonic())
             part = world.random.choice(parts)
             kind = world.random.choice(step.kinds)
-            if part in [one for _, one, _ in ends] or not part.alive:
+            if part in [one for _, one, _ in ends] or not part.is_running:
                 continue
             await self.strike(kind, part)
             ends.append((time.monotonic() + world.random.uniform(0.1, step.lasting), part, kind))
@@ -239,8 +241,8 @@
                         return f"the log of {part.name} has {check.text!r} {count} times"
             case told.Runs():
                 for part in world.named(check.of):
-                    if part.alive != check.runs:
-                        return f"{part.name} runs: {part.alive}"
+                    if part.is_running != check.runs:
+                        return f"{part.name} runs: {part.is_running}"
         return ""
 
     async def each(self, patterns: list[str], ask: Callable[[Any], Any]) -> list[tuple[Any, Any]]:
--- a/api_gateway/experiments/faults/world.py
+++ b/api_gateway/experiments/faults/world.py
@@ -22,7 +22,9 @@
 from api_gateway.experiments.faults import scenario as told
 from api_gateway.experiments.faults.lines import PASS, Treatment
 from api_gateway.experiments.faults.links import LOOPBACK, Network
-from api_gateway.supervisor.fleet import NOTHING, Fleet, Part, free_port
+from api_gateway.supervisor.local_cluster import LocalCluster
+from api_gateway.supervisor.ports import free_port
+from api_gateway.supervisor.process import NO_ENVIRONMENT, ManagedProcess
 
 SEEDS = 2  # members that the others know at their start
 DUTY = 0.1  # s: a slow process runs for a share of each
@@ -35,7 +37,7 @@
     return host, int(port)
 
 
-class World(Fleet):
+class World(LocalCluster):
     def __init__(self, folder: Path, shape: told.Shape, seed: int) -> None:
         super().__init__(folder, shape.gateways, shape.hosts if shape.gateways else 0)
         self.shape, self.network, self.random = shape, Network(seed), random.Random(seed)
@@ -44,20 +46,22 @@
         self.cluster: dict[str, Json] = {}  # what each gateway's file says of membership
         self.late = {"driver": 0.0, "canary": 0.0}
         self.watching: list[asyncio.Task[None]] = []
-        self.canary = self.part("canary", "api_gateway.experiments.faults.canary")
-        self.grantor: Part | None = None
-        self.meter: Part | None = None
-        self.holders: list[Part] = []
+        self.canary = self.make_process("canary", "api_gateway.experiments.faults.canary")
+        self.grantor: ManagedProcess | None = None
+        self.meter: ManagedProcess | None = None
+        self.holders: list[ManagedProcess] = []
         if shape.holders:
             self.plan_budgets()
 
-    def part(self, name: str, module: str, *args: str, env: Mapping[str, str] = NOTHING) -> Part:
-        return Part(name, self.folder, module, *args, env=env, apart=True)
+    def make_process(
+        self, name: str, module: str, *args: str, env: Mapping[str, str] = NO_ENVIRONMENT
+    ) -> ManagedProcess:
+        return ManagedProcess(name, self.folder, module, *args, env=env, isolated=True)
 
     # Start and end
 
-    async def surroundings(self) -> list[Json]:
-        servers = await super().surroundings() if self.gateways else await self.alone()
+    async def start_dependencies(self) -> list[Json]:
+        servers = await super().start_dependencies() if self.gateways else await self.alone()
         for part in self.gateways:
             name = part.name
             self.cluster[name] = {"cluster": "faults", "listen": f"{LOOPBACK}:{free_port(socket.SOCK_DGRAM)}"}
@@ -68,10 +72,10 @@
             for name, (host, port) in told.items():
                 self.cluster[name] |= {"advertise": f"{host}:{port}", "seeds": seeds}
                 self.cluster[name]["counter"] = await self.network.stream(
-                    name, "counter", place_of(self.counter.places["listen"])
+                    name, "counter", place_of(self.counter.addresses["listen"])
                 )
                 self.cluster[name]["discovery"] = await self.network.stream(
-                    name, "registry", place_of(self.registry_at)
+                    name, "registry", place_of(self.registry_address)
                 )
         return servers
 
@@ -80,29 +84,29 @@
         self.open_session()
         return []
 
-    def tree(self, number: int, part: Part, servers: list[Json]) -> Json:
+    def gateway_config(self, number: int, part: ManagedProcess, servers: list[Json]) -> Json:
         own = dict(self.cluster[part.name])
         places = {name: own.pop(name) for name in ("counter", "discovery")}
-        return super().tree(number, part, servers) | places | {"membership": own}
+        return super().gateway_config(number, part, servers) | places | {"membership": own}
 
     async def start(self) -> None:
-        """Raises StartFailed."""
-        await self.canary.start(piped=True)
+        """Raises StartError."""
+        await self.canary.start(pipes_output=True)
         self.watching = [asyncio.create_task(self.watch_driver()), asyncio.create_task(self.watch_canary())]
         await super().start()
         if self.grantor is not None:
             await self.start_budgets()
 
-    def parts(self) -> list[Part]:
+    def all_processes(self) -> list[ManagedProcess]:
         others = [part for part in (self.grantor, self.meter) if part is not None]
-        base = super().parts() if self.gateways else []
+        base = super().all_processes() if self.gateways else []
         return [*base, *others, *self.holders]
 
     async def stop(self) -> None:
         for name in list(self.slowed):
             self.run_freely(name)
-        for part in self.parts():
-            part.signal(signal.SIGCONT)
+        for part in self.all_processes():
+            part.send_signal(signal.SIGCONT)
         await self.network.close()
         await asyncio.gather(*(part.stop() for part in self.holders))
         await asyncio.gather(*(part.stop() for part in (self.grantor, self.meter) if part is not None))
@@ -128,17 +132,21 @@
     async def watch_members(self) -> None:
         """What gateways tell of their own timers, but for those that were held up on purpose."""
         for part in self.gateways:
-            seen = await self.ask(f"http://{part.places['control']}/members") if part.alive else None
+            seen = (
+                await self.request_json(f"http://{part.addresses['control']}/members")
+                if part.is_running
+                else None
+            )
             if seen and part.name not in self.disturbed:
                 self.late[part.name] = seen["late"]
 
     # Names
 
-    def named(self, patterns: Sequence[str], pick: int = 0) -> list[Part]:
+    def named(self, patterns: Sequence[str], pick: int = 0) -> list[ManagedProcess]:
         """Raises ScenarioError where a pattern names nobody."""
-        found: dict[str, Part] = {}
+        found: dict[str, ManagedProcess] = {}
         for pattern in patterns:
-            fits = [part for part in self.parts() if fnmatch.fnmatchcase(part.name, pattern)]
+            fits = [part for part in self.all_processes() if fnmatch.fnmatchcase(part.name, pattern)]
             if not fits:
                 raise told.ScenarioError(f"no process is named {pattern!r}")
             found |= {part.name: part for part in fits}
@@ -146,13 +154,13 @@
             return [found[name] for name in sorted(self.random.sample(sorted(found), min(pick, len(found))))]
         return list(found.values())
 
-    def disk(self, part: Part) -> Path:
+    def disk(self, part: ManagedProcess) -> Path:
         return self.disk_of(part.name)
 
     def disk_of(self, name: str) -> Path:
         return self.folder / name
 
-    def disk_file(self, part: Part, name: str) -> Path:
+    def disk_file(self, part: ManagedProcess, name: str) -> Path:
         path = (self.disk(part) / name).resolve()
         if self.disk(part).resolve() not in path.parents:
             raise told.ScenarioError(f"{name!r} is not on the disk of {part.name}")
@@ -160,58 +168,58 @@
 
     # What is done to processes
 
-    async def begin(self, part: Part) -> None:
+    async def start_gateway(self, part: ManagedProcess) -> None:
         if part is self.grantor:
             await part.start()
-            await self.until(part, f"http://{part.places['listen']}/status", lambda seen: True)
+            await self.wait_for(part, f"http://{part.addresses['listen']}/status", lambda seen: True)
         elif part in self.gateways:
-            await super().begin(part)
+            await super().start_gateway(part)
         else:
-            old = dict(part.places)
-            await part.start(told=part is not self.registry)
+            old = dict(part.addresses)
+            await part.start(reports_addresses=part is not self.registry)
             self.moved(part, old)
 
-    def moved(self, part: Part, old: dict[str, str]) -> None:
+    def moved(self, part: ManagedProcess, old: dict[str, str]) -> None:
         """One that chose its port by itself listens elsewhere now."""
-        if part.places != old and "listen" in part.places:
-            self.network.move(part.name, place_of(part.places["listen"]))
+        if part.addresses != old and "listen" in part.addresses:
+            self.network.move(part.name, place_of(part.addresses["listen"]))
 
-    async def kill(self, part: Part) -> None:
+    async def kill(self, part: ManagedProcess) -> None:
         self.run_freely(part.name)
         await part.kill()
 
-    async def all_again(self, parts: Sequence[Part], disk: bool) -> None:
+    async def all_again(self, parts: Sequence[ManagedProcess], disk: bool) -> None:
         for part in parts:
-            if part.alive:
+            if part.is_running:
                 raise told.ScenarioError(f"{part.name} runs already")
             if not disk:
                 shutil.rmtree(self.disk(part), ignore_errors=True)
                 self.disk(part).mkdir()
             self.disturbed.add(part.name)
-        await self.begin_all(parts)
+        await self.start_gateways(parts)
 
-    def pause(self, part: Part) -> None:
+    def pause(self, part: ManagedProcess) -> None:
         self.disturbed.add(part.name)
-        part.signal(signal.SIGSTOP)
+        part.send_signal(signal.SIGSTOP)
 
-    def resume(self, part: Part) -> None:
-        part.signal(signal.SIGCONT)
+    def resume(self, part: ManagedProcess) -> None:
+        part.send_signal(signal.SIGCONT)
 
-    def slow(self, part: Part, share: float) -> None:
+    def slow(self, part: ManagedProcess, share: float) -> None:
         self.run_freely(part.name)
         if share < 1:
             self.disturbed.add(part.name)
             self.slowed[part.name] = asyncio.create_task(self.hold_back(part, share))
 
-    async def hold_back(self, part: Part, share: float) -> None:
+    async def hold_back(self, part: ManagedProcess, share: float) -> None:
         try:
-            while part.alive:
-                part.signal(signal.SIGSTOP)
+            while part.is_running:
+                part.send_signal(signal.SIGSTOP)
                 await asyncio.sleep(DUTY * (1 - share))
-                part.signal(signal.SIGCONT)
+                part.send_signal(signal.SIGCONT)
                 await asyncio.sleep(DUTY * share)
         finally:
-            part.signal(signal.SIGCONT)
+            part.send_signal(signal.SIGCONT)
 
     def run_freely(self, name: str) -> None:
         task = self.slowed.pop(name, None)
@@ -220,36 +228,36 @@
 
     # What is done to links
 
-    def cut(self, part: Part, ways: str) -> None:
+    def cut(self, part: ManagedProcess, ways: str) -> None:
         """What goes from it, what goes to it, or both."""
         for sender, to in list(self.network.ways):
             if (sender == part.name and ways != "to") or (to == part.name and ways != "from"):
                 self.network.ways[sender, to].treat(Treatment(cut=True))
 
-    def worsen(self, part: Part, treatment: Treatment) -> None:
+    def worsen(self, part: ManagedProcess, treatment: Treatment) -> None:
         for pair, way in self.network.ways.items():
             if part.name in pair:
                 way.treat(treatment)
 
-    def mend(self, part: Part) -> None:
+    def mend(self, part: ManagedProcess) -> None:
         self.worsen(part, PASS)
 
     # What is done to disks
 
-    def limit_files(self, part: Part, most: int) -> None:
-        if part.process is not None and part.alive:
+    def limit_files(self, part: ManagedProcess, most: int) -> None:
+        if part.process is not None and part.is_running:
             hard = resource.prlimit(part.process.pid, resource.RLIMIT_FSIZE)[1]
             resource.prlimit(part.process.pid, resource.RLIMIT_FSIZE, (most, hard))
 
-    def read_only(self, part: Part, on: bool) -> None:
+    def read_only(self, part: ManagedProcess, on: bool) -> None:
         """Files that are open may still be written to: the folder takes no new ones, nor do files that are
         opened from now on."""
         for path in (*self.disk(part).rglob("*"), self.disk(part)):
             path.chmod((0o555 if path.is_dir() else 0o444) if on else (0o755 if path.is_dir() else 0o644))
 
-    def tear(self, part: Part, name: str, share: float, byte: int | None) -> int:
+    def tear(self, part: ManagedProcess, name: str, share: float, byte: int | None) -> int:
         """Returns the length that is left, in bytes."""
-        if part.alive:
+        if part.is_running:
             raise told.ScenarioError(f"{part.name} still runs: a file is torn between two lives")
         path = self.disk_file(part, name)
         with contextlib.suppress(FileNotFoundError):
@@ -262,12 +270,12 @@
 
     def plan_budgets(self) -> None:
         self.budgets_at = f"{LOOPBACK}:{free_port()}"
-        self.grantor = self.part(
+        self.grantor = self.make_process(
             "grantor", "api_gateway.budgets", env={"BUDGETS_CONFIG": str(self.folder / "budgets.json")}
         )
-        self.grantor.places = {"listen": self.budgets_at}
+        self.grantor.addresses = {"listen": self.budgets_at}
         budgets_file = str(self.folder / "budgets.json")
-        self.meter = self.part("meter", "api_gateway.experiments.budgets.meter", budgets_file)
+        self.meter = self.make_process("meter", "api_gateway.experiments.budgets.meter", budgets_file)
         for name in ("grantor", *(f"holder-{n}" for n in range(self.shape.holders))):
             (self.folder / name).mkdir(exist_ok=True)
 
@@ -296,12 +304,12 @@
         terms = {"most": most, "length": 2.0, "every": 0.25, "drift": 0.03, "budgets": budgets}
         log = {"log": str(self.disk(self.grantor) / "budgets.db")} if self.shape.log else {}
         write(self.folder / "budgets.json", {"listen": self.budgets_at, "terms": terms, **log})
-        await asyncio.gather(self.begin(self.grantor), self.begin(self.meter))
+        await asyncio.gather(self.start_gateway(self.grantor), self.start_gateway(self.meter))
         for number in range(most):
             name = f"holder-{number}"
             place = await self.network.stream(name, "grantor", place_of(self.budgets_at))
             self.holders.append(
-                self.part(
+                self.make_process(
                     name,
                     "api_gateway.experiments.budgets.holder",
                     str(self.folder / "budgets.json"),
@@ -312,29 +320,33 @@
                     "--grantor",
                     place,
                     "--meter",
-                    self.meter.places["listen"],
+                    self.meter.addresses["listen"],
                     "--folder",
                     str(self.disk_of(name)),
                     "--pace",
                     str(PACES[number % len(PACES)]),
                 )
             )
-        await self.begin_all(self.holders)
+        await self.start_gateways(self.holders)
 
     # What is seen
 
-    async def status(self, part: Part) -> Any:
-        places = {"listen": self.registry_at} if part is self.registry else part.places
+    async def status(self, part: ManagedProcess) -> Any:
+        places = {"listen": self.registry_address} if part is self.registry else part.addresses
         place = places.get("control") or places["listen"]
-        return await self.ask(f"http://{place}/status") if part.alive else None
+        return await self.request_json(f"http://{place}/status") if part.is_running else None
 
-    async def members(self, part: Part) -> dict[str, str] | None:
+    async def members(self, part: ManagedProcess) -> dict[str, str] | None:
         """States by name, as this gateway sees them."""
-        seen = await self.ask(f"http://{part.places['control']}/members") if part.alive else None
+        seen = (
+            await self.request_json(f"http://{part.addresses['control']}/members")
+            if part.is_running
+            else None
+        )
         return {row["name"]: row["state"] for row in seen["members"]} if seen else None
 
-    def logged(self, part: Part, text: str) -> int:
-        return part.log.read_text(errors="replace").count(text) if part.log.exists() else 0
+    def logged(self, part: ManagedProcess, text: str) -> int:
+        return part.log_path.read_text(errors="replace").count(text) if part.log_path.exists() else 0
 
 
 def write(path: Path, tree: Any) -> None:
--- a/api_gateway/experiments/scale/__main__.py
+++ b/api_gateway/experiments/scale/__main__.py
@@ -18,7 +18,7 @@
 from api_gateway.experiments.scale import machine, runs
 from api_gateway.experiments.scale.programs import program
 from api_gateway.experiments.scale.service import MOST_OFF
-from api_gateway.supervisor.fleet import StartFailed
+from api_gateway.supervisor.errors import StartError
 
 ROOT = Path(__file__).resolve().parents[3]
 Args = argparse.Namespace
@@ -544,7 +544,7 @@
     except machine.OutOfBounds as err:
         say(f"refused: {err}")
         return 1
-    except StartFailed as err:
+    except StartError as err:
         say(f"did not come up: {err}")
         return 1
     if run is None or path is None:
--- a/api_gateway/experiments/scale/beside.py
+++ b/api_gateway/experiments/scale/beside.py
@@ -25,7 +25,9 @@
 from api_gateway.experiments.scale.rig import Rig, Wire
 from api_gateway.experiments.scale.runs import Off, off
 from api_gateway.experiments.scale.service import Hollow
-from api_gateway.supervisor.fleet import Part, StartFailed, free_port
+from api_gateway.supervisor.errors import StartError
+from api_gateway.supervisor.ports import free_port
+from api_gateway.supervisor.process import ManagedProcess
 
 EACH = 50  # a process
 REAL = 5
@@ -65,17 +67,19 @@
         return sum(machine.resident_mb(made.number) - empty for made in self.made) / self.count
 
     async def until(self, fits: Any, within: float = SETTLE) -> None:
-        """Raises StartFailed."""
+        """Raises StartError."""
         began = time.monotonic()
         while not all(fits(one) for one in await self.each()):
             if time.monotonic() - began > within:
-                raise StartFailed(f"not all of {self.count} came up within {within:.0f} s")
+                raise StartError(f"not all of {self.count} came up within {within:.0f} s")
             await asyncio.sleep(0.5)
 
 
 def crowd(folder: Path, told: dict[str, Any], first: int, count: int) -> Hollow:
     args = json.dumps(told | {"first": first, "count": count})
-    return Hollow(Part(f"crowd-{first}-{count}", folder, "api_gateway.experiments.scale.parts", args))
+    return Hollow(
+        ManagedProcess(f"crowd-{first}-{count}", folder, "api_gateway.experiments.scale.parts", args)
+    )
 
 
 def estimate(count: int, seconds: float, told: float = 0.0) -> machine.Estimate:
@@ -128,7 +132,7 @@
     """Datagrams that the real ones have sent."""
     found = []
     for real in rig.real:
-        async with rig.session.get(f"http://{real.part.places['control']}/members") as answer:
+        async with rig.session.get(f"http://{real.part.addresses['control']}/members") as answer:
             found.append((await answer.json())["counts"]["sent"])
     return found
 
@@ -147,7 +151,7 @@
         (folder / "budgets.json").write_bytes(
             msgspec.json.encode(ConfigFile(place, terms, str(folder / "x.db")))
         )
-        grantor = Part(
+        grantor = ManagedProcess(
             "grantor", folder, "api_gateway.budgets", env={"BUDGETS_CONFIG": str(folder / "budgets.json")}
         )
         wire = Wire(place)
--- a/api_gateway/experiments/scale/configuration.py
+++ b/api_gateway/experiments/scale/configuration.py
@@ -13,7 +13,7 @@
 from api_gateway.emulators.site import Json
 from api_gateway.experiments.scale import machine
 from api_gateway.experiments.scale.rig import Rig
-from api_gateway.supervisor.fleet import PLANS
+from api_gateway.supervisor.sample_deployment import PLANS
 
 CHANGES, EVERY = 8, 0.5  # and s between them
 SETTLE = 2.0  # s
@@ -34,7 +34,7 @@
         async with Rig(Path(folder), 200) as rig:
             await rig.start(0, tree)
             (real,) = rig.real
-            at, times = f"http://{real.part.places['control']}", list[float]()
+            at, times = f"http://{real.part.addresses['control']}", list[float]()
             async with rig.session.get(f"{at}/config") as answer:
                 told = await answer.json()
             await asyncio.sleep(SETTLE)
--- a/api_gateway/experiments/scale/latency.py
+++ b/api_gateway/experiments/scale/latency.py
@@ -32,7 +32,7 @@
 from api_gateway.experiments.scale import machine
 from api_gateway.experiments.scale.rig import Real, Rig, entry
 from api_gateway.experiments.scale.timed import read_told
-from api_gateway.supervisor.fleet import Part
+from api_gateway.supervisor.process import ManagedProcess
 
 PROCESSES, WORK = 2, 0.005  # of hosts, which wait without work; s that each command takes
 CUSTOMERS = 1000
@@ -212,14 +212,14 @@
     with tempfile.TemporaryDirectory(prefix="scale-") as text:
         folder = Path(text)
         program = "api_gateway.experiments.scale.timed"
-        parts = [Part(f"host-{n}", folder, program, str(WORK)) for n in range(PROCESSES)]
+        parts = [ManagedProcess(f"host-{n}", folder, program, str(WORK)) for n in range(PROCESSES)]
         try:
-            await asyncio.gather(*(part.start(told=True) for part in parts))
-            places = [part.places["listen"] for part in parts]
+            await asyncio.gather(*(part.start(reports_addresses=True) for part in parts))
+            places = [part.addresses["listen"] for part in parts]
             listed = [entry(n) | {"addr": places[n % PROCESSES]} for n in range(hosts)]
-            relay = Part("relay", folder, "api_gateway.experiments.scale.relay", *places)
+            relay = ManagedProcess("relay", folder, "api_gateway.experiments.scale.relay", *places)
             parts.append(relay)
-            await relay.start(told=True)
+            await relay.start(reports_addresses=True)
             more: Json = ({"view": {"size": view}} if view else {}) | ({"edge": {}} if edge else {})
             async with Rig(folder, hosts, gateways, more=more, listed=listed) as rig:
                 await rig.start(0, with_plan)
@@ -234,19 +234,19 @@
 
 
 async def beside(
-    rig: Rig, relay: Part, rate: float, seconds: float, seed: int
+    rig: Rig, relay: ManagedProcess, rate: float, seconds: float, seed: int
 ) -> tuple[dict[str, float], list[str]]:
     """Each alone: the relay for half of its time, the gateway, the stamped gateway, the relay again."""
     plain, stamped = rig.real
     assert relay.process is not None
-    at, number = relay.places["listen"], relay.process.pid
+    at, number = relay.addresses["listen"], relay.process.pid
     figures, loads = dict[str, float](), dict[str, list[Load]]()
     cpu, asked = dict[str, float](), dict[str, int]()
     for turn, (name, place, pid, part) in enumerate(
         (
             ("relay", at, number, 0.5),
-            ("gateway", plain.part.places["listen"], plain.number, 1.0),
-            ("stamped", stamped.part.places["listen"], stamped.number, 1.0),
+            ("gateway", plain.part.addresses["listen"], plain.number, 1.0),
+            ("stamped", stamped.part.addresses["listen"], stamped.number, 1.0),
             ("relay", at, number, 0.5),
         )
     ):
--- a/api_gateway/experiments/scale/leases.py
+++ b/api_gateway/experiments/scale/leases.py
@@ -12,7 +12,7 @@
 from api_gateway.experiments.scale.demand import RATE
 from api_gateway.experiments.scale.rig import Wire
 from api_gateway.experiments.scale.service import Hollow
-from api_gateway.supervisor.fleet import Part
+from api_gateway.supervisor.process import ManagedProcess
 
 EACH = 25  # gateways a process
 SETTLE = 2.0  # s
@@ -20,7 +20,7 @@
 
 def lessees(folder: Path, first: int, count: int, counter: str) -> Hollow:
     told = json.dumps({"first": first, "count": count, "counter": counter})
-    return Hollow(Part(f"lessees-{first}", folder, "api_gateway.experiments.scale.lessees", told))
+    return Hollow(ManagedProcess(f"lessees-{first}", folder, "api_gateway.experiments.scale.lessees", told))
 
 
 def estimate(requests: int, seconds: float) -> machine.Estimate:
@@ -38,10 +38,10 @@
     gateways = max(1, requests // RATE)
     with tempfile.TemporaryDirectory(prefix="scale-") as text:
         folder = Path(text)
-        counter = Part("counter", folder, "api_gateway.cli", "standin", "counter")
-        await counter.start(told=True)
+        counter = ManagedProcess("counter", folder, "api_gateway.cli", "standin", "counter")
+        await counter.start(reports_addresses=True)
         assert counter.process is not None
-        number, place = counter.process.pid, counter.places["listen"]
+        number, place = counter.process.pid, counter.addresses["listen"]
         wire, made = Wire(place), list[Hollow]()
         empty = machine.resident_mb(number)
         try:
--- a/api_gateway/experiments/scale/programs.py
+++ b/api_gateway/experiments/scale/programs.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from api_gateway.experiments.scale import machine
-from api_gateway.supervisor.fleet import die_with
+from api_gateway.supervisor.process import end_with_parent
 
 
 def program(command: list[str], tree: Path, told: dict[str, Any]) -> Any:
@@ -24,7 +24,7 @@
         text=True,
         capture_output=True,
         timeout=machine.MOST_SECONDS,
-        preexec_fn=die_with(os.getpid(), False),
+        preexec_fn=end_with_parent(os.getpid(), False),
     )
     if done.returncode:
         raise machine.OutOfBounds(done.stderr.strip().splitlines()[-1])
--- a/api_gateway/experiments/scale/rig.py
+++ b/api_gateway/experiments/scale/rig.py
@@ -15,7 +15,10 @@
 
 from api_gateway.emulators.site import BASE, Json, config
 from api_gateway.experiments.scale.crowds import NO_NEWS
-from api_gateway.supervisor.fleet import CLASSES, NOTHING, PLANS, Part, StartFailed, free_port
+from api_gateway.supervisor.errors import StartError
+from api_gateway.supervisor.ports import free_port
+from api_gateway.supervisor.process import NO_ENVIRONMENT, ManagedProcess
+from api_gateway.supervisor.sample_deployment import CLASSES, PLANS
 
 ROOT = Path(__file__).resolve().parents[3]
 READY_WITHIN = 60.0  # s
@@ -110,7 +113,7 @@
 class Real:
     """A gateway by the deploy file's command, its list service and its counter each behind a wire."""
 
-    def __init__(self, index: int, part: Part, lists: Wire, counts: Wire) -> None:
+    def __init__(self, index: int, part: ManagedProcess, lists: Wire, counts: Wire) -> None:
         self.index, self.part, self.lists, self.counts = index, part, lists, counts
 
     @property
@@ -143,17 +146,17 @@
         (folder / "registry.json").write_text(
             json.dumps({"listen": self.service_at, "hosts": str(folder / "hosts.json"), "watchers": watchers})
         )
-        self.service = Part(
+        self.service = ManagedProcess(
             "service", folder, "api_gateway.registry", env={"REGISTRY_CONFIG": str(folder / "registry.json")}
         )
-        self.counter = Part("counter", folder, "api_gateway.cli", "standin", "counter")
+        self.counter = ManagedProcess("counter", folder, "api_gateway.cli", "standin", "counter")
         self.real: list[Real] = []
         self.session: Any = None
         self.changed = 0
 
     async def __aenter__(self) -> Rig:
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=20.0))
-        await asyncio.gather(self.service.start(), self.counter.start(told=True))
+        await asyncio.gather(self.service.start(), self.counter.start(reports_addresses=True))
         await self.until(self.service, f"http://{self.service_at}/status", 1.0)
         for number in range(self.own):
             await self.register(number)
@@ -167,10 +170,10 @@
             await real.counts.close()
         await self.session.close()
 
-    async def until(self, part: Part, url: str, patience: float = READY_WITHIN) -> None:
-        """Until a call there is answered by 200. Raises StartFailed."""
+    async def until(self, part: ManagedProcess, url: str, patience: float = READY_WITHIN) -> None:
+        """Until a call there is answered by 200. Raises StartError."""
         end = time.monotonic() + max(patience, READY_WITHIN)
-        while part.alive and time.monotonic() < end:
+        while part.is_running and time.monotonic() < end:
             try:
                 async with self.session.get(url) as answer:
                     if answer.status == 200:
@@ -178,7 +181,7 @@
             except (aiohttp.ClientError, TimeoutError):
                 pass
             await asyncio.sleep(0.02)
-        raise StartFailed(part.why())
+        raise StartError(part.last_log_line())
 
     # Hosts that change
 
@@ -197,7 +200,7 @@
         url = f"http://{self.service_at}/v1/hosts/h-{number:08x}"
         async with self.session.put(url, data=json.dumps(told)) as answer:
             if answer.status != 200:
-                raise StartFailed(f"the list service answers {answer.status}: {await answer.text()}")
+                raise StartError(f"the list service answers {answer.status}: {await answer.text()}")
             return (await answer.json())["version"]
 
     async def change(self) -> int:
@@ -220,11 +223,11 @@
         number: int,
         tree: Callable[[Json], Json] = lambda told: told,
         module: str = "",
-        env: Mapping[str, str] = NOTHING,
+        env: Mapping[str, str] = NO_ENVIRONMENT,
     ) -> float:
         """A real gateway, by the deploy file's module where none is named; seconds until it is ready."""
         name = f"gateway-{number}"
-        lists, counts = Wire(self.service_at), Wire(self.counter.places["listen"])
+        lists, counts = Wire(self.service_at), Wire(self.counter.addresses["listen"])
         settings = BASE | {
             "services": CLASSES,
             "plans": list(PLANS),
@@ -237,7 +240,7 @@
         scratch.mkdir()
         told |= {"seed": f"{number + 1:x}", "control": control, "replicas": {"others": [], "keep": False}}
         (self.folder / f"{name}.json").write_text(json.dumps(tree(told | self.more)))
-        part = Part(
+        part = ManagedProcess(
             name,
             self.folder,
             module or run_module(self.tree),
@@ -249,7 +252,7 @@
                 "PYTHONSAFEPATH": "1",
             },
         )  # the build of no other place
-        part.places = {"listen": told["listen"], "control": control}
+        part.addresses = {"listen": told["listen"], "control": control}
         began = time.monotonic()
         await part.start()
         self.real.append(Real(number, part, lists, counts))
--- a/api_gateway/experiments/scale/service.py
+++ b/api_gateway/experiments/scale/service.py
@@ -19,7 +19,8 @@
 from api_gateway.experiments.scale.crowds import Crowd
 from api_gateway.experiments.scale.rig import Rig, Wire
 from api_gateway.experiments.scale.runs import Off, off
-from api_gateway.supervisor.fleet import Part, StartFailed
+from api_gateway.supervisor.errors import StartError
+from api_gateway.supervisor.process import ManagedProcess
 
 MOST_OFF = 0.15
 NO_SOCKET = "no socket for clients"
@@ -36,12 +37,12 @@
 class Hollow:
     """A process of hollow gateways."""
 
-    def __init__(self, part: Part) -> None:
+    def __init__(self, part: ManagedProcess) -> None:
         self.part, self.wires = part, list[Wire]()
 
     async def start(self) -> None:
-        await self.part.start(told=True)
-        host, _, port = self.part.places["listen"].rpartition(":")
+        await self.part.start(reports_addresses=True)
+        host, _, port = self.part.addresses["listen"].rpartition(":")
         self.line = await asyncio.open_connection(host, int(port), limit=2**22)
 
     async def counts(self) -> Counts:
@@ -61,7 +62,7 @@
 
 
 def hollow(rig: Rig, name: str, crowd: Crowd) -> Hollow:
-    return Hollow(Part(name, rig.folder, "api_gateway.experiments.scale.hollow", crowd.encode()))
+    return Hollow(ManagedProcess(name, rig.folder, "api_gateway.experiments.scale.hollow", crowd.encode()))
 
 
 class Play:
@@ -105,7 +106,7 @@
     async def start_full(self, number: int) -> None:
         """Behind wires, as a real one."""
         rig = self.rig
-        lists, counts = Wire(rig.service_at), Wire(rig.counter.places["listen"])
+        lists, counts = Wire(rig.service_at), Wire(rig.counter.addresses["listen"])
         tree = json.loads((rig.folder / "gateway-0.json").read_text()) | {"counter": await counts.open()}
         made = hollow(
             rig, f"hollow-{number}", Crowd(number, 1, rig.named, await lists.open(), self.view, tree=tree)
@@ -125,14 +126,14 @@
         return [one for crowd in self.crowds or self.full for one in await crowd.counts()]
 
     async def told(self, version: int) -> float:
-        """When the last has this version. Raises StartFailed."""
+        """When the last has this version. Raises StartError."""
         end = time.monotonic() + WITHIN
         while time.monotonic() < end:
             each = await self.watched()
             if all(one["version"] >= version for one in each):
                 return max(one["at"] for one in each)
             await asyncio.sleep(0.02 + len(each) / 10_000)
-        raise StartFailed(f"{sum(one['version'] < version for one in each)} watchers lack version {version}")
+        raise StartError(f"{sum(one['version'] < version for one in each)} watchers lack version {version}")
 
     async def news(self) -> dict[str, list[tuple[int, int]]]:
         """Bytes and answers that brought news: of real ones, full and light hollow ones."""
--- a/tests/demo/test_demo.py
+++ b/tests/demo/test_demo.py
@@ -14,7 +14,8 @@
 from commands import ROOT, Command
 from netkit import on_loop
 
-from api_gateway.supervisor.fleet import Fleet, StartFailed
+from api_gateway.supervisor.errors import StartError
+from api_gateway.supervisor.local_cluster import LocalCluster
 
 SMALL = ("demo", "--gateways", "2", "--hosts", "2", "--json")
 
@@ -94,13 +95,13 @@
 
 @on_loop
 async def test_a_port_in_use_is_told_by_the_process_that_needs_it(scratch):
-    fleet = Fleet(scratch, 1, 1)
+    fleet = LocalCluster(scratch, 1, 1)
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        fleet.gateways[0].places["listen"] = f"127.0.0.1:{taken.getsockname()[1]}"
-        with pytest.raises(StartFailed, match="gateway-0: .*[Aa]ddress already in use"):
+        fleet.gateways[0].addresses["listen"] = f"127.0.0.1:{taken.getsockname()[1]}"
+        with pytest.raises(StartError, match="gateway-0: .*[Aa]ddress already in use"):
             await fleet.start()
         await fleet.stop()
-    assert not any(part.alive for part in fleet.parts())
+    assert not any(part.is_running for part in fleet.all_processes())
 
 
 @pytest.mark.parametrize("folder", ["README.md/x", "/proc/none"])
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -17,7 +17,7 @@
 from api_gateway.experiments.scale.latency import PLAN, Asked, Load, by_part, disturbed, joined
 from api_gateway.gateway import node as gateway
 from api_gateway.policy import Gateway
-from api_gateway.supervisor.fleet import CLASSES
+from api_gateway.supervisor.sample_deployment import CLASSES
 from api_gateway.upstream import pool as hosts
 
 FAULT = 1_000_000
--- a/tests/experiments/test_scale_run.py
+++ b/tests/experiments/test_scale_run.py
@@ -28,7 +28,7 @@
 from api_gateway.experiments.scale.module import Case, Driver
 from api_gateway.experiments.scale.rig import Rig, run_module
 from api_gateway.membership.core import PERIOD
-from api_gateway.supervisor.fleet import StartFailed
+from api_gateway.supervisor.errors import StartError
 
 ROOT = Path(__file__).resolve().parents[2]
 PATIENCE = 40  # s: far over what any play here needs
@@ -411,5 +411,5 @@
         async with asyncio.timeout(PATIENCE), Rig(folder, 200, tree=tree) as rig:
             await rig.start(0)
 
-    with pytest.raises(StartFailed, match=f"of {tree}"):
+    with pytest.raises(StartError, match=f"of {tree}"):
         uvloop.run(play())
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -29,7 +29,7 @@
 from netkit import SETTINGS, StubCounter, StubDiscovery, command, entry, read_reply, terms, told  # noqa: E402
 
 from api_gateway.emulators.host import VALUE, WorkingHost  # noqa: E402
-from api_gateway.supervisor.fleet import free_port  # noqa: E402
+from api_gateway.supervisor.ports import free_port  # noqa: E402
 
 S = 1_000_000_000
 SECONDS = 8.0  # of load in a play
