--- a/tests/measure/module.py
+++ b/tests/measure/module.py
@@ -72,14 +72,14 @@
             case api.RejectRequest() | api.FailRequest():
                 self.sends.pop(action.request_id, None)
             case _:
-                self.widened += type(action).__name__ == "Widen"
+                self.widened += type(action).__name__ == "ResizeSubset"
 
     def run(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
             self.now, _, kind, event = heapq.heappop(self.events)
             self.handle(kind, event)
             if kind == "outcome":
-                self.sends.pop(event.id, None)
+                self.sends.pop(event.request_id, None)
         self.now = until
 
 
@@ -103,7 +103,7 @@
     listed = [api.Endpoint(f"h{n}", f"z{n % 3 + 1}", n % 7, 1.0, "k", "up", 0.0) for n in range(hosts)]
     more = {}
     if view is not None:
-        listed, more = in_view(listed, index, view), {"total": hosts}
+        listed, more = in_view(listed, index, view), {"available_total": hosts}
     tracemalloc.start()
     gateway = Gateway(conf, seed, 1000.0)
     driver = Driver(gateway, rng)
@@ -167,7 +167,7 @@
     parser.add_argument("--runs", type=int, default=5)
     parser.add_argument("--whole", action="store_true", help="no views")
     args = parser.parse_args()
-    views = not args.whole and "total" in api.EndpointList.__dataclass_fields__
+    views = not args.whole and "available_total" in api.EndpointList.__dataclass_fields__
     shapes = [
         (hosts, view)
         for hosts in args.hosts
