--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -9,7 +9,7 @@
 from api_gateway import interface as api
 from api_gateway.policy.cluster_clock import BEACON, LIFETIME
 from api_gateway.policy.customer_accounts import GAIN, PlanUse
-from api_gateway.policy.endpoints import TICK
+from api_gateway.policy.endpoint_load import TICK
 from api_gateway.policy.quota_leases import Quota
 from api_gateway.policy.request_state import GRANT_PRIOR, IDLE_MOST, Job
 
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -5,7 +5,8 @@
 import bisect
 import math
 
-from api_gateway.policy.endpoints import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR
+from api_gateway.policy.endpoint_load import PRESS_SPAN, PRESSED
+from api_gateway.policy.endpoints import LIMIT_MOST, ROOM_CLEAR
 from api_gateway.policy.request_state import RETRY_MOST, Job
 from api_gateway.policy.retries import QUEUE_HOLD, QUEUE_LEAST, RETRY_SHARE, RETRY_SPARE, Attempts
 
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -6,7 +6,7 @@
 
 from api_gateway import interface as api
 from api_gateway.policy.customer_accounts import CHARGE_AT, CROWDED, Account, Call, SlotCall, stable_hash
-from api_gateway.policy.endpoints import TICK
+from api_gateway.policy.endpoint_load import TICK
 from api_gateway.policy.load_shedding import Shedding
 from api_gateway.policy.request_state import OPEN_EPOCH, Job
 
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -10,7 +10,8 @@
 from api_gateway import interface as api
 from api_gateway.policy.cluster_clock import FleetTime
 from api_gateway.policy.customer_accounts import Account, Call, Counter, PlanUse, SlotCall, stable_hash
-from api_gateway.policy.endpoints import TICK, Fleet
+from api_gateway.policy.endpoint_load import TICK
+from api_gateway.policy.endpoints import Fleet
 
 GRANT_PRIOR = (0.5, 0.3)  # share of first tries and of repeats taken to be granted, before any was
 OPEN_EPOCH, IDLE_MOST = 5.0, 60.0  # s; life of a count of open attempts, and of an idle account
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -5,7 +5,8 @@
 import math
 
 from api_gateway import interface as api
-from api_gateway.policy.endpoints import TICK, Server
+from api_gateway.policy.endpoint_load import TICK
+from api_gateway.policy.endpoint_table import Server
 from api_gateway.policy.request_state import Job, State
 
 QUEUE_HOLD, QUEUE_LEAST = 0.5, 4  # share of the aim spent waiting for a server; requests that always may
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -120,10 +120,10 @@
         assert (await old.call("POST /maintenance/enter?host=h1"))[0] == 200
         async with Node(one, two, path=tmp_path) as new:
             assert (await new.call("GET /status"))[1]["hosts_out"] == ["h1"]
-            assert new.node.module.fleet.banned
+            assert new.node.module.fleet.table.ejected
             assert (await new.call("POST /maintenance/exit?host=h1"))[0] == 200
             await until(lambda: not old.node.hosts.out)
-            assert not old.node.module.fleet.banned
+            assert not old.node.module.fleet.table.ejected
             assert (await old.call("POST /maintenance/enter?host=h2"))[0] == 200
             assert (await new.call("POST /maintenance/exit?host=h2"))[0] == 200  # no look between
             assert not new.node.hosts.out
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -19,9 +19,9 @@
 from api_gateway.base import subsets as base
 from api_gateway.base.subsets import Rings, View
 from api_gateway.discovery import subsets as net
-from api_gateway.policy import endpoints as policy
+from api_gateway.policy import endpoint_table as policy
 from api_gateway.policy.customer_accounts import stable_hash
-from api_gateway.policy.endpoints import GOLDEN
+from api_gateway.policy.endpoint_subset import GOLDEN
 from api_gateway.registry import core
 from api_gateway.registry import subsets as live
 
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -712,7 +712,7 @@
     "policy.request_state.RETRY_MOST",
     "policy.quota_leases.UNHEARD_MOST",
     "policy.quota_leases.SAMPLE_MOST",
-    "policy.endpoints.LOOK_MOST",
+    "policy.endpoint_table.LOOK_MOST",
     "membership.core.SUSPECT_MOST",
     "membership.core.LONGER_MOST",
     "membership.core.DOUBT_MOST",
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -6,6 +6,7 @@
 
 from api_gateway.downstream import client_connection as clients
 from api_gateway.gateway import node as gateway
+from api_gateway.policy import endpoint_selection, endpoint_table
 from api_gateway.policy import endpoints as fleet
 from api_gateway.policy import quota_leases as quota_layer
 from api_gateway.policy import retries as attempts
@@ -43,9 +44,10 @@
 
 def failback():
     """Every host counts as warm, and one that has just started as the best."""
-    score = fleet.Fleet.score
-    fleet.Server.warmth = lambda self, now, rules: 1.0
-    fleet.Fleet.score = lambda self, s, keys, now: 0.0 if s.began > 0 else score(self, s, keys, now)
+    selector = endpoint_selection.EndpointSelector
+    score = selector.score
+    endpoint_table.Server.warmth = lambda self, now, rules: 1.0
+    selector.score = lambda self, s, keys, now: 0.0 if s.started_at > 0 else score(self, s, keys, now)
     fleet.LIMIT_MOST = 100.0
 
 
--- a/tests/measure/served.py
+++ b/tests/measure/served.py
@@ -36,7 +36,8 @@
 from api_gateway import interface as api  # noqa: E402
 from api_gateway.base.subsets import Rings, View  # noqa: E402
 from api_gateway.policy import Gateway  # noqa: E402
-from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART, VIEW_SPARE  # noqa: E402
+from api_gateway.policy.endpoint_subset import VIEW_SPARE  # noqa: E402
+from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART  # noqa: E402
 
 ZONES, SLOTS, QUEUE, SPREAD = 6, 2, 4, 6
 WORK = {READ.name: 0.2, WRITE.name: 0.4, CELL.name: 0.6}  # s, the mean of each class; each as frequent
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -97,7 +97,8 @@
 
 def bear(node, attempts):
     """So many attempts may be out at a host, whatever later lists say."""
-    node.module.fleet.limit, node.module.fleet.gauge = attempts, lambda: None
+    node.module.fleet.selector.in_flight_limit = attempts
+    node.module.fleet.update_limits = lambda: None
 
 
 async def until(check):
--- a/tests/policy/test_endpoint_subsets.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -10,18 +10,10 @@
 
 from api_gateway import interface as api
 from api_gateway.policy.customer_accounts import stable_hash
-from api_gateway.policy.endpoints import (
-    EASY_SPAN,
-    GOLDEN,
-    GONE_LEAST,
-    GONE_SPAN,
-    LIMIT_MOST,
-    LOOK_MOST,
-    OWN_PART,
-    VIEW_LEAD,
-    WIDEN_SPAN,
-    Fleet,
-)
+from api_gateway.policy.endpoint_selection import EndpointSelector
+from api_gateway.policy.endpoint_subset import EASY_SPAN, GOLDEN, VIEW_LEAD, WIDEN_SPAN
+from api_gateway.policy.endpoint_table import DEPARTED_MEMORY_FLOOR, DEPARTED_MEMORY_S, LOOK_MOST
+from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART
 from api_gateway.simulator_adapter import WRITERS
 
 BIG = plan(rate=1000.0, burst=4000.0)
@@ -78,7 +70,10 @@
     hosts = [host(f"h{n}") for n in range(total)]
     whole = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=7), hosts, seed=7)
     part = viewing(hosts, view, gateways, index=7)
-    assert part.gw.fleet.crowd == max(1.0, gateways * view / total) and whole.gw.fleet.crowd == gateways
+    assert (
+        part.gw.fleet.table.gateway_count == max(1.0, gateways * view / total)
+        and whole.gw.fleet.table.gateway_count == gateways
+    )
     for w in (whole, part):
         asked(w, 4)
     assert abs(len(whole.gw.fleet.own) - len(part.gw.fleet.own)) <= 2
@@ -115,13 +110,13 @@
     w = World(settings(plans=[BIG], gateway_count=40), hosts)
     w.do(api.EndpointOverride("h3", True, w.now))
     w.do(api.EndpointList("full", 2, hosts, 20))
-    assert w.gw.fleet.crowd == 40 and w.gw.fleet.total == 0
+    assert w.gw.fleet.table.gateway_count == 40 and w.gw.fleet.table.total == 0
     w.do(api.EndpointList("delta", 3, (), 200))
-    assert w.gw.fleet.crowd == 4.0 and w.gw.fleet.total == 200
+    assert w.gw.fleet.table.gateway_count == 4.0 and w.gw.fleet.table.total == 200
     w.do(api.EndpointList("failed", 3, ()))
-    assert w.gw.fleet.total == 200  # nothing was told
+    assert w.gw.fleet.table.total == 200  # nothing was told
     w.do(api.EndpointList("delta", 4, (host("h20"),)))
-    assert w.gw.fleet.crowd == 40 and w.gw.fleet.total == 0
+    assert w.gw.fleet.table.gateway_count == 40 and w.gw.fleet.table.total == 0
 
 
 def test_a_view_that_empties_asks_for_more_and_works_again_when_it_fills():
@@ -136,7 +131,7 @@
         w.now += 0.1
         assert not of(w.ask()[1], api.SendAttempt)
     assert len(wishes(w)) == math.ceil(10.0 / WIDEN_SPAN) and min(wishes(w)) > 60
-    assert not w.gw.fleet.own and w.gw.fleet.crowd == 1.0
+    assert not w.gw.fleet.own and w.gw.fleet.table.gateway_count == 1.0
     back = tuple(h for h in hosts if h.zone == "z2")[: wishes(w)[0]]
     w.do(api.EndpointList("delta", 99, back, 2000))
     w.log.clear()
@@ -195,7 +190,7 @@
     w.do(api.EndpointList("delta", 2, down(left), 400))
     assert w.gw.fleet.out == 1 and left.id in w.gw.fleet.servers
     assert left.id not in asked(w, 60, step=0.001)
-    for n in range(3 * GONE_LEAST):  # so many leave after it that it would be forgotten
+    for n in range(3 * DEPARTED_MEMORY_FLOOR):  # so many leave after it that it would be forgotten
         w.do(api.EndpointList("delta", 3 + 2 * n, (host(f"x{n}"),), 400))
         w.do(api.EndpointList("delta", 4 + 2 * n, down(host(f"x{n}")), 400))
     assert left.id in w.gw.fleet.servers
@@ -212,7 +207,7 @@
     gone = w.gw.fleet.servers[send.endpoint_id].host
     w.do(api.EndpointList("delta", 2, down(gone), 200))
     w.end(send)
-    w.now += GONE_SPAN + 1.0
+    w.now += DEPARTED_MEMORY_S + 1.0
     w.do(api.EndpointList("delta", 3, (), 200))
     fleet = w.gw.fleet
     assert gone.id not in fleet.servers and gone.id not in fleet.health.hosts
@@ -230,7 +225,7 @@
     w = World(settings(plans=[BIG]), [host("h1"), host("h2")])
     w.do(api.EndpointOverride("h1", True, w.now))
     w.do(api.EndpointList("full", 2, (host("h2"),)))
-    w.now += GONE_SPAN + 1.0
+    w.now += DEPARTED_MEMORY_S + 1.0
     w.do(api.EndpointList("full", 3, (host("h2"),)))
     assert list(w.gw.fleet.servers) == ["h2"]
     w.do(api.EndpointList("full", 4, (host("h1"), host("h2"))))
@@ -251,7 +246,9 @@
         w.do(
             api.EndpointList("delta", 2 + n, (host(f"far{n}", state="leaving"), *down(host(f"off{n}"))), 5000)
         )
-    assert len(w.gw.fleet.servers) == 50 and not w.gw.fleet.gone and len(w.gw.fleet.ring) == 50
+    assert (
+        len(w.gw.fleet.servers) == 50 and not w.gw.fleet.table.departed and len(w.gw.fleet.table.ring) == 50
+    )
 
 
 def test_hosts_of_weights_ten_to_one_get_ten_to_one_in_a_view():
@@ -263,9 +260,9 @@
     share = [s.host.weight for s in w.gw.fleet.own]
     even = share.count(10.0) * 10 / (share.count(10.0) * 10 + share.count(1.0))
     assert abs(heavy - even) < 0.12
-    assert w.gw.fleet.top == 10.0
+    assert w.gw.fleet.table.largest_weight == 10.0
     w.do(api.EndpointList("delta", 2, down(*(h for h in hosts if h.weight == 10.0)), 2000))
-    assert w.gw.fleet.top == 1.0 and w.gw.fleet.weights == [1.0] * len(w.gw.fleet.up)
+    assert w.gw.fleet.table.largest_weight == 1.0 and w.gw.fleet.table.weights == [1.0] * len(w.gw.fleet.up)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -338,12 +335,15 @@
             gc.collect()
             objects.append(len(gc.get_objects()))
     fleet = w.gw.fleet
-    assert len(fleet.gone) <= 100 and len(fleet.ring) == len(fleet.up) == len(fleet.weights) == 100
-    assert len(fleet.health.hosts) <= 201 and len(fleet.cold) <= 101
+    assert (
+        len(fleet.table.departed) <= 100
+        and len(fleet.table.ring) == len(fleet.up) == len(fleet.table.weights) == 100
+    )
+    assert len(fleet.health.hosts) <= 201 and len(fleet.table.warming_up) <= 101
     assert objects[1] < objects[0] + 300  # each known host is three at least
-    w.now += GONE_SPAN + 1.0
+    w.now += DEPARTED_MEMORY_S + 1.0
     asked(w, 1)
-    assert len(fleet.servers) == 100 and not fleet.gone
+    assert len(fleet.servers) == 100 and not fleet.table.departed
 
 
 def test_what_is_kept_by_change_is_what_a_sort_of_all_finds():
@@ -363,16 +363,18 @@
                 w.do(api.EndpointList("delta", n, (host(name, state=rng.choice(("down", "leaving"))),)))
             case 4:
                 asked(w, 1)
-        kept = [fleet.up[:], fleet.ring[:], fleet.weights[:], set(fleet.cold)]
-        fleet.sort(w.now)
-        assert kept[:3] == [fleet.up, fleet.ring, fleet.weights] and kept[3] >= set(fleet.cold)
-        fleet.refresh(w.now)
+        kept = [fleet.up[:], fleet.table.ring[:], fleet.table.weights[:], set(fleet.table.warming_up)]
+        fleet.table.rebuild(w.now)
+        assert kept[:3] == [fleet.up, fleet.table.ring, fleet.table.weights] and kept[3] >= set(
+            fleet.table.warming_up
+        )
+        fleet.on_table_change(w.now)
 
 
 def test_of_many_hosts_a_bounded_number_is_looked_at():
     looked = 0
 
-    class Counting(Fleet):
+    class Counting(EndpointSelector):
         def may_send(self, s, now):
             nonlocal looked
             looked += 1
@@ -380,7 +382,7 @@
 
     for gateways in (1, 10, 400):
         w = World(settings(plans=[BIG], gateway_count=gateways), [host(f"h{n}") for n in range(5000)])
-        w.gw.fleet.__class__ = Counting
+        w.gw.fleet.selector.__class__ = Counting
         looked = 0
         for _ in range(20):
             w.now += 0.05
--- a/tests/policy/test_request_handling.py
+++ b/tests/policy/test_request_handling.py
@@ -295,7 +295,7 @@
     assert [s.request_id for s in copy] == [first.request_id] and copy[0].endpoint_id != first.endpoint_id
     acts = w.do(api.ResponseStarted(first.request_id, 1, copy[0].endpoint_id, 2.0))
     assert of(acts, api.CancelAttempt) == [api.CancelAttempt(first.request_id, 0)]
-    assert not w.gw.fleet.servers[copy[0].endpoint_id].out and w.gw.fleet.out == 0
+    assert not w.gw.fleet.servers[copy[0].endpoint_id].in_flight and w.gw.fleet.out == 0
     acts = w.end(first, "cancelled") + w.wait(3.0)
     assert not of(
         acts, (api.SendAttempt, api.RejectRequest, api.FailRequest)
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -41,7 +41,7 @@
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.node.module.fleet.reports
+        assert not node.node.module.fleet.load.has_reports
 
 
 @pytest.mark.parametrize(
