--- a/api_gateway/policy/endpoint_load.py
+++ b/api_gateway/policy/endpoint_load.py
@@ -199,7 +199,7 @@
         table = self.table
         rules = table.settings.rules
         usual = self.health.health("", keys, now)
-        known = list(self.health.hosts)
+        known = list(self.health.estimates)
         sample = table.sample(known)
         warming_up = table.sample(list(table.warming_up.values()))
         here = [
@@ -211,7 +211,7 @@
         }
         doubted = (sum(capacities.values()) - usual * len(capacities)) * (len(known) / max(1, len(sample)))
         warmths = {s.host.id: s.warmth(now, rules) for s in warming_up}
-        lacking = sum(x * usual - usual for name, x in warmths.items() if name not in self.health.hosts)
+        lacking = sum(x * usual - usual for name, x in warmths.items() if name not in self.health.estimates)
         unsampled = len(table.warming_up) / max(1, len(warming_up))
         self.full_endpoints = usual * len(table.available) + doubted + lacking * unsampled
         for endpoint_id in [name for name, x in warmths.items() if x == 1.0]:
--- a/api_gateway/policy/endpoint_subset.py
+++ b/api_gateway/policy/endpoint_subset.py
@@ -12,20 +12,20 @@
 from api_gateway.policy.endpoint_table import EndpointTable, Server, by_ring_position
 from api_gateway.policy.outlier_detection import HealthEstimator
 
-# Positions of gateways in steps of this are even on the ring, whatever their number.
-GOLDEN = 0.6180339887498949
+# Gateways' positions on the ring differ by the golden section of it: they are even, whatever their number.
+GOLDEN_STEP = 0.6180339887498949
 
 # Endpoints of a plain view, times those that a gateway uses: half of them may be warming up or fail.
-VIEW_SPARE = 2.0
+PLAIN_VIEW_FACTOR = 2.0
 
 # Part of these that is passed over at the beginning of a view that is as dense as all the ring.
-VIEW_LEAD = 0.1
+VIEW_SKIPPED_PART = 0.1
 
 # Seconds by which a view that was asked for is there.
-WIDEN_SPAN = 5.0
+VIEW_RESIZE_TIMEOUT_S = 5.0
 
 # Seconds of ease until a wide view is given back.
-EASY_SPAN = 60.0
+VIEW_EASE_S = 60.0
 
 
 class EndpointSubset:
@@ -91,7 +91,7 @@
             if name in capacities:
                 need -= capacities[name]
                 continue
-            sound = self.health.health(name, keys, now) if name in self.health.hosts else usual
+            sound = self.health.health(name, keys, now) if name in self.health.estimates else usual
             need -= endpoint.warmth(now, settings.rules) * sound
         return chosen
 
@@ -104,15 +104,15 @@
         """
         ring = self.table.ring
         total = self.table.total
-        position = self.table.settings.gateway_index * GOLDEN % 1.0
+        position = self.table.settings.gateway_index * GOLDEN_STEP % 1.0
         if self._rank_lead is None:
             gateways = self.table.settings.gateway_count
-            before = sum(n * GOLDEN % 1.0 < position for n in range(gateways))
+            before = sum(n * GOLDEN_STEP % 1.0 < position for n in range(gateways))
             self._rank_lead = before / gateways - position
         first = rank_at(ring, position)
         end = rank_at(ring, position + need / total)
         excess = (end - first) % len(ring) - need
-        skipped = VIEW_LEAD * need + excess / 2 + self._rank_lead * total
+        skipped = VIEW_SKIPPED_PART * need + excess / 2 + self._rank_lead * total
         return (first + max(0, round(skipped))) % len(ring)
 
     def update_view(self, need: float, capacity: float, now: float) -> None:
@@ -128,12 +128,12 @@
         total = self.table.total
         view = len(self.table.available)
         need = min(need, total)
-        plain = min(total, math.ceil(VIEW_SPARE * need))
+        plain = min(total, math.ceil(PLAIN_VIEW_FACTOR * need))
         if capacity * plain < need * view or capacity < need:
             self._short_at = now
-        if capacity < need and now - self._requested_at > WIDEN_SPAN:
+        if capacity < need and now - self._requested_at > VIEW_RESIZE_TIMEOUT_S:
             self._request_view(min(total, max(2 * view, plain)), now)
-        elif self._requested_view > plain and now - max(self._short_at, self._requested_at) > EASY_SPAN:
+        elif self._requested_view > plain and now - max(self._short_at, self._requested_at) > VIEW_EASE_S:
             self._request_view(plain, now)
 
     def _request_view(self, size: int, now: float) -> None:
--- a/api_gateway/policy/endpoint_table.py
+++ b/api_gateway/policy/endpoint_table.py
@@ -151,7 +151,7 @@
         in_bulk = is_complete or len(event.endpoints) * BULK_DIVISOR > len(self.available)
         for host in event.endpoints:
             self._apply_entry(now, host, in_bulk=in_bulk, is_view=event.available_total > 0)
-        self.start_times.heard(now, event.mode)
+        self.start_times.on_list(now, event.mode)
         if event.mode != "failed":
             self._listed_total = event.available_total
         if in_bulk:
@@ -167,7 +167,9 @@
         if old is None or (host.state == "up" and host.started_at > old.host.started_at):
             # Credit starts anywhere below one send: first sends of many gateways are spread over time.
             duration = self.settings.rules.slow_start_duration
-            started_at = self.start_times.began(now, host, old.host if old else None, is_view, duration)
+            started_at = self.start_times.start_time(
+                now, host, old.host if old else None, is_view=is_view, duration=duration
+            )
             self._replace(Server(host, now, self.rng.random(), started_at), old)
         else:
             old.host = host
--- a/api_gateway/policy/endpoints.py
+++ b/api_gateway/policy/endpoints.py
@@ -209,39 +209,43 @@
         """Return the endpoints that this gateway is to use, by the capacities that are known."""
         return self.subset.choose(self._needed_endpoints(), keys, now, capacities)
 
-    def pick(self, now: float, keys: tuple[str, ...], fits: list[Server] | None) -> Server | None:
+    def pick(self, now: float, keys: tuple[str, ...], candidates: list[Server] | None) -> Server | None:
         """Return an endpoint for an attempt, or None if none may get one.
 
         Args:
             now: Time.
             keys: Levels at which an endpoint may fail the request.
-            fits: Endpoints to choose from; None: any.
+            candidates: Endpoints to choose from; None: any.
         """
         if self.full(now, keys):
             return None
-        return self.selector.choose(now, keys, fits)
+        return self.selector.choose(now, keys, candidates)
 
-    def sent(self, s: Server, key: tuple[str, int], now: float) -> None:
+    def sent(self, endpoint: Server, key: tuple[str, int], now: float) -> None:
         """Note an attempt as in flight at an endpoint; `key` is its request and number."""
-        s.in_flight[key] = now
-        s.send_credit -= 1.0
+        endpoint.in_flight[key] = now
+        endpoint.send_credit -= 1.0
         self.load.record_send(now)
 
-    def ended(self, host: str, key: tuple[str, int]) -> None:
+    def ended(self, endpoint_id: str, key: tuple[str, int]) -> None:
         """Note that an attempt is no longer in flight; nothing happens if it wasn't."""
-        endpoint = self.table.endpoints.get(host)
+        endpoint = self.table.endpoints.get(endpoint_id)
         if endpoint is not None and endpoint.in_flight.pop(key, None) is not None:
             self.load.in_flight -= 1
 
     def answered(
-        self, now: float, event: api.AttemptEnded, cls: api.ServiceClass | None, keys: tuple[str, ...]
+        self,
+        now: float,
+        event: api.AttemptEnded,
+        service_class: api.ServiceClass | None,
+        keys: tuple[str, ...],
     ) -> None:
         """Learn from the end of an attempt.
 
         Args:
             now: Time.
             event: How it ended.
-            cls: Service class of the request; None if the request has ended before.
+            service_class: That of the request; None if the request has ended before.
             keys: Levels at which an endpoint may fail the request, the whole endpoint first.
         """
         endpoint = self.table.endpoints.get(event.endpoint_id)
@@ -260,5 +264,5 @@
             self.load.record_pressure(now, is_congested=is_congested)
         if result == "ok" and endpoint.warmth(now, self.settings.rules) == 1.0:
             self.load.record_warm_answer(now)
-        if result == "ok" and cls is not None:
-            self.load.record_latency(endpoint, cls.name, event.elapsed)
+        if result == "ok" and service_class is not None:
+            self.load.record_latency(endpoint, service_class.name, event.elapsed)
--- a/api_gateway/policy/slow_start.py
+++ b/api_gateway/policy/slow_start.py
@@ -1,8 +1,9 @@
-"""When hosts started, by this gateway's own clock, although its wall clock may be wrong.
+"""When endpoints started, by this gateway's own clock, although its wall clock may be wrong.
 
-Lists tell starts in Unix time. A gateway whose wall clock is off by an hour takes a host that has just
-started for a warm one, or for one that never warms up. Two facts are sure whatever the clock says: no host
-has started in the future, and a start that is news to a list came after the list before, but for its delay.
+Lists give starts in Unix time. A gateway whose wall clock is off by an hour takes an endpoint that has just
+started for a warm one, or for one that never warms up. Two facts are sure whatever the clock says: no
+endpoint has started in the future, and a start that is new in a list came after the list before, but for its
+delay.
 """
 
 from __future__ import annotations
@@ -11,50 +12,87 @@
 
 from api_gateway import interface as api
 
-LIST_DELAY = 10.0  # s; the longest that discovery takes to tell of a start while its lists come
-COLD_PART = 0.5  # of the cold time, at most that: a clock off by less leaves a host that is new half cold
-CLOCKS_APART = 10.0  # s; by less two clocks may differ: a host then stays at its coldest for so much longer
+# Seconds; the longest that discovery takes to report a start while its lists come.
+LIST_DELAY_S = 10.0
+
+# Part of the slow start's duration that this delay is at most: with a clock that is off by less, a new
+# endpoint is still half cold.
+LIST_DELAY_MAX_PART = 0.5
+
+# Seconds by less than which two clocks may differ: an endpoint then stays at its coldest for so much longer.
+CLOCK_TOLERANCE_S = 10.0
 
 
 class StartTimes:
-    """Turns the starts that lists tell into times of the module's clock; 0 stands for long ago."""
+    """Turns the starts that lists give into times of the module's clock; 0 stands for long ago.
+
+    Attributes:
+        last_list_at: When the last list came from discovery to this process.
+    """
 
     def __init__(self) -> None:
-        self.heard_at = -math.inf  # when the last list came that discovery told to this process
+        """Begin before the first list."""
+        self.last_list_at = -math.inf
 
-    def heard(self, now: float, mode: str) -> None:
-        """A list has been taken."""
+    def on_list(self, now: float, mode: str) -> None:
+        """Note that a list has been taken; only those that discovery sent count."""
         if mode in ("delta", "full"):
-            self.heard_at = now
+            self.last_list_at = now
 
-    def is_credible(self, now: float, started: float, news: bool, cold_time: float) -> bool:
-        """Whether a start may have been when it is told. `news`: this list is the first to tell it."""
+    def is_credible(self, now: float, started: float, *, is_new: bool, duration: float) -> bool:
+        """Return whether an endpoint may have started when its list says.
+
+        Args:
+            now: Time in seconds.
+            started: The start that the list gives, by the same clock.
+            is_new: Whether this list is the first to give it.
+            duration: Seconds of slow start.
+        """
         age = now - started
-        delay = min(LIST_DELAY, COLD_PART * cold_time)
-        longest = now - self.heard_at + delay if news else math.inf
-        return -CLOCKS_APART <= age <= longest
+        delay = min(LIST_DELAY_S, LIST_DELAY_MAX_PART * duration)
+        longest = now - self.last_list_at + delay if is_new else math.inf
+        return -CLOCK_TOLERANCE_S <= age <= longest
 
-    def is_news(self, old: api.Endpoint | None, host: api.Endpoint, view: bool) -> bool:
-        """Whether the list before would have told this start, had it been then already.
+    def is_new(self, old: api.Endpoint | None, host: api.Endpoint, *, is_view: bool) -> bool:
+        """Return whether the list before would have given this start, had it been then already.
 
-        In a view a host that was not listed may have run for long: it was in others' views.
+        An endpoint that a view didn't name before may have run for long: it was in others' views.
         """
         if old is None:
-            return not view
+            return not is_view
         return host.started_at > old.started_at
 
-    def began(
-        self, now: float, host: api.Endpoint, old: api.Endpoint | None, view: bool, cold_time: float
+    def start_time(
+        self, now: float, host: api.Endpoint, old: api.Endpoint | None, *, is_view: bool, duration: float
     ) -> float:
-        """The start by the module's clock: now, which is the safe side, where what is told cannot be."""
+        """Return the start by the module's clock: now, which is the safe side, if the given one cannot be.
+
+        Args:
+            now: Time in seconds.
+            host: The endpoint as the list names it.
+            old: The endpoint as the list before named it, if that did.
+            is_view: Whether the list holds only a part of the endpoints.
+            duration: Seconds of slow start.
+        """
         if host.started_at <= 0:
             return 0.0
-        credible = self.is_credible(now, host.started_at, self.is_news(old, host, view), cold_time)
-        return host.started_at if credible else now
+        is_new = self.is_new(old, host, is_view=is_view)
+        is_credible = self.is_credible(now, host.started_at, is_new=is_new, duration=duration)
+        return host.started_at if is_credible else now
+
+
+def later_start(now: float, known: float, listed: float, offset: float, duration: float) -> float:
+    """Return the start to go by where the wall clock may be off by `offset` seconds.
 
+    It is the later one of the known start and of what the listed one says by that other clock, as long as the
+    endpoint would be warming up by it.
 
-def later_start(now: float, began: float, started: float, offset: float, cold_time: float) -> float:
-    """The start to go by where the wall clock may be off by `offset` seconds: the later one of what is held
-    (`began`) and of what `started` says by that other clock, as long as the host would be cold by it."""
-    age = now + offset - started
-    return max(began, now - age) if 0 <= age < cold_time else began
+    Args:
+        now: Time in seconds.
+        known: The start by which the endpoint has warmed up so far.
+        listed: The start that its list gives.
+        offset: Seconds to add to `now` for the other clock's time.
+        duration: Seconds of slow start.
+    """
+    age = now + offset - listed
+    return max(known, now - age) if 0 <= age < duration else known
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -21,7 +21,7 @@
 from api_gateway.discovery import subsets as net
 from api_gateway.policy import endpoint_table as policy
 from api_gateway.policy.customer_accounts import stable_hash
-from api_gateway.policy.endpoint_subset import GOLDEN
+from api_gateway.policy.endpoint_subset import GOLDEN_STEP
 from api_gateway.registry import core
 from api_gateway.registry import subsets as live
 
@@ -84,7 +84,7 @@
     ring = sorted(hosts_, key=lambda h: policy.stable_hash(h.id, "place"))
     places = [policy.stable_hash(h.id, "place") for h in ring]
     for n, gateways in enumerate(groups):
-        at = sum(place < int(n * GOLDEN % 1.0 * 2**63) for place in places)
+        at = sum(place < int(n * GOLDEN_STEP % 1.0 * 2**63) for place in places)
         w = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=n), [], seed=n + 1)
         w.do(api.EndpointList("full", 1, tuple((ring + ring)[at : at + view]), total))
         w.ask()
@@ -281,7 +281,7 @@
         [],
         seed=index + 1,
     )
-    at = int(index * GOLDEN % 1.0 * 2**63)
+    at = int(index * GOLDEN_STEP % 1.0 * 2**63)
     near = sorted(hosts_, key=lambda h: (policy.stable_hash(h.id, "place") - at) % 2**63)
     w.do(api.EndpointList("full", 1, tuple(near[:view]), len(hosts_)))
     return w
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -442,7 +442,7 @@
                 assert (await node.ask(command(b"r%d" % n))).startswith(BUSY)
                 assert loop.time() - began < 1.0
         assert {event.result for event in outcomes if isinstance(event, api.AttemptEnded)} == {"moot"}
-        assert "h1" not in node.node.module.fleet.health.hosts
+        assert "h1" not in node.node.module.fleet.health.estimates
         assert await node.ask(command(b"r9")) == SERVED
 
 
--- a/tests/measure/served.py
+++ b/tests/measure/served.py
@@ -36,7 +36,7 @@
 from api_gateway import interface as api  # noqa: E402
 from api_gateway.base.subsets import Rings, View  # noqa: E402
 from api_gateway.policy import Gateway  # noqa: E402
-from api_gateway.policy.endpoint_subset import VIEW_SPARE  # noqa: E402
+from api_gateway.policy.endpoint_subset import PLAIN_VIEW_FACTOR  # noqa: E402
 from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART  # noqa: E402
 
 ZONES, SLOTS, QUEUE, SPREAD = 6, 2, 4, 6
@@ -105,7 +105,9 @@
         self.rings = Rings()
         for m in self.machines.values():
             self.rings.put(m.name, "k", m.zone, True)
-        self.size = min(hosts, math.ceil(VIEW_SPARE * OWN_PART * max(1.0, LIMIT_MOST * hosts / gateways)))
+        self.size = min(
+            hosts, math.ceil(PLAIN_VIEW_FACTOR * OWN_PART * max(1.0, LIMIT_MOST * hosts / gateways))
+        )
         confs = [
             settings(plans=[BIG], gateway_count=gateways, gateway_index=n, zone=f"z{n % ZONES}")
             for n in range(gateways)
--- a/tests/policy/test_endpoint_subsets.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -11,7 +11,12 @@
 from api_gateway import interface as api
 from api_gateway.policy.customer_accounts import stable_hash
 from api_gateway.policy.endpoint_selection import EndpointSelector
-from api_gateway.policy.endpoint_subset import EASY_SPAN, GOLDEN, VIEW_LEAD, WIDEN_SPAN
+from api_gateway.policy.endpoint_subset import (
+    GOLDEN_STEP,
+    VIEW_EASE_S,
+    VIEW_RESIZE_TIMEOUT_S,
+    VIEW_SKIPPED_PART,
+)
 from api_gateway.policy.endpoint_table import DEPARTED_MEMORY_FLOOR, DEPARTED_MEMORY_S, LOOK_MOST
 from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART
 from api_gateway.simulator_adapter import WRITERS
@@ -30,17 +35,17 @@
 
 def in_view(hosts, index, view):
     """The hosts that follow a gateway's place on the ring."""
-    place = int(index * GOLDEN % 1.0 * 2**63)
+    place = int(index * GOLDEN_STEP % 1.0 * 2**63)
     return sorted(hosts, key=lambda h: (stable_hash(h.id, "place") - place) % 2**63)[:view]
 
 
 def passed_over(hosts, index, gateways):
     """Hosts of a view before those that are used, counted from all hosts and the places of all gateways."""
-    need, place = OWN_PART * max(1.0, LIMIT_MOST * len(hosts) / gateways), index * GOLDEN % 1.0
+    need, place = OWN_PART * max(1.0, LIMIT_MOST * len(hosts) / gateways), index * GOLDEN_STEP % 1.0
     follow = sum((stable_hash(h.id, "place") / 2**63 - place) % 1.0 < need / len(hosts) for h in hosts)
-    rank = sorted(n * GOLDEN % 1.0 for n in range(gateways)).index(place)
+    rank = sorted(n * GOLDEN_STEP % 1.0 for n in range(gateways)).index(place)
     ahead = len(hosts) * (rank / gateways - place)
-    return max(0, round(VIEW_LEAD * need + (follow - need) / 2 + ahead))
+    return max(0, round(VIEW_SKIPPED_PART * need + (follow - need) / 2 + ahead))
 
 
 def viewing(hosts, view, gateways, index=0, total=None, **kw):
@@ -130,7 +135,7 @@
     for _ in range(100):
         w.now += 0.1
         assert not of(w.ask()[1], api.SendAttempt)
-    assert len(wishes(w)) == math.ceil(10.0 / WIDEN_SPAN) and min(wishes(w)) > 60
+    assert len(wishes(w)) == math.ceil(10.0 / VIEW_RESIZE_TIMEOUT_S) and min(wishes(w)) > 60
     assert not w.gw.fleet.own and w.gw.fleet.table.gateway_count == 1.0
     back = tuple(h for h in hosts if h.zone == "z2")[: wishes(w)[0]]
     w.do(api.EndpointList("delta", 99, back, 2000))
@@ -146,7 +151,7 @@
     (most,) = wishes(w)
     w.do(api.EndpointList("full", 2, tuple(in_view(hosts, 0, most)), 2000))
     w.log.clear()
-    asked(w, int(0.9 * EASY_SPAN / 0.5), step=0.5)
+    asked(w, int(0.9 * VIEW_EASE_S / 0.5), step=0.5)
     assert not wishes(w)
     w.do(
         api.EndpointList("delta", 3, tuple(host(h.id, started=w.now) for h in in_view(hosts, 0, most)), 2000)
@@ -154,7 +159,7 @@
     asked(w, 100, step=0.5)  # all were cold, so all of the wide view was needed
     assert len(w.gw.fleet.own) <= most and all(n >= most for n in wishes(w))
     w.log.clear()
-    asked(w, int(2.2 * EASY_SPAN / 0.5), step=0.5)
+    asked(w, int(2.2 * VIEW_EASE_S / 0.5), step=0.5)
     plain = wishes(w)[-1]
     assert plain <= most
     w.do(api.EndpointList("full", 4, tuple(in_view(hosts, 0, plain)), 2000))
@@ -210,7 +215,7 @@
     w.now += DEPARTED_MEMORY_S + 1.0
     w.do(api.EndpointList("delta", 3, (), 200))
     fleet = w.gw.fleet
-    assert gone.id not in fleet.servers and gone.id not in fleet.health.hosts
+    assert gone.id not in fleet.servers and gone.id not in fleet.health.estimates
     w.end(send, "timeout")
     w.do(api.ResponseStarted(send.request_id, 0, send.endpoint_id, 0.1))
     w.do(api.EndpointOverride(gone.id, True, w.now))
@@ -339,7 +344,7 @@
         len(fleet.table.departed) <= 100
         and len(fleet.table.ring) == len(fleet.up) == len(fleet.table.weights) == 100
     )
-    assert len(fleet.health.hosts) <= 201 and len(fleet.table.warming_up) <= 101
+    assert len(fleet.health.estimates) <= 201 and len(fleet.table.warming_up) <= 101
     assert objects[1] < objects[0] + 300  # each known host is three at least
     w.now += DEPARTED_MEMORY_S + 1.0
     asked(w, 1)
