--- a/api_gateway/policy/cluster_clock.py
+++ b/api_gateway/policy/cluster_clock.py
@@ -1,17 +1,17 @@
-"""One time for all gateways of a fleet, by the counter service, where their wall clocks disagree.
+"""The time of a fleet of gateways, agreed by the counter service where their wall clocks differ.
 
 Windows of quotas are named by time, so gateways whose clocks differ would count one customer under two
 names. The counter is what all of them share, and it forgets a name a fixed time after the name was made: that
-moment is the same for all who watch it. The gateways keep one name there, the beacon, which holds the fleet's
-time of its own making. Whoever reads it knows within LIFETIME what time the fleet has; whoever looks just
-before and just after the beacon is due to be forgotten knows it within TOLERANCE.
+moment is the same for all who watch it. The gateways keep one name there, the beacon, which holds the time
+that the fleet has agreed on. Whoever reads it knows it within LIFETIME; whoever reads it just before and just
+after the beacon is due to be forgotten knows it within TOLERANCE_S.
 
 - A gateway whose clock agrees is confirmed, and from then on yields to nobody: its clock is monotonic.
 - One that is not confirmed and finds another time watches for the beacon's end and takes the fleet's time.
 - A confirmed gateway that made the beacon makes the next one, so that those that start mostly find one.
 - A confirmed gateway that finds another time watches for that beacon's end, too, and makes the next one.
 
-The state machine has no I/O: `call` says what to add to the beacon, `counted` takes what came of it.
+The state machine has no I/O: `call` returns what to add to the beacon, `counted` takes what came of it.
 """
 
 from __future__ import annotations
@@ -22,23 +22,51 @@
 
 from api_gateway.policy.customer_accounts import stable_hash
 
-BEACON = stable_hash("fleet time")  # name of the number at the counter
-LIFETIME = 4.0  # s after which the counter forgets a beacon
-CYCLE = 90_000.0  # s; times are told modulo this, so that a beacon has tenths of a second in its seven digits
-RESOLUTION = 0.1  # s in which a beacon tells its time
-BASE = 100_000.0  # added to each time: two stamps in one beacon, or one taken off it, cannot pass for a time
-TOLERANCE = 0.2  # s by which gateways may differ
-POLL_INTERVAL = 0.1  # s between two looks for the end of a beacon
-RETRY_EACH = 0.02  # s for each gateway, over which they look once the counter answers again
-PATIENCE = 2 * LIFETIME + 1.0  # s for which a gateway watches for an end before it gives up
-FEW = 4  # gateways, up to which one contradiction is enough to yield: of more, a single one may be wrong
-VERIFY_EACH = 0.1  # s for each gateway, over which their verifications are spread
-VERIFIERS = 40  # gateways of a fleet, on average, that look closer: of more, one look is enough for the rest
-ALONE = 8  # beacons in a row of its own that a gateway finds no other between: then it is the fleet
+# Name of the number at the counter.
+BEACON = stable_hash("fleet time")
+
+# Seconds after which the counter forgets a beacon.
+LIFETIME = 4.0
+
+# Seconds; a beacon holds its time modulo this, so that it has tenths of a second in its seven digits.
+CYCLE_S = 90_000.0
+
+# Seconds in which a beacon counts its time.
+RESOLUTION_S = 0.1
+
+# Added to each time: two stamps in one beacon, or one taken off it, cannot pass for a time.
+STAMP_BASE = 100_000.0
+
+# A total below this is that of a name without a beacon, rounding aside; one below its negative is corrupt.
+EMPTY_TOTAL_MAX = 0.5
+
+# Seconds by which gateways may differ.
+TOLERANCE_S = 0.2
+
+# Seconds between two checks for the end of a beacon.
+WATCH_INTERVAL_S = 0.1
+
+# Seconds for each gateway, over which they call again once the counter answers again.
+RETRY_SPREAD_S = 0.02
+
+# Seconds for which a gateway watches for an end before it gives up.
+WATCH_TIMEOUT_S = 2 * LIFETIME + 1.0
+
+# Gateways up to which one contradiction is enough to yield: of more, a single one may be wrong.
+SMALL_FLEET = 4
+
+# Seconds for each gateway, over which their verifications are spread.
+VERIFY_SPREAD_S = 0.1
+
+# Gateways of a fleet, on average, that verify: of more, one read is enough for the rest.
+VERIFIERS = 40
+
+# Own beacons in a row between which a gateway finds no other: then its time is the fleet's.
+CONFIRMING_BEACONS = 8
 
 
 class Step(Enum):
-    """What the call that is out, or is due next, is for."""
+    """What the call in flight, or the one that is due next, is for."""
 
     READ = auto()  # whether there is a beacon, and whether it agrees
     CREATE = auto()  # a beacon of this gateway's own
@@ -49,217 +77,250 @@
 
 
 def is_time(total: float) -> bool:
-    """Whether a beacon's total is one stamp, and not a sum or a difference of several."""
-    return BASE - 0.5 < total < BASE + CYCLE + 0.5
+    """Return whether a beacon's total is one stamp, and not a sum or a difference of several."""
+    return STAMP_BASE - 0.5 < total < STAMP_BASE + CYCLE_S + 0.5
+
+
+def is_same(total: float, stamp: float) -> bool:
+    """Return whether a beacon's total is this stamp, rounding aside."""
+    return abs(total - stamp) < RESOLUTION_S / 2
 
 
 def wrapped(seconds: float) -> float:
-    """The same difference of two times modulo CYCLE, nearest to 0."""
-    return (seconds + CYCLE / 2) % CYCLE - CYCLE / 2
+    """Return the same difference of two times modulo CYCLE_S, nearest to 0."""
+    return (seconds + CYCLE_S / 2) % CYCLE_S - CYCLE_S / 2
 
 
 class FleetTime:
-    """`offset`: seconds by which the fleet's time is ahead of the module's clock; `due`: when call() is next.
-
-    `synchronizing`: this gateway knows that it has another time than the fleet, and not yet which.
+    """The state machine of one gateway. Times are in seconds of the module's clock.
+
+    Attributes:
+        gateways: Gateways of the fleet; the engine sets it when settings change.
+        offset: Seconds by which the fleet's time is ahead of the module's clock.
+        due: When `call` is next.
+        synchronizing: Whether this gateway knows that it has another time than the fleet, and not yet which.
+        is_confirmed: Whether this gateway's time is the fleet's.
     """
 
     def __init__(self, gateways: int, rng: random.Random) -> None:
-        self.gateways, self.rng = gateways, rng
-        self.offset, self.due = 0.0, math.inf
-        self.confirmed = self.synchronizing = False
-        self.step, self.waiting = Step.READ, False
-        self.stamp = 0.0  # what the call that is out adds
-        self.own = 0.0  # the beacon that this gateway made last; 0: none
-        self.made_alone = 0  # beacons that it made without seeing another's
-        self.seen, self.seen_at = (
-            0.0,
-            0.0,
-        )  # the beacon that is verified or watched; when it was last there
-        self.watch_ends = 0.0  # when watching is given up
-        self.contradictions = 0
-        self.stalled = False  # the counter did not answer: nothing more is asked until it answers others
+        """Begin with no difference and nothing due. Draws come from `rng`, which stays the caller's."""
+        self.gateways = gateways
+        self.rng = rng
+        self.offset = 0.0
+        self.due = math.inf
+        self.is_confirmed = False
+        self.synchronizing = False
+        self._step = Step.READ
+        self._is_call_in_flight = False
+        # What the call in flight adds.
+        self._stamp = 0.0
+        # The beacon that this gateway made last; 0: none.
+        self._own_beacon = 0.0
+        # Beacons that it made without reading another's.
+        self._beacons_in_a_row = 0
+        # The beacon that is verified or watched, 0 for none, and when it was last there.
+        self._observed = 0.0
+        self._observed_at = 0.0
+        self._watch_deadline = 0.0
+        self._contradictions = 0
+        # Whether the counter did not answer: no call is made until it answers others.
+        self._is_stalled = False
 
     def start(self, now: float) -> None:
-        """From here on, at once. Of a single gateway there is nothing to agree on."""
+        """Read the beacon at once. A single gateway has nothing to agree on."""
         if self.gateways > 1:
-            self.plan(Step.READ, now)
-
-    def plan(self, step: Step, at: float) -> None:
-        self.step, self.due = step, at
+            self._plan(Step.READ, now)
 
     def call(self, now: float) -> float:
-        """The amount to add to the beacon now; its answer goes to counted()."""
-        self.due, self.waiting = math.inf, True
-        if self.step is Step.CREATE:
-            self.stamp = self.time_stamp(now)
-        return {Step.CREATE: self.stamp, Step.WITHDRAW: -self.stamp}.get(self.step, 0.0)
-
-    def time_stamp(self, now: float) -> float:
-        """The fleet's time as a beacon tells it."""
-        return BASE + round((now + self.offset) % CYCLE / RESOLUTION) * RESOLUTION
-
-    def age(self, now: float, stamp: float) -> float:
-        """Seconds since a beacon was made, by this gateway's idea of the fleet's time."""
-        return wrapped(now + self.offset + BASE - stamp)
+        """Return the amount to add to the beacon now; its answer goes to `counted`."""
+        self.due = math.inf
+        self._is_call_in_flight = True
+        match self._step:
+            case Step.CREATE:
+                self._stamp = self._time_stamp(now)
+                return self._stamp
+            case Step.WITHDRAW:
+                return -self._stamp
+        return 0.0
 
     def counted(self, now: float, ok: bool, total: float) -> None:
-        """What came of the call that was out."""
-        if not self.waiting:
-            return  # a late word of a call that was given up
-        self.waiting = False
+        """Take the beacon's total after the call in flight; `ok` is false if the counter did not answer."""
+        if not self._is_call_in_flight:
+            return  # a late answer to a call that was given up
+        self._is_call_in_flight = False
         if not ok:
-            self.failed(now)
+            self._on_failure(now)
             return
-        looks = self.step not in (Step.CREATE, Step.WITHDRAW)
-        if looks and total >= 0.5 and not is_time(total) or total < -0.5:
-            self.spoilt(now)
+        is_read = self._step not in (Step.CREATE, Step.WITHDRAW)
+        if (is_read and total >= EMPTY_TOTAL_MAX and not is_time(total)) or total < -EMPTY_TOTAL_MAX:
+            self._on_corrupt_beacon(now)
             return
-        match self.step:
+        match self._step:
             case Step.READ:
-                self.read(now, total)
+                self._on_read(now, total)
             case Step.CREATE:
-                self.created(now, total)
+                self._on_created(now, total)
             case Step.WITHDRAW:
-                self.plan(Step.READ, now + self.rng.uniform(0.0, LIFETIME / 2))
+                self._plan(Step.READ, now + self.rng.uniform(0.0, LIFETIME / 2))
             case Step.VERIFY_ALIVE:
-                self.verify_alive(now, total)
+                self._on_verified_alive(now, total)
             case Step.VERIFY_GONE:
-                self.verify_gone(now, total)
+                self._on_verified_gone(now, total)
             case Step.WATCH:
-                self.watch(now, total)
+                self._on_watched(now, total)
 
-    def failed(self, now: float) -> None:
-        """The counter did not answer: a beacon that was watched may have ended meanwhile."""
-        if self.step is Step.WATCH and now < self.watch_ends:
-            self.plan(Step.WATCH, now + POLL_INTERVAL)
+    def counter_answers(self, now: float) -> None:
+        """Plan what failed again, since the counter has answered another call."""
+        if self._is_stalled and not self._is_call_in_flight:
+            self._is_stalled = False
+            self._plan(self._step, now + self.rng.uniform(0.0, RETRY_SPREAD_S * self.gateways))
+
+    def _plan(self, step: Step, at: float) -> None:
+        self._step = step
+        self.due = at
+
+    def _plan_seldom(self, step: Step, now: float) -> None:
+        """Plan the next call at a rate that doesn't grow with the fleet."""
+        self._plan(step, now + LIFETIME * self.gateways * self.rng.uniform(0.75, 1.25))
+
+    def _time_stamp(self, now: float) -> float:
+        """Return the fleet's time as a beacon holds it."""
+        return STAMP_BASE + round((now + self.offset) % CYCLE_S / RESOLUTION_S) * RESOLUTION_S
+
+    def _age(self, now: float, stamp: float) -> float:
+        """Return the seconds since a beacon was made, by the time that this gateway takes for the fleet's."""
+        return wrapped(now + self.offset + STAMP_BASE - stamp)
+
+    def _on_failure(self, now: float) -> None:
+        """Go on after a call without answer: a beacon that was watched may have ended meanwhile."""
+        if self._step is Step.WATCH and now < self._watch_deadline:
+            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
             return
-        self.synchronizing, self.stalled = False, True
-        if self.step is not Step.WITHDRAW:
-            self.step = Step.READ
-        self.rest_until(now, self.step)
-
-    def spoilt(self, now: float) -> None:
-        """The beacon holds what calls without answers have added, as after an outage: it says nothing."""
-        if self.step is Step.WATCH and now < self.watch_ends:
-            self.plan(Step.WATCH, now + POLL_INTERVAL)
+        self.synchronizing = False
+        self._is_stalled = True
+        if self._step is not Step.WITHDRAW:
+            self._step = Step.READ
+        self._plan_seldom(self._step, now)
+
+    def _on_corrupt_beacon(self, now: float) -> None:
+        """Go on after a beacon that holds what calls without answers have added: it says nothing."""
+        if self._step is Step.WATCH and now < self._watch_deadline:
+            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
             return
         self.synchronizing = False
-        self.plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * LIFETIME)
-
-    def counter_answers(self, now: float) -> None:
-        """Another call was answered: what failed may be tried again."""
-        if self.stalled and not self.waiting:
-            self.stalled = False
-            self.plan(self.step, now + self.rng.uniform(0.0, RETRY_EACH * self.gateways))
-
-    def is_same(self, total: float, stamp: float) -> bool:
-        return abs(total - stamp) < RESOLUTION / 2
-
-    def read(self, now: float, total: float) -> None:
-        if total < 0.5:
-            self.plan(Step.CREATE, now)
-        elif self.is_same(total, self.own):
-            self.plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * LIFETIME)
-        elif -TOLERANCE <= self.age(now, total) <= LIFETIME + TOLERANCE:
-            self.made_alone = 0
-            self.agrees(now, total)
+        self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * LIFETIME)
+
+    def _on_read(self, now: float, total: float) -> None:
+        if total < EMPTY_TOTAL_MAX:
+            self._plan(Step.CREATE, now)
+        elif is_same(total, self._own_beacon):
+            self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * LIFETIME)
+        elif -TOLERANCE_S <= self._age(now, total) <= LIFETIME + TOLERANCE_S:
+            self._beacons_in_a_row = 0
+            self._on_agreement(now, total)
         else:
-            self.made_alone = 0
-            self.contradicts(now, total)
-
-    def agrees(self, now: float, total: float) -> None:
-        """As far as one look tells. A confirmed gateway needs no other; of the rest some look closer."""
-        if not self.confirmed and self.seen == 0.0:
-            self.confirmed = self.rng.random() * self.gateways >= VERIFIERS
-        if self.confirmed:
-            self.rest(now)
+            self._beacons_in_a_row = 0
+            self._on_contradiction(now, total)
+
+    def _on_agreement(self, now: float, total: float) -> None:
+        """Take a beacon that agrees as far as one read tells.
+
+        A confirmed gateway needs no other; of the rest some verify.
+        """
+        is_first = self._observed == 0.0
+        if not self.is_confirmed and is_first:
+            self.is_confirmed = self.rng.random() * self.gateways >= VERIFIERS
+        if self.is_confirmed:
+            self._plan_seldom(Step.READ, now)
             return
-        if self.gateways > FEW and self.seen == 0.0:  # later, each at a moment of its own
-            self.seen = total
-            self.plan(Step.READ, now + self.rng.uniform(0.0, VERIFY_EACH * self.gateways))
+        self._observed = total
+        if self.gateways > SMALL_FLEET and is_first:  # later, each at a moment of its own
+            self._plan(Step.READ, now + self.rng.uniform(0.0, VERIFY_SPREAD_S * self.gateways))
             return
-        self.seen = total
-        end = now - self.age(now, total) + LIFETIME
-        self.plan(Step.VERIFY_ALIVE, max(now, end - TOLERANCE))
+        end = now - self._age(now, total) + LIFETIME
+        self._plan(Step.VERIFY_ALIVE, max(now, end - TOLERANCE_S))
 
-    def verify_alive(self, now: float, total: float) -> None:
-        if not self.is_same(total, self.seen):
-            self.contradicts(now, total)
+    def _on_verified_alive(self, now: float, total: float) -> None:
+        if not is_same(total, self._observed):
+            self._on_contradiction(now, total)
             return
-        self.seen_at = now
-        end = now - self.age(now, total) + LIFETIME
-        self.plan(Step.VERIFY_GONE, max(now, end + TOLERANCE))
+        self._observed_at = now
+        end = now - self._age(now, total) + LIFETIME
+        self._plan(Step.VERIFY_GONE, max(now, end + TOLERANCE_S))
 
-    def verify_gone(self, now: float, total: float) -> None:
-        if self.is_same(total, self.seen):
-            self.contradicts(now, total)
+    def _on_verified_gone(self, now: float, total: float) -> None:
+        if is_same(total, self._observed):
+            self._on_contradiction(now, total)
             return
-        self.confirmed, self.contradictions = True, 0
-        self.follow(now, total)
-
-    def contradicts(self, now: float, total: float) -> None:
-        """This gateway has another time than the fleet, or the beacon's maker has."""
-        self.contradictions += 1
-        if self.confirmed:
-            self.watch_for_end(now, total)
-        elif total < 0.5:
-            self.plan(Step.CREATE, now)
-        elif self.contradictions < (1 if self.gateways <= FEW else 2):
-            self.plan(Step.READ, now + LIFETIME * self.rng.uniform(1.0, 1.5))
+        self.is_confirmed = True
+        self._contradictions = 0
+        self._succeed_beacon(now, total)
+
+    def _on_contradiction(self, now: float, total: float) -> None:
+        """Go on where this gateway has another time than the fleet, or the beacon's maker has."""
+        self._contradictions += 1
+        if self.is_confirmed:
+            self._watch_for_end(now, total)
+        elif total < EMPTY_TOTAL_MAX:
+            self._plan(Step.CREATE, now)
+        elif self._contradictions < (1 if self.gateways <= SMALL_FLEET else 2):
+            self._plan(Step.READ, now + LIFETIME * self.rng.uniform(1.0, 1.5))
         else:
             self.synchronizing = True
-            self.watch_for_end(now, total)
-
-    def watch_for_end(self, now: float, total: float) -> None:
-        self.watch_ends = now + PATIENCE
-        self.seen, self.seen_at = total, now
-        self.plan(Step.WATCH, now + POLL_INTERVAL)
-
-    def watch(self, now: float, total: float) -> None:
-        if self.is_same(total, self.seen) and now < self.watch_ends:
-            self.seen_at = now
-            self.plan(Step.WATCH, now + POLL_INTERVAL)
-        elif self.is_same(total, self.seen):
+            self._watch_for_end(now, total)
+
+    def _watch_for_end(self, now: float, total: float) -> None:
+        self._watch_deadline = now + WATCH_TIMEOUT_S
+        self._observe(now, total)
+
+    def _observe(self, now: float, total: float) -> None:
+        """Note a beacon as there, and check it again soon."""
+        self._observed = total
+        self._observed_at = now
+        self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
+
+    def _on_watched(self, now: float, total: float) -> None:
+        if is_same(total, self._observed) and now < self._watch_deadline:
+            self._observed_at = now
+            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
+        elif is_same(total, self._observed):
             self.synchronizing = False
-            self.rest(now)
-        elif self.confirmed:  # its own time is the fleet's: the next beacon tells it
-            self.follow(now, total)
-        elif now - self.seen_at > 2 * TOLERANCE:  # the end was somewhere in a time without answers
-            if total < 0.5:
-                self.plan(Step.WATCH, now + POLL_INTERVAL)
-            else:
-                self.seen, self.seen_at = total, now
-                self.plan(Step.WATCH, now + POLL_INTERVAL)
+            self._plan_seldom(Step.READ, now)
+        elif self.is_confirmed:  # its own time is the fleet's: the next beacon holds it
+            self._succeed_beacon(now, total)
+        elif now - self._observed_at <= 2 * TOLERANCE_S:
+            self._take_time_of_end(now)
+        elif total < EMPTY_TOTAL_MAX:  # the end was somewhere in a time without answers
+            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
         else:
-            ended = (now + self.seen_at) / 2
-            self.offset += wrapped(self.seen - BASE + LIFETIME - (ended + self.offset))
-            self.synchronizing, self.contradictions, self.seen = False, 0, 0.0
-            self.plan(Step.READ, now + self.rng.uniform(0.3, 0.8))  # the next beacon confirms it, or does not
-
-    def follow(self, now: float, total: float) -> None:
-        """What comes after the end of a beacon: the next one, which another may have made already."""
-        self.seen = 0.0
-        if total < 0.5:
-            self.plan(Step.CREATE, now)
+            self._observe(now, total)
+
+    def _take_time_of_end(self, now: float) -> None:
+        """Take the fleet's time from the end of the watched beacon, which lay between two answers."""
+        ended = (now + self._observed_at) / 2
+        self.offset += wrapped(self._observed - STAMP_BASE + LIFETIME - (ended + self.offset))
+        self.synchronizing = False
+        self._contradictions = 0
+        self._observed = 0.0
+        # The next beacon confirms it, or contradicts.
+        self._plan(Step.READ, now + self.rng.uniform(0.3, 0.8))
+
+    def _succeed_beacon(self, now: float, total: float) -> None:
+        """Make the next beacon after the end of one, unless another has made it already."""
+        self._observed = 0.0
+        if total < EMPTY_TOTAL_MAX:
+            self._plan(Step.CREATE, now)
         else:
-            self.rest(now)
+            self._plan_seldom(Step.READ, now)
 
-    def created(self, now: float, total: float) -> None:
-        if not self.is_same(total, self.stamp):
-            self.plan(Step.WITHDRAW, now)  # another was first
+    def _on_created(self, now: float, total: float) -> None:
+        if not is_same(total, self._stamp):
+            self._plan(Step.WITHDRAW, now)  # another was first
             return
-        self.own, self.made_alone = self.stamp, self.made_alone + 1
-        self.confirmed = self.confirmed or self.made_alone >= ALONE
-        if self.confirmed:
-            self.plan(Step.CREATE, now + LIFETIME + RESOLUTION / 2)
+        self._own_beacon = self._stamp
+        self._beacons_in_a_row += 1
+        self.is_confirmed = self.is_confirmed or self._beacons_in_a_row >= CONFIRMING_BEACONS
+        if self.is_confirmed:
+            self._plan(Step.CREATE, now + LIFETIME + RESOLUTION_S / 2)
         else:
-            self.plan(Step.READ, now + LIFETIME + self.rng.uniform(0.2, 1.0))
-
-    def rest(self, now: float) -> None:
-        """A beacon is there, and this gateway agrees or has to wait for another to yield."""
-        self.rest_until(now, Step.READ)
-
-    def rest_until(self, now: float, step: Step) -> None:
-        """The next look, at a rate that does not grow with the fleet."""
-        self.plan(step, now + LIFETIME * self.gateways * self.rng.uniform(0.75, 1.25))
+            self._plan(Step.READ, now + LIFETIME + self.rng.uniform(0.2, 1.0))
--- a/tests/policy/test_cluster_clock.py
+++ b/tests/policy/test_cluster_clock.py
@@ -141,7 +141,7 @@
     fleet.run(9.0)
     assert len(calls) == 60
     fleet.run(60.0)
-    assert all(time.confirmed for time, _, _ in fleet.members)
+    assert all(time.is_confirmed for time, _, _ in fleet.members)
     assert fleet.beacon.calls <= 60 * (1 + 2) + 60  # a look for each and two to verify, and a call a second
 
 
