--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -9,7 +9,8 @@
 from api_gateway.policy.cluster_clock import BEACON, LIFETIME, FleetTime
 from api_gateway.policy.counter_calls import CounterCalls, CounterState
 from api_gateway.policy.customer_accounts import Account, AccountTable
-from api_gateway.policy.endpoints import TICK, Fleet
+from api_gateway.policy.endpoint_load import TICK
+from api_gateway.policy.endpoints import Fleet
 from api_gateway.policy.load_shedding import LoadShedder
 from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
 from api_gateway.policy.quota_leases import Quota
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -7,7 +7,8 @@
 import random
 
 from api_gateway import interface as api
-from api_gateway.policy.endpoints import LIMIT_MOST, PRESS_SPAN, PRESSED, ROOM_CLEAR, Fleet
+from api_gateway.policy.endpoint_load import PRESS_SPAN, PRESSED
+from api_gateway.policy.endpoints import LIMIT_MOST, ROOM_CLEAR, Fleet
 from api_gateway.policy.request_state import RequestState, RequestTable
 from api_gateway.policy.retries import Attempts, RetryBudget
 
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -28,7 +28,7 @@
     PlanUse,
     stable_hash,
 )
-from api_gateway.policy.endpoints import TICK
+from api_gateway.policy.endpoint_load import TICK
 from api_gateway.policy.load_shedding import LoadShedder
 from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
 from api_gateway.policy.request_state import RequestState, RequestTable
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -13,7 +13,7 @@
 from api_gateway import interface as api
 from api_gateway.policy.counter_calls import CounterCalls
 from api_gateway.policy.customer_accounts import Account
-from api_gateway.policy.endpoints import TICK
+from api_gateway.policy.endpoint_load import TICK
 
 TIMER_SLACK_S = 1e-6  # a timer may fire early by so much, by rounding
 OWN_PART = -1  # in place of an epoch: the open attempt is within this gateway's own part of the limit
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -5,7 +5,9 @@
 import math
 
 from api_gateway import interface as api
-from api_gateway.policy.endpoints import TICK, Fleet, Server
+from api_gateway.policy.endpoint_load import TICK
+from api_gateway.policy.endpoint_table import Server
+from api_gateway.policy.endpoints import Fleet
 from api_gateway.policy.request_state import RequestState, RequestTable, SentAttempt
 
 INITIAL_RETRY_BUDGET = 15.0  # retries over all gateways at the start
--- a/tests/measure/module.py
+++ b/tests/measure/module.py
@@ -72,7 +72,7 @@
             case api.RejectRequest() | api.FailRequest():
                 self.sends.pop(action.request_id, None)
             case _:
-                self.widened += type(action).__name__ == "Widen"
+                self.widened += type(action).__name__ == "ResizeSubset"
 
     def run(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
--- a/tests/policy/test_endpoint_subsets.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -10,18 +10,15 @@
 
 from api_gateway import interface as api
 from api_gateway.policy.customer_accounts import stable_hash
-from api_gateway.policy.endpoints import (
-    EASY_SPAN,
-    GOLDEN,
-    GONE_LEAST,
-    GONE_SPAN,
-    LIMIT_MOST,
-    LOOK_MOST,
-    OWN_PART,
-    VIEW_LEAD,
-    WIDEN_SPAN,
-    Fleet,
+from api_gateway.policy.endpoint_selection import EndpointSelector
+from api_gateway.policy.endpoint_subset import (
+    GOLDEN_STEP,
+    VIEW_EASE_S,
+    VIEW_RESIZE_TIMEOUT_S,
+    VIEW_SKIPPED_PART,
 )
+from api_gateway.policy.endpoint_table import DEPARTED_MEMORY_FLOOR, DEPARTED_MEMORY_S, LOOK_MOST
+from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART
 from api_gateway.simulator_adapter import WRITERS
 
 BIG = plan(rate=1000.0, burst=4000.0)
@@ -38,17 +35,17 @@
 
 def in_view(hosts, index, view):
     """The hosts that follow a gateway's place on the ring."""
-    place = int(index * GOLDEN % 1.0 * 2**63)
+    place = int(index * GOLDEN_STEP % 1.0 * 2**63)
     return sorted(hosts, key=lambda h: (stable_hash(h.id, "place") - place) % 2**63)[:view]
 
 
 def passed_over(hosts, index, gateways):
     """Hosts of a view before those that are used, counted from all hosts and the places of all gateways."""
-    need, place = OWN_PART * max(1.0, LIMIT_MOST * len(hosts) / gateways), index * GOLDEN % 1.0
+    need, place = OWN_PART * max(1.0, LIMIT_MOST * len(hosts) / gateways), index * GOLDEN_STEP % 1.0
     follow = sum((stable_hash(h.id, "place") / 2**63 - place) % 1.0 < need / len(hosts) for h in hosts)
-    rank = sorted(n * GOLDEN % 1.0 for n in range(gateways)).index(place)
+    rank = sorted(n * GOLDEN_STEP % 1.0 for n in range(gateways)).index(place)
     ahead = len(hosts) * (rank / gateways - place)
-    return max(0, round(VIEW_LEAD * need + (follow - need) / 2 + ahead))
+    return max(0, round(VIEW_SKIPPED_PART * need + (follow - need) / 2 + ahead))
 
 
 def viewing(hosts, view, gateways, index=0, total=None, **kw):
@@ -78,7 +75,10 @@
     hosts = [host(f"h{n}") for n in range(total)]
     whole = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=7), hosts, seed=7)
     part = viewing(hosts, view, gateways, index=7)
-    assert part.gw.fleet.crowd == max(1.0, gateways * view / total) and whole.gw.fleet.crowd == gateways
+    assert (
+        part.gw.fleet.table.gateway_count == max(1.0, gateways * view / total)
+        and whole.gw.fleet.table.gateway_count == gateways
+    )
     for w in (whole, part):
         asked(w, 4)
     assert abs(len(whole.gw.fleet.own) - len(part.gw.fleet.own)) <= 2
@@ -115,13 +115,13 @@
     w = World(settings(plans=[BIG], gateway_count=40), hosts)
     w.do(api.EndpointOverride("h3", True, w.now))
     w.do(api.EndpointList("full", 2, hosts, 20))
-    assert w.gw.fleet.crowd == 40 and w.gw.fleet.total == 0
+    assert w.gw.fleet.table.gateway_count == 40 and w.gw.fleet.table.total == 0
     w.do(api.EndpointList("delta", 3, (), 200))
-    assert w.gw.fleet.crowd == 4.0 and w.gw.fleet.total == 200
+    assert w.gw.fleet.table.gateway_count == 4.0 and w.gw.fleet.table.total == 200
     w.do(api.EndpointList("failed", 3, ()))
-    assert w.gw.fleet.total == 200  # nothing was told
+    assert w.gw.fleet.table.total == 200  # nothing was told
     w.do(api.EndpointList("delta", 4, (host("h20"),)))
-    assert w.gw.fleet.crowd == 40 and w.gw.fleet.total == 0
+    assert w.gw.fleet.table.gateway_count == 40 and w.gw.fleet.table.total == 0
 
 
 def test_a_view_that_empties_asks_for_more_and_works_again_when_it_fills():
@@ -135,8 +135,8 @@
     for _ in range(100):
         w.now += 0.1
         assert not of(w.ask()[1], api.SendAttempt)
-    assert len(wishes(w)) == math.ceil(10.0 / WIDEN_SPAN) and min(wishes(w)) > 60
-    assert not w.gw.fleet.own and w.gw.fleet.crowd == 1.0
+    assert len(wishes(w)) == math.ceil(10.0 / VIEW_RESIZE_TIMEOUT_S) and min(wishes(w)) > 60
+    assert not w.gw.fleet.own and w.gw.fleet.table.gateway_count == 1.0
     back = tuple(h for h in hosts if h.zone == "z2")[: wishes(w)[0]]
     w.do(api.EndpointList("delta", 99, back, 2000))
     w.log.clear()
@@ -151,7 +151,7 @@
     (most,) = wishes(w)
     w.do(api.EndpointList("full", 2, tuple(in_view(hosts, 0, most)), 2000))
     w.log.clear()
-    asked(w, int(0.9 * EASY_SPAN / 0.5), step=0.5)
+    asked(w, int(0.9 * VIEW_EASE_S / 0.5), step=0.5)
     assert not wishes(w)
     w.do(
         api.EndpointList("delta", 3, tuple(host(h.id, started=w.now) for h in in_view(hosts, 0, most)), 2000)
@@ -159,7 +159,7 @@
     asked(w, 100, step=0.5)  # all were cold, so all of the wide view was needed
     assert len(w.gw.fleet.own) <= most and all(n >= most for n in wishes(w))
     w.log.clear()
-    asked(w, int(2.2 * EASY_SPAN / 0.5), step=0.5)
+    asked(w, int(2.2 * VIEW_EASE_S / 0.5), step=0.5)
     plain = wishes(w)[-1]
     assert plain <= most
     w.do(api.EndpointList("full", 4, tuple(in_view(hosts, 0, plain)), 2000))
@@ -195,7 +195,7 @@
     w.do(api.EndpointList("delta", 2, down(left), 400))
     assert w.gw.fleet.out == 1 and left.id in w.gw.fleet.servers
     assert left.id not in asked(w, 60, step=0.001)
-    for n in range(3 * GONE_LEAST):  # so many leave after it that it would be forgotten
+    for n in range(3 * DEPARTED_MEMORY_FLOOR):  # so many leave after it that it would be forgotten
         w.do(api.EndpointList("delta", 3 + 2 * n, (host(f"x{n}"),), 400))
         w.do(api.EndpointList("delta", 4 + 2 * n, down(host(f"x{n}")), 400))
     assert left.id in w.gw.fleet.servers
@@ -212,10 +212,10 @@
     gone = w.gw.fleet.servers[send.endpoint_id].host
     w.do(api.EndpointList("delta", 2, down(gone), 200))
     w.end(send)
-    w.now += GONE_SPAN + 1.0
+    w.now += DEPARTED_MEMORY_S + 1.0
     w.do(api.EndpointList("delta", 3, (), 200))
     fleet = w.gw.fleet
-    assert gone.id not in fleet.servers and gone.id not in fleet.health.hosts
+    assert gone.id not in fleet.servers and gone.id not in fleet.health.estimates
     w.end(send, "timeout")
     w.do(api.ResponseStarted(send.request_id, 0, send.endpoint_id, 0.1))
     w.do(api.EndpointOverride(gone.id, True, w.now))
@@ -230,7 +230,7 @@
     w = World(settings(plans=[BIG]), [host("h1"), host("h2")])
     w.do(api.EndpointOverride("h1", True, w.now))
     w.do(api.EndpointList("full", 2, (host("h2"),)))
-    w.now += GONE_SPAN + 1.0
+    w.now += DEPARTED_MEMORY_S + 1.0
     w.do(api.EndpointList("full", 3, (host("h2"),)))
     assert list(w.gw.fleet.servers) == ["h2"]
     w.do(api.EndpointList("full", 4, (host("h1"), host("h2"))))
@@ -251,7 +251,9 @@
         w.do(
             api.EndpointList("delta", 2 + n, (host(f"far{n}", state="leaving"), *down(host(f"off{n}"))), 5000)
         )
-    assert len(w.gw.fleet.servers) == 50 and not w.gw.fleet.gone and len(w.gw.fleet.ring) == 50
+    assert (
+        len(w.gw.fleet.servers) == 50 and not w.gw.fleet.table.departed and len(w.gw.fleet.table.ring) == 50
+    )
 
 
 def test_hosts_of_weights_ten_to_one_get_ten_to_one_in_a_view():
@@ -263,9 +265,9 @@
     share = [s.host.weight for s in w.gw.fleet.own]
     even = share.count(10.0) * 10 / (share.count(10.0) * 10 + share.count(1.0))
     assert abs(heavy - even) < 0.12
-    assert w.gw.fleet.top == 10.0
+    assert w.gw.fleet.table.largest_weight == 10.0
     w.do(api.EndpointList("delta", 2, down(*(h for h in hosts if h.weight == 10.0)), 2000))
-    assert w.gw.fleet.top == 1.0 and w.gw.fleet.weights == [1.0] * len(w.gw.fleet.up)
+    assert w.gw.fleet.table.largest_weight == 1.0 and w.gw.fleet.table.weights == [1.0] * len(w.gw.fleet.up)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -338,12 +340,15 @@
             gc.collect()
             objects.append(len(gc.get_objects()))
     fleet = w.gw.fleet
-    assert len(fleet.gone) <= 100 and len(fleet.ring) == len(fleet.up) == len(fleet.weights) == 100
-    assert len(fleet.health.hosts) <= 201 and len(fleet.cold) <= 101
+    assert (
+        len(fleet.table.departed) <= 100
+        and len(fleet.table.ring) == len(fleet.up) == len(fleet.table.weights) == 100
+    )
+    assert len(fleet.health.estimates) <= 201 and len(fleet.table.warming_up) <= 101
     assert objects[1] < objects[0] + 300  # each known host is three at least
-    w.now += GONE_SPAN + 1.0
+    w.now += DEPARTED_MEMORY_S + 1.0
     asked(w, 1)
-    assert len(fleet.servers) == 100 and not fleet.gone
+    assert len(fleet.servers) == 100 and not fleet.table.departed
 
 
 def test_what_is_kept_by_change_is_what_a_sort_of_all_finds():
@@ -363,16 +368,18 @@
                 w.do(api.EndpointList("delta", n, (host(name, state=rng.choice(("down", "leaving"))),)))
             case 4:
                 asked(w, 1)
-        kept = [fleet.up[:], fleet.ring[:], fleet.weights[:], set(fleet.cold)]
-        fleet.sort(w.now)
-        assert kept[:3] == [fleet.up, fleet.ring, fleet.weights] and kept[3] >= set(fleet.cold)
-        fleet.refresh(w.now)
+        kept = [fleet.up[:], fleet.table.ring[:], fleet.table.weights[:], set(fleet.table.warming_up)]
+        fleet.table.rebuild(w.now)
+        assert kept[:3] == [fleet.up, fleet.table.ring, fleet.table.weights] and kept[3] >= set(
+            fleet.table.warming_up
+        )
+        fleet.on_table_change(w.now)
 
 
 def test_of_many_hosts_a_bounded_number_is_looked_at():
     looked = 0
 
-    class Counting(Fleet):
+    class Counting(EndpointSelector):
         def may_send(self, s, now):
             nonlocal looked
             looked += 1
@@ -380,7 +387,7 @@
 
     for gateways in (1, 10, 400):
         w = World(settings(plans=[BIG], gateway_count=gateways), [host(f"h{n}") for n in range(5000)])
-        w.gw.fleet.__class__ = Counting
+        w.gw.fleet.selector.__class__ = Counting
         looked = 0
         for _ in range(20):
             w.now += 0.05
