--- a/api_gateway/control/config_changes.py
+++ b/api_gateway/control/config_changes.py
@@ -1,500 +1,396 @@
-"""How a configuration comes into force: check, prepare, commit, then confirmed or rolled back.
+"""How a configuration comes into force: check, prepare, commit, then confirmation or rollback.
 
-One way for all: SIGHUP, an operator's call, a rollback, the process beside this one in an upgrade. Prepare
-gets all that can fail and has no effect; its last step writes the history, and the commit follows in the same
-turn of the loop. The history is the word of a gateway's processes to each other: each follows what is newer.
+One way for all origins: SIGHUP, an operator's call, a rollback, the process beside this one in an upgrade.
+Prepare gets all that can fail and has no effect; its last step writes the history, and the commit follows in
+the same turn of the event loop. By the history the processes of a gateway agree: each follows what is newer.
 """
 
 from __future__ import annotations
 
 import asyncio
-import hashlib
 import json
 import logging
-from collections.abc import Awaitable, Callable
-from dataclasses import asdict, dataclass, field, replace
+from collections.abc import Callable
+from dataclasses import replace
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 from api_gateway.base.endpoint_list import Listing, write_address
-from api_gateway.base.errors import ConfigError, in_one_line
-from api_gateway.control import config_schema as keys
-from api_gateway.control.host_overrides import Kept
-from api_gateway.gateway.config import Config, rebuild, reread_config
-from api_gateway.policy import Gateway
-
-PREPARE_WITHIN = 3.0  # s
-TICK = 0.002  # s past the end of a time: the loop's timers may fire early
-MOST_VERSIONS = 20  # that the history holds
-MOST_BYTES = 1024 * 1024  # of the history; the version in force and the one before it stay whatever they take
-CONFIRM_LEAST, CONFIRM_MOST = 1.0, 3600.0  # s
-BY = ("start", "signal", "call", "rollback", "expiry")
+from api_gateway.base.errors import ConfigError
+from api_gateway.control import config_schema
+from api_gateway.control.config_history import (
+    MAX_BYTES,
+    MAX_VERSIONS,
+    ConfigHistory,
+    ConfigHistoryFile,
+    ConfigVersion,
+    JsonObject,
+    make_version,
+)
+from api_gateway.control.config_preparation import (
+    STEPS,
+    ChangeInProgress,
+    build_config,
+    changeable_content,
+    reject_if_stopping,
+    source_digest,
+)
+from api_gateway.control.errors import ChangeRejectedError
+from api_gateway.gateway.config import Config, reread_config
+
+if TYPE_CHECKING:
+    from api_gateway.gateway.node import GatewayNode
+
+# Seconds for all steps of a prepare together.
+PREPARE_WITHIN = 3.0
+# Seconds past the deadline of a confirmation at which it is checked: the loop's timers may fire early.
+TIMER_MARGIN_S = 0.002
+# Seconds that an operator may ask for to confirm a change.
+CONFIRM_LEAST = 1.0
+CONFIRM_MOST = 3600.0
+# The capacity page names the limits of the history by this module.
+MOST_VERSIONS = MAX_VERSIONS
+MOST_BYTES = MAX_BYTES
 
 log = logging.getLogger(__name__)
 
-Tree = dict[str, Any]
 
+class Changes:
+    """Brings configurations of one gateway process into force, and follows the processes beside it.
 
-class Refused(Exception):
-    """A change that does not happen: the status of the answer, and what it says."""
-
-    def __init__(self, status: int, text: str, **told: Any) -> None:
-        super().__init__(text)
-        self.status, self.told = status, {"error": text, **told}
-
-
-class Torn(ValueError):
-    """What stands in the history is none."""
-
-
-@dataclass(frozen=True, slots=True)
-class Version:
-    number: int
-    digest: str
-    since: float  # Unix time
-    by: str
-    content: Tree
-    of: int | None = None  # the version that came back by a rollback
-    text: str = field(default="", compare=False)  # the content as JSON, made once
-
-    def written(self) -> str:
-        return json.dumps([self.number, self.digest, self.since, self.by, self.of])[:-1] + f", {self.text}]"
-
-    def told(self) -> Tree:
-        return {
-            "version": self.number,
-            "digest": self.digest,
-            "since": round(self.since, 3),
-            "by": self.by,
-            **({"of": self.of} if self.of is not None else {}),
-        }
-
-
-@dataclass(frozen=True, slots=True)
-class Pending:
-    """`number` goes back to `back` unless it is confirmed before `until`."""
-
-    number: int
-    back: int
-    until: float
-
-
-@dataclass(frozen=True, slots=True)
-class History:
-    file: str  # digest of what the file said when it was last taken
-    versions: tuple[Version, ...]
-    pending: Pending | None = None
-
-    @property
-    def newest(self) -> Version:
-        return self.versions[-1]
-
-    def find(self, number: int) -> Version | None:
-        return next((v for v in self.versions if v.number == number), None)
-
-    def add(self, content: Tree, since: float, by: str, of: int | None = None) -> History:
-        """With one version more; the oldest go where there are too many."""
-        versions = [*self.versions, version(self.newest.number + 1, since, by, content, of)][-MOST_VERSIONS:]
-        while len(versions) > 2 and sum(len(v.text) for v in versions) > MOST_BYTES:
-            del versions[0]
-        return replace(self, versions=tuple(versions), pending=None)
-
-    def text(self) -> str:
-        head = json.dumps([self.file, self.pending and asdict(self.pending)])[:-1]
-        return f"{head}, [{', '.join(v.written() for v in self.versions)}]]"
-
-
-def version(number: int, since: float, by: str, content: Tree, of: int | None = None) -> Version:
-    text = json.dumps(content, sort_keys=True)
-    return Version(number, digest(text), since, by, content, of, text)
-
-
-def read_history(text: str) -> History:
-    """Raises Torn unless it is what History.text() makes."""
-    try:
-        file, waits, told = json.loads(text)
-        versions = tuple(
-            version(number, since, by, content, of) for number, _, since, by, of, content in told
-        )
-        pending = Pending(**waits) if waits else None
-        numbers = [v.number for v in versions]
-        sound = bool(numbers) and all(type(v.number) is int and keys.is_number(v.since) for v in versions)
-        sound = (
-            sound
-            and numbers == sorted(set(numbers))
-            and isinstance(file, str)
-            and all(
-                v.by in BY
-                and isinstance(v.content, dict)
-                and v.digest == entry[1]
-                and (v.of is None or type(v.of) is int)
-                for v, entry in zip(versions, told, strict=True)
-            )
-        )
-        sound = sound and (
-            pending is None
-            or (pending.number == numbers[-1] and pending.back in numbers and keys.is_number(pending.until))
-        )
-    except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as err:
-        raise Torn(f"not a history: {type(err).__name__} {err}") from err
-    if not sound:
-        raise Torn("not a history")
-    return History(file, versions, pending)
-
-
-def digest(text: str) -> str:
-    return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
-
-
-def content(config: Config) -> Tree:
-    """What of a configuration may change: as it is in force, whether the file or the environment gave it."""
-    told = {
-        "discovery": write_address(config.discovery),
-        "limits": config.tree["limits"],
-        "settings": config.tree["settings"],
-    }
-    return told | ({"counter": write_address(config.counter)} if config.counter else {})
-
-
-def filed(config: Config) -> str:
-    told = {name: config.tree.get(name) for name in keys.CAN_CHANGE}
-    return digest(json.dumps(told, sort_keys=True))
-
-
-@dataclass(slots=True)
-class Change:
-    """What a prepare is for, and what it has got."""
-
-    fresh: Config
-    last: Config
-    history: History  # from which it goes on
-    by: str
-    of: int | None = None
-    within: float | None = None  # s until it must be confirmed
-    listing: Listing | None = None  # what a new discovery tells
-
+    It owns the history and the timer of a pending confirmation; the node owns the configuration itself.
+    """
 
-class Changes:
-    """`node` has config, state, clock(), later(delay, act) and adopt(config, listing), and what steps use."""
+    def __init__(self, node: GatewayNode, folder: Path | None) -> None:
+        """Begin with the node's configuration as version 1, without reading or writing anything.
 
-    def __init__(self, node: Any, folder: Path | None) -> None:
+        Args:
+            node: The process whose configuration changes.
+            folder: Where the history is stored; None: nowhere.
+        """
         self.node = node
-        self.kept = Kept(folder / f"{node.config.name}-config.json" if folder else None)
-        self.current = version(1, node.clock(), "start", content(node.config))  # in force in this process
-        self.history = History(filed(node.config), (self.current,))
+        self.history_file = ConfigHistoryFile(folder, node.config.name)
+        self.current = make_version(1, node.clock(), "start", changeable_content(node.config))
+        self.history = ConfigHistory(source_digest(node.config), (self.current,))
         self.preparing = False
-        self.timer: asyncio.TimerHandle | None = None
+        self.confirmation_timer: asyncio.TimerHandle | None = None
 
-    # The history, and what others wrote there
+    # The history, and what other processes wrote there
 
     def begin(self) -> None:
-        """Goes on from the version that this gateway's last or other process has in force, unless what the
-        start gave has changed since."""
+        """Go on from the stored version, unless what this process was started with has changed since."""
         own = self.history
         try:
-            with self.kept.locked():
-                found = self.read()
+            with self.history_file.locked():
+                found = self.history_file.load()
                 if found is None:
-                    self.write(own)
-                elif found.file != own.file or (
-                    found.newest.by == "start" and found.newest.content != self.current.content
+                    self.history_file.save(own)
+                elif found.source_digest != own.source_digest or (
+                    found.newest.origin == "start" and found.newest.content != self.current.content
                 ):
-                    found = replace(found, file=own.file)
+                    found = replace(found, source_digest=own.source_digest)
                     found = found.add(self.current.content, self.node.clock(), "start")
-                    self.write(found)
+                    self.history_file.save(found)
         except OSError as err:
-            log.error("%s: %s; the history is not kept", self.kept.path, err)
+            self.history_file.log_not_saved(err)
         else:
-            self.enter(found or own)
+            self.adopt_history(found or own)
 
-    def read(self) -> History | None:
-        try:
-            text = self.kept.read()
-            return None if text is None else read_history(text)
-        except (OSError, ValueError) as err:
-            log.error("%s: %s; the version in force stays", self.kept.path, err)
-            return None
+    def look(self) -> None:
+        """Follow what another process has brought into force; cheap where the file has not changed."""
+        if self.history_file.has_changed() and (found := self.history_file.load()) is not None:
+            self.adopt_history(found)
 
-    def write(self, history: History) -> None:
-        self.kept.write(history.text())
+    def adopt_history(self, history: ConfigHistory) -> None:
+        """Take a history as this process's own, and its newest version into force.
 
-    def look(self) -> None:
-        """Follows what another process has brought into force."""
-        if self.kept.changed() and (found := self.read()) is not None:
-            self.enter(found)
-
-    def enter(self, history: History) -> None:
-        """Takes a history as this process's own, and its newest version into force. What a start took from a
-        changed file is for that process alone, until a change comes after it."""
-        fresh, own = history.newest, self.history
+        What a start took from a changed file is for that process alone, until a change comes after it.
+        """
+        newest = history.newest
+        previous_history = self.history
         self.history = history
-        if fresh != self.current and (fresh.by != "start" or fresh.content == self.current.content):
+        is_for_this_process = newest.origin != "start" or newest.content == self.current.content
+        if newest != self.current and is_for_this_process:
             try:
-                config = self.config_of(fresh.content)
+                config = build_config(self.node.config, newest.content)
             except ConfigError as err:  # another version of the program wrote it
-                log.error("%s; version %d stays in force", err, self.current.number)
-                self.history = own
+                log.error(
+                    "configuration version not usable, version %d stays error=%s", self.current.number, err
+                )
+                self.history = previous_history
                 return
-            self.commit(config, fresh, None)
-        self.arm()
-
-    def config_of(self, told: Tree) -> Config:
-        """Raises ConfigError where it makes none."""
-        with in_one_line("configuration"):
-            return rebuild(self.node.config, {**self.node.config.tree, **told})
-
-    def commit(self, config: Config, version: Version, listing: Listing | None) -> None:
-        """In one turn of the loop, between two events; nothing here can fail."""
-        last, self.current = self.current, version
-        if list(keys.differences(last.content, version.content)):
+            self.commit(config, newest, None)
+        self.schedule_expiry()
+
+    def commit(self, config: Config, version: ConfigVersion, listing: Listing | None) -> None:
+        """Bring a configuration into force between two events of the loop; nothing here can fail."""
+        previous = self.current
+        self.current = version
+        if list(config_schema.differences(previous.content, version.content)):
             self.node.adopt(config, listing)
         log.info(
-            "version %d is in force, by %s: %d classes, %d plans, discovery at %s",
+            "configuration version in force version=%d origin=%s classes=%d plans=%d discovery=%s",
             version.number,
-            version.by,
+            version.origin,
             len(config.settings.classes),
             len(config.settings.plans),
             write_address(config.discovery),
         )
 
-    # What operators ask
+    # Calls of operators
 
-    def status(self) -> Tree:
+    def status(self) -> JsonObject:
+        """Return the version in force, the newest one if that is another, and what waits to be confirmed."""
         self.look()
-        pending, newest = self.history.pending, self.history.newest.number
-        return {
-            **self.current.told(),
-            **({"newest": newest} if newest != self.current.number else {}),
-            "pending": pending
-            and {
+        newest = self.history.newest.number
+        pending = self.history.pending
+        status = self.current.to_json()
+        if newest != self.current.number:
+            status["newest"] = newest
+        status["pending"] = None
+        if pending is not None:
+            status["pending"] = {
                 "version": pending.number,
-                "back": pending.back,
-                "left": round(max(0.0, pending.until - self.node.clock()), 1),
-            },
-        }
+                "back": pending.previous,
+                "left": round(max(0.0, pending.deadline - self.node.clock()), 1),
+            }
+        return status
 
-    def whole(self) -> Tree:
-        """With the configuration itself, to make a candidate from."""
+    def status_with_config(self) -> JsonObject:
+        """Return the status with the configuration itself, to make a candidate from."""
         return {**self.status(), "config": self.current.content}
 
-    def told(self) -> list[Tree]:
+    def list_versions(self) -> list[JsonObject]:
+        """Return all versions of the history, the oldest first."""
         self.look()
-        waits = self.history.pending and self.history.pending.number
+        pending_number = self.history.pending and self.history.pending.number
         return [
-            {**v.told(), "in_force": v == self.current, "pending": v.number == waits}
-            for v in self.history.versions
+            {
+                **version.to_json(),
+                "in_force": version == self.current,
+                "pending": version.number == pending_number,
+            }
+            for version in self.history.versions
         ]
 
-    def check(self, body: bytes) -> Tree:
-        """The candidate. Raises Refused with each fault."""
+    def check(self, body: bytes) -> JsonObject:
+        """Return the content of a candidate, without any effect.
+
+        Args:
+            body: The candidate as JSON.
+
+        Raises:
+            ChangeRejectedError: With each fault of the candidate.
+        """
         self.look()
-        tree, faults = keys.parse(body)
+        tree, faults = config_schema.parse(body)
         if not faults:
-            faults = keys.check(tree, {**self.node.config.tree, **self.current.content})
+            faults = config_schema.check(tree, {**self.node.config.tree, **self.current.content})
+        content: JsonObject = {}
         if not faults:
-            tree = {name: tree[name] for name in keys.CAN_CHANGE if name in tree}
+            content = {name: tree[name] for name in config_schema.CAN_CHANGE if name in tree}
             try:
-                self.config_of(tree)
+                build_config(self.node.config, content)
             except ConfigError as err:
-                faults = [keys.Fault("", None, str(err))]
+                faults = [config_schema.Fault("", None, str(err))]
         if faults:
-            raise Refused(400, f"{len(faults)} faults", faults=[f.told() for f in faults[: keys.MOST_TOLD]])
-        return tree
+            shown = [fault.told() for fault in faults[: config_schema.MOST_TOLD]]
+            raise ChangeRejectedError(400, f"{len(faults)} faults", faults=shown)
+        return content
+
+    def is_in_force(self, content: JsonObject) -> bool:
+        """Return whether this content is in force here and is the newest version."""
+        return self.current == self.history.newest and not list(
+            config_schema.differences(self.current.content, content)
+        )
 
-    def differences(self, tree: Tree) -> list[Tree]:
-        return list(keys.differences(self.current.content, tree))
+    async def apply(self, body: bytes, expected_version: int, confirm_within: float | None) -> JsonObject:
+        """Bring a candidate into force, and return the status.
 
-    def same(self, tree: Tree) -> bool:
-        return self.current == self.history.newest and not self.differences(tree)
+        Args:
+            body: The candidate as JSON.
+            expected_version: The newest version as the operator knows it.
+            confirm_within: Seconds after which it is rolled back unless confirmed; None: it stays.
 
-    async def apply(self, body: bytes, expect: int, within: float | None) -> Tree:
-        tree = self.check(body)
-        if self.same(tree):
+        Raises:
+            ChangeRejectedError: Nothing has changed.
+        """
+        content = self.check(body)
+        if self.is_in_force(content):
             return {**self.status(), "changed": False}
-        if expect != self.history.newest.number:
-            raise Refused(409, f"version {self.history.newest.number} came first")
+        if expected_version != self.history.newest.number:
+            raise ChangeRejectedError(409, f"version {self.history.newest.number} came first")
         if self.history.pending is not None:
-            raise Refused(409, f"version {self.history.pending.number} waits for its confirmation")
-        return await self.change(tree, "call", within=within)
+            raise ChangeRejectedError(
+                409, f"version {self.history.pending.number} waits for its confirmation"
+            )
+        return await self.change(content, "call", confirm_within=confirm_within)
 
-    async def roll_back(self, to: int) -> Tree:
+    async def roll_back(self, number: int) -> JsonObject:
+        """Bring the content of an earlier version into force again, and return the status.
+
+        Raises:
+            ChangeRejectedError: Nothing has changed.
+        """
         self.look()
-        found = self.history.find(to)
+        found = self.history.find(number)
         if found is None:
-            raise Refused(404, f"the history holds no version {to}")
-        tree = self.check(json.dumps(found.content).encode())
-        if self.same(tree):
+            raise ChangeRejectedError(404, f"the history holds no version {number}")
+        content = self.check(json.dumps(found.content).encode())
+        if self.is_in_force(content):
             return {**self.status(), "changed": False}
-        return await self.change(tree, "rollback", of=to)
+        return await self.change(content, "rollback", restored=number)
+
+    def confirm(self, number: int) -> JsonObject:
+        """Let the version that waits for its confirmation stay, and return the status.
 
-    def confirm(self, number: int) -> Tree:
+        Raises:
+            ChangeRejectedError: This version does not wait.
+            OSError: The confirmation cannot be stored; the version goes on waiting.
+        """
         self.look()
         pending = self.history.pending
-        if pending is not None and pending.number == number and self.node.clock() >= pending.until:
+        if pending is not None and pending.number == number and self.node.clock() >= pending.deadline:
             self.expire()
             pending = None
         if pending is not None and pending.number == number:
-            with self.kept.locked():
+            with self.history_file.locked():
                 self.look()
                 if self.history.pending == pending:
                     confirmed = replace(self.history, pending=None)
-                    self.write(confirmed)
-                    self.enter(confirmed)
-                    log.info("version %d is confirmed", number)
+                    self.history_file.save(confirmed)
+                    self.adopt_history(confirmed)
+                    log.info("configuration version confirmed version=%d", number)
         if self.history.newest.number != number or self.history.pending is not None:
-            raise Refused(409, f"version {number} does not wait for a confirmation")
+            raise ChangeRejectedError(409, f"version {number} does not wait for a confirmation")
         return self.status()
 
     # The change itself
 
-    async def change(self, tree: Tree, by: str, of: int | None = None, within: float | None = None) -> Tree:
-        if self.node.state == "stopping":
-            raise Refused(409, "this process is at its end")
+    async def change(
+        self,
+        content: JsonObject,
+        origin: str,
+        restored: int | None = None,
+        confirm_within: float | None = None,
+    ) -> JsonObject:
+        """Prepare and commit a checked content, and return the status.
+
+        The arguments are those of ChangeInProgress.
+
+        Raises:
+            ChangeRejectedError: Nothing has changed.
+        """
+        reject_if_stopping(self.node)
         if self.preparing:
-            raise Refused(409, "another change is being prepared")
-        change = Change(self.config_of(tree), self.node.config, self.history, by, of, within)
+            raise ChangeRejectedError(409, "another change is being prepared")
+        config = build_config(self.node.config, content)
+        change = ChangeInProgress(config, self.node.config, self.history, origin, restored, confirm_within)
         self.preparing = True
         try:
             await self.prepare(change)
         finally:
             self.preparing = False
-        self.commit(change.fresh, self.history.newest, change.listing)  # still the turn of the last step
-        self.arm()
+        self.commit(change.config, self.history.newest, change.listing)  # still the turn of the last step
+        self.schedule_expiry()
         return {**self.status(), "changed": True}
 
-    async def prepare(self, change: Change) -> None:
-        """Raises Refused, and has had no effect then."""
+    async def prepare(self, change: ChangeInProgress) -> None:
+        """Do all steps that can fail, in their order.
+
+        Raises:
+            ChangeRejectedError: A step failed; none has had an effect.
+        """
         step = ""
         try:
             async with asyncio.timeout(PREPARE_WITHIN):
                 for step in STEPS:  # noqa: B007
                     await STEPS[step](self, change)
-        except Refused:
+        except ChangeRejectedError:
             raise
         except TimeoutError as err:
-            raise Refused(
-                503, f"{step}: nothing within {PREPARE_WITHIN:.0f} s; nothing changes", step=step
-            ) from err
+            text = f"{step}: nothing within {PREPARE_WITHIN:.0f} s; nothing changes"
+            raise ChangeRejectedError(503, text, step=step) from err
         except Exception as err:  # whatever went wrong there, the answer says so
-            raise Refused(503, f"{step}: {type(err).__name__} {err}; nothing changes", step=step) from err
-
-    def write_down(self, change: Change) -> None:
-        """The last step, and the turn of the commit: whoever dies from here on has left its word."""
-        if self.node.state == "stopping":
-            raise Refused(409, "this process is at its end")
-        with self.kept.locked():
-            self.look()
-            if self.history is not change.history:
-                raise Refused(409, f"version {self.history.newest.number} came first")
-            now = self.node.clock()
-            fresh = self.history.add(content(change.fresh), now, change.by, change.of)
-            if change.within is not None:
-                number = fresh.newest.number
-                fresh = replace(fresh, pending=Pending(number, number - 1, now + change.within))
-            self.write(fresh)
-            self.history = fresh
+            text = f"{step}: {type(err).__name__} {err}; nothing changes"
+            raise ChangeRejectedError(503, text, step=step) from err
 
     def signal(self) -> None:
-        """After SIGHUP the file's word holds, whatever waits for a confirmation or is being prepared."""
+        """Read the configuration file again after SIGHUP.
+
+        It comes into force whatever waits for a confirmation or is being prepared. A file that cannot be used
+        changes nothing.
+        """
         try:
-            fresh = reread_config(self.node.config)
+            config = reread_config(self.node.config)
         except ConfigError as err:
-            log.error("SIGHUP: %s; nothing changes", err)
+            log.error("SIGHUP: configuration file not usable, nothing changes error=%s", err)
             return
         log.info(
-            "SIGHUP: %d classes, %d plans, discovery at %s",
-            len(fresh.settings.classes),
-            len(fresh.settings.plans),
-            write_address(fresh.discovery),
+            "SIGHUP: configuration file read classes=%d plans=%d discovery=%s",
+            len(config.settings.classes),
+            len(config.settings.plans),
+            write_address(config.discovery),
         )
-        if fresh.counter and not self.node.config.counter:
-            log.warning("SIGHUP: a counter that comes needs a new process; there is none until then")
-        told = content(fresh)
-
-        def add(own: History) -> History:
-            own = replace(own, file=filed(fresh), pending=None)
-            known = self.current == own.newest and not list(keys.differences(own.newest.content, told))
-            return own if known else own.add(told, self.node.clock(), "signal")
-
-        self.history = self.record(add)
-        self.commit(fresh, self.history.newest, None)
-        self.arm()
-
-    def record(self, make: Callable[[History], History]) -> History:
-        """What `make` makes of the newest history. What cannot be kept holds in this process all the same."""
-        made = None
+        if config.counter and not self.node.config.counter:
+            log.warning("SIGHUP: counter address ignored, a counter that comes needs a new process")
+        content = changeable_content(config)
+
+        def add_file(history: ConfigHistory) -> ConfigHistory:
+            history = replace(history, source_digest=source_digest(config), pending=None)
+            newest = history.newest
+            if self.current == newest and not list(config_schema.differences(newest.content, content)):
+                return history
+            return history.add(content, self.node.clock(), "signal")
+
+        self.history = self.update_history(add_file)
+        self.commit(config, self.history.newest, None)
+        self.schedule_expiry()
+
+    def update_history(self, update: Callable[[ConfigHistory], ConfigHistory]) -> ConfigHistory:
+        """Return what `update` makes of the newest history, stored if it can be.
+
+        What cannot be stored holds in this process all the same.
+        """
+        updated = None
         try:
-            with self.kept.locked():
+            with self.history_file.locked():
                 self.look()
-                made = make(self.history)
-                self.write(made)
+                updated = update(self.history)
+                self.history_file.save(updated)
         except OSError as err:
-            log.error("%s: %s; the history is not kept", self.kept.path, err)
-        return made or make(self.history)
-
-    def arm(self) -> None:
-        """For the end of the time in which a version must be confirmed."""
-        if self.timer is not None:
-            self.timer.cancel()
-        pending, self.timer = self.history.pending, None
+            self.history_file.log_not_saved(err)
+        return updated or update(self.history)
+
+    def schedule_expiry(self) -> None:
+        """Set the timer for the deadline of the confirmation that is pending now, if one is."""
+        if self.confirmation_timer is not None:
+            self.confirmation_timer.cancel()
+        self.confirmation_timer = None
+        pending = self.history.pending
         if pending is not None:
-            left = max(0.0, pending.until - self.node.clock())
-            self.timer = self.node.later(left + TICK, self.expire)
+            left = max(0.0, pending.deadline - self.node.clock())
+            self.confirmation_timer = self.node.later(left + TIMER_MARGIN_S, self.expire)
 
     def expire(self) -> None:
-        """Back to what was in force before, with no contact first: it worked, and the change may be what cut
-        the operator off."""
-
-        def undo(own: History) -> History:
-            pending = own.pending
-            if pending is None or self.node.clock() < pending.until:
-                return own
-            back = own.find(pending.back)
-            assert back is not None  # the newest but one, which a history keeps
-            log.warning("version %d was not confirmed in time", pending.number)
-            return own.add(back.content, self.node.clock(), "expiry", pending.back)
-
-        self.enter(self.record(undo))
-
-    def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-
-
-# What a change needs, in the order in which it is got. None has an effect that outlasts a failure.
-
+        """Go back to what was in force before a version that nobody confirmed.
 
-async def module(changes: Changes, change: Change) -> None:
-    """The module takes the change on a trial of its own."""
-    trial = Gateway(change.last.settings, 1, changes.node.clock())
-    trial.retune(changes.node.clock(), change.fresh.settings)
+        No address is contacted first: the previous version worked, and the change may be what cut the
+        operator off.
+        """
 
+        def undo(history: ConfigHistory) -> ConfigHistory:
+            pending = history.pending
+            if pending is None or self.node.clock() < pending.deadline:
+                return history
+            previous = history.find(pending.previous)
+            assert previous is not None  # the newest but one, which a history keeps
+            log.warning("configuration version not confirmed in time version=%d", pending.number)
+            return history.add(previous.content, self.node.clock(), "expiry", pending.previous)
 
-async def room(changes: Changes, change: Change) -> None:
-    """Smaller limits hold what is there."""
-    short = changes.node.short_of(change.fresh)
-    if short:
-        raise Refused(409, f"{short}; nothing changes", step="room")
+        self.adopt_history(self.update_history(undo))
 
-
-async def discovery(changes: Changes, change: Change) -> None:
-    if change.fresh.discovery != change.last.discovery:
-        change.listing = await changes.node.discovery.contact(change.fresh.discovery)
-
-
-async def counter(changes: Changes, change: Change) -> None:
-    if change.fresh.counter is not None and change.fresh.counter != change.last.counter:
-        await changes.node.counter.contact(change.fresh.counter)
-
-
-async def history(changes: Changes, change: Change) -> None:
-    changes.write_down(change)
-
-
-STEPS: dict[str, Callable[[Changes, Change], Awaitable[None]]] = {
-    "module": module,
-    "room": room,
-    "discovery": discovery,
-    "counter": counter,
-    "history": history,
-}
+    def close(self) -> None:
+        """Stop the timer."""
+        if self.confirmation_timer is not None:
+            self.confirmation_timer.cancel()
--- /dev/null
+++ b/api_gateway/control/config_preparation.py
@@ -0,0 +1,147 @@
+"""What a change of the configuration needs before it comes into force: its content, and the steps of prepare.
+
+No step has an effect that outlasts a failure of it or of a later one.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
+
+from api_gateway.base.endpoint_list import Listing, write_address
+from api_gateway.base.errors import in_one_line
+from api_gateway.control import config_schema
+from api_gateway.control.config_history import (
+    ConfigHistory,
+    JsonObject,
+    PendingConfirmation,
+    content_digest,
+)
+from api_gateway.control.errors import ChangeRejectedError
+from api_gateway.gateway.config import Config, rebuild
+from api_gateway.policy import Gateway
+
+if TYPE_CHECKING:
+    from api_gateway.control.config_changes import Changes
+    from api_gateway.gateway.node import GatewayNode
+
+
+def changeable_content(config: Config) -> JsonObject:
+    """Return the parts of a configuration that may change, whether the file or the environment gave them."""
+    content: JsonObject = {
+        "discovery": write_address(config.discovery),
+        "limits": config.tree["limits"],
+        "settings": config.tree["settings"],
+    }
+    if config.counter:
+        content["counter"] = write_address(config.counter)
+    return content
+
+
+def source_digest(config: Config) -> str:
+    """Return the digest of what the configuration file itself says of the parts that may change."""
+    source = {name: config.tree.get(name) for name in config_schema.CAN_CHANGE}
+    return content_digest(json.dumps(source, sort_keys=True))
+
+
+def build_config(current: Config, content: JsonObject) -> Config:
+    """Return the current configuration with another content.
+
+    Raises:
+        ConfigError: It makes no configuration.
+    """
+    with in_one_line("configuration"):
+        return rebuild(current, {**current.tree, **content})
+
+
+def reject_if_stopping(node: GatewayNode) -> None:
+    """Raise ChangeRejectedError where this process is shutting down."""
+    if node.state == "stopping":
+        raise ChangeRejectedError(409, "this process is at its end")
+
+
+@dataclass(slots=True)
+class ChangeInProgress:
+    """A change while it is prepared.
+
+    Attributes:
+        config: The configuration that is to come into force.
+        previous: The one in force when the change began.
+        history: The history from which the change goes on; another one by the last step rejects it.
+        origin: One of config_history.ORIGINS.
+        restored: Number of the version that a rollback brings back.
+        confirm_within: Seconds until the change must be confirmed; None: it needs no confirmation.
+        listing: The endpoint list of a new discovery address, once that step is done.
+    """
+
+    config: Config
+    previous: Config
+    history: ConfigHistory
+    origin: str
+    restored: int | None = None
+    confirm_within: float | None = None
+    listing: Listing | None = None
+
+
+async def try_decision_module(changes: Changes, change: ChangeInProgress) -> None:
+    """Let a trial instance of the decision module take the change."""
+    trial = Gateway(change.previous.settings, 1, changes.node.clock())
+    trial.retune(changes.node.clock(), change.config.settings)
+
+
+async def check_capacity(changes: Changes, change: ChangeInProgress) -> None:
+    """Reject limits that are below what is in use."""
+    shortage = changes.node.short_of(change.config)
+    if shortage:
+        raise ChangeRejectedError(409, f"{shortage}; nothing changes", step="room")
+
+
+async def contact_discovery(changes: Changes, change: ChangeInProgress) -> None:
+    """Fetch the endpoint list from a new discovery address."""
+    if change.config.discovery != change.previous.discovery:
+        change.listing = await changes.node.discovery.contact(change.config.discovery)
+
+
+async def contact_counter(changes: Changes, change: ChangeInProgress) -> None:
+    """Connect to a new counter address."""
+    if change.config.counter is not None and change.config.counter != change.previous.counter:
+        counter = changes.node.counter
+        assert counter is not None  # one that comes needs a new process, as the check says
+        await counter.contact(change.config.counter)
+
+
+async def store_history(changes: Changes, change: ChangeInProgress) -> None:
+    """Add the change to the stored history: the last step, in the same turn as the commit.
+
+    A process that dies from here on leaves the new version to the next one.
+
+    Raises:
+        ChangeRejectedError: Another change came first.
+        OSError: The history cannot be written.
+    """
+    reject_if_stopping(changes.node)
+    with changes.history_file.locked():
+        changes.look()
+        if changes.history is not change.history:
+            raise ChangeRejectedError(409, f"version {changes.history.newest.number} came first")
+        now = changes.node.clock()
+        content = changeable_content(change.config)
+        history = changes.history.add(content, now, change.origin, change.restored)
+        if change.confirm_within is not None:
+            number = history.newest.number
+            pending = PendingConfirmation(number, number - 1, now + change.confirm_within)
+            history = replace(history, pending=pending)
+        changes.history_file.save(history)
+        changes.history = history
+
+
+# By the names that answers to operators give.
+STEPS: dict[str, Callable[[Changes, ChangeInProgress], Awaitable[None]]] = {
+    "module": try_decision_module,
+    "room": check_capacity,
+    "discovery": contact_discovery,
+    "counter": contact_counter,
+    "history": store_history,
+}
--- a/api_gateway/control/server.py
+++ b/api_gateway/control/server.py
@@ -14,8 +14,9 @@
 from api_gateway.base.accepting import BoundedServer, open_listening_socket
 from api_gateway.base.calls import read_body
 from api_gateway.base.endpoint_list import Address
-from api_gateway.control.config_changes import CONFIRM_LEAST, CONFIRM_MOST, Refused
-from api_gateway.control.config_schema import MOST_BODY, MOST_TOLD, is_number
+from api_gateway.control.config_changes import CONFIRM_LEAST, CONFIRM_MOST
+from api_gateway.control.config_schema import MOST_BODY, MOST_TOLD, differences, is_number
+from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.control.host_overrides import UnknownHost
 
 MOST_CALLERS = 16  # connections; past them the one that came first goes
@@ -106,8 +107,8 @@
             return await answer if inspect.isawaitable(answer) else answer
         except ValueError as err:
             return 400, {"error": str(err)}
-        except Refused as err:
-            return err.status, err.told
+        except ChangeRejectedError as err:
+            return err.status, err.answer
         except UnknownHost as err:
             return 404, {"error": f"no list has named host {err}"}
         except TimeoutError:
@@ -140,17 +141,17 @@
 
     def config(self, request: web.BaseRequest) -> Answer:
         names(request)
-        return 200, self.node.changes.whole()
+        return 200, self.node.changes.status_with_config()
 
     def history(self, request: web.BaseRequest) -> Answer:
         names(request)
-        return 200, {"versions": self.node.changes.told()}
+        return 200, {"versions": self.node.changes.list_versions()}
 
     async def check(self, request: web.BaseRequest) -> Answer:
         names(request)
         changes = self.node.changes
         tree = changes.check(await read_body(request, MOST_BODY, BODY_WITHIN))
-        rows = changes.differences(tree)
+        rows = list(differences(changes.current.content, tree))
         return 200, {"changes": rows[:MOST_TOLD], "more": max(0, len(rows) - MOST_TOLD)}
 
     async def apply(self, request: web.BaseRequest) -> Answer:
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -27,7 +27,8 @@
 from api_gateway.control import config_changes as module
 from api_gateway.control import config_schema as keys
 from api_gateway.control import server as control
-from api_gateway.control.config_changes import STEPS, History, digest, read_history, version
+from api_gateway.control.config_changes import STEPS
+from api_gateway.control.config_history import ConfigHistory, content_digest, decode_history, make_version
 from api_gateway.downstream import client_connection as clients
 
 EXTRA = SETTINGS["services"][0] | {"name": "extra"}
@@ -89,7 +90,10 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         told = await config(node)
         assert (told["version"], told["by"], told["pending"]) == (1, "start", None)
-        assert told["digest"] == digest(json.dumps(told["config"], sort_keys=True)) and told["since"] > 1e9
+        assert (
+            told["digest"] == content_digest(json.dumps(told["config"], sort_keys=True))
+            and told["since"] > 1e9
+        )
         before = in_force(node)
         good = await candidate(node, settings__plans__0__rate=5.0, limits__sockets=900)
         assert await node.call("POST /config/check", good) == (
@@ -234,7 +238,7 @@
         for _ in range(2):
             status, told = await node.call("POST /config/confirm?version=2")
             assert status == 200 and told["pending"] is None
-        assert node.node.changes.timer is None and (await config(node))["version"] == 2
+        assert node.node.changes.confirmation_timer is None and (await config(node))["version"] == 2
 
 
 @on_loop
@@ -244,7 +248,7 @@
         for late in (False, True):
             text = await candidate(node, settings__plans__0__rate=7.0 + late)
             number = (await apply(node, text, within=3600))[1]["version"]
-            until_ = changes.history.pending.until
+            until_ = changes.history.pending.deadline
             node.node.clock = lambda until_=until_, late=late: until_ - (0 if late else 1e-6)
             status, _ = await node.call(f"POST /config/confirm?version={number}")
             node.node.clock = lambda: now
@@ -509,12 +513,12 @@
     ):
         assert (await apply(old, await candidate(old, settings__plans__0__rate=5.0), within=3600))[0] == 200
         assert (await new.call("POST /config/confirm?version=2"))[0] == 200
-        assert (await config(old))["pending"] is None and old.node.changes.timer is None
+        assert (await config(old))["pending"] is None and old.node.changes.confirmation_timer is None
         assert (await apply(old, await candidate(old, settings__plans__0__rate=6.0), within=1))[0] == 200
         old.node.changes.close()  # it dies: the other sees to the end of the time
         old.node.looking.cancel()
-        await until(lambda: new.node.changes.current.by == "expiry")
-        assert new.node.settings.plans["p"].rate == 5.0 and new.node.changes.current.of == 2
+        await until(lambda: new.node.changes.current.origin == "expiry")
+        assert new.node.settings.plans["p"].rate == 5.0 and new.node.changes.current.restored == 2
 
 
 @on_loop
@@ -524,9 +528,9 @@
         old.node.changes.close()
         old.node.looking.cancel()
         pending = old.node.changes.history.pending
-        await until(lambda: old.node.clock() > pending.until)
+        await until(lambda: old.node.clock() > pending.deadline)
         async with Node(host, path=tmp_path, beside=old) as new:
-            await until(lambda: new.node.changes.current.by == "expiry")
+            await until(lambda: new.node.changes.current.origin == "expiry")
             assert new.node.settings.plans["p"].rate == 1000.0
 
 
@@ -578,14 +582,18 @@
         "[" * 5000,
         '["x", null, [[1]]]',
         '["x", null, [[1, "no digest of it", 1.0, "start", null, {}]]]',
-        '["x", {"number": 1, "back": 7, "until": 1}, [[1, "' + digest("{}") + '", 1.0, "start", null, {}]]]',
+        '["x", {"number": 1, "back": 7, "until": 1}, [[1, "'
+        + content_digest("{}")
+        + '", 1.0, "start", null, {}]]]',
     ],
 )
 @on_loop
 async def test_a_torn_or_foreign_history_changes_nothing_and_is_written_anew(text, tmp_path, caplog):
     async with StubHost() as host, Node(host, path=tmp_path) as old:
         (tmp_path / "n0-config.json").write_text(text, encoding="latin-1")
-        assert (await config(old))["version"] == 1 and "the version in force stays" in caplog.text
+        assert (await config(old))[
+            "version"
+        ] == 1 and "configuration history not read, version in force stays" in caplog.text
         assert (await apply(old, await candidate(old, settings__plans__0__rate=5.0)))[0] == 200
         async with Node(host, path=tmp_path, beside=old) as new:
             assert (await config(new))["version"] == 2
@@ -595,13 +603,13 @@
 async def test_a_history_that_cannot_be_written_stops_a_call_but_no_signal_and_no_expiry(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert (await apply(node, await candidate(node, settings__plans__0__rate=5.0), within=3600))[0] == 200
-        changes, path = node.node.changes, node.node.changes.kept.path
-        changes.kept.path = tmp_path / "none" / "there.json"
-        changes.kept.seen = None
+        changes, path = node.node.changes, node.node.changes.history_file.shared_file.path
+        changes.history_file.shared_file.path = tmp_path / "none" / "there.json"
+        changes.history_file.shared_file.seen = None
         assert (await node.call("POST /config/confirm?version=2"))[0] == 500
         assert changes.history.pending is not None
         assert (await node.call("POST /config/rollback?to=1"))[0] == 503
-        end = changes.history.pending.until
+        end = changes.history.pending.deadline
         changes.node.clock = lambda: end
         changes.expire()
         assert node.node.settings.plans["p"].rate == 1000.0 and changes.current.number == 3
@@ -609,22 +617,22 @@
         tree["settings"]["plans"][0]["rate"] = 7.0
         node.file.write_text(json.dumps(tree))
         node.node.reload()
-        assert node.node.settings.plans["p"].rate == 7.0 and changes.current.by == "signal"
-        changes.kept.path = path
+        assert node.node.settings.plans["p"].rate == 7.0 and changes.current.origin == "signal"
+        changes.history_file.shared_file.path = path
 
 
 def test_a_history_is_bounded_in_number_and_bytes():
     def made(number, size):
-        return version(number, 1.0, "call", {"text": "x" * size, "n": number})
+        return make_version(number, 1.0, "call", {"text": "x" * size, "n": number})
 
-    history = History("f", (made(1, 10),))
+    history = ConfigHistory("f", (made(1, 10),))
     for n in range(2, 60):
         history = history.add({"n": n}, 1.0, "call")
     assert len(history.versions) == module.MOST_VERSIONS and history.newest.number == 59
     for n in range(10):
         history = history.add({"text": "x" * (module.MOST_BYTES // 2 - 100), "n": n}, 1.0, "call")
-    assert len(history.versions) == 2 and len(history.text()) < module.MOST_BYTES + 1000
-    assert read_history(history.text()) == history
+    assert len(history.versions) == 2 and len(history.encode()) < module.MOST_BYTES + 1000
+    assert decode_history(history.encode()) == history
 
 
 # Under traffic
@@ -699,13 +707,16 @@
                 node = GatewayNode(read_config())
                 await node.start()
                 await asyncio.sleep(0.05)
-                names = ("changes", "keys", "control", "calls", "replicas", "admission")
-                assert not [n for n in names if "api_gateway.gateway." + n in sys.modules], "imported"
+                names = ("control.config_changes", "control.config_history", "control.config_preparation",
+                         "control.config_schema", "control.server", "control.errors", "base.calls",
+                         "discovery.replicas", "downstream.admission")
+                assert not [n for n in names if "api_gateway." + n in sys.modules], "imported"
                 assert "aiohttp.web" not in sys.modules and "api_gateway.membership" not in sys.modules
                 files = [f for f in os.listdir(os.environ["TMPDIR"]) if "-life-" not in f]
                 assert not files and node.changes is None, files
                 node.reload()
-                assert node.changes.kept.path is None and node.changes.timer is None
+                assert node.changes.history_file.shared_file.path is None
+                assert node.changes.confirmation_timer is None
                 assert not [f for f in os.listdir(os.environ["TMPDIR"]) if "-life-" not in f]
                 os._exit(7)
             asyncio.run(main())"""
--- a/tests/control/test_config_changes_model.py
+++ b/tests/control/test_config_changes_model.py
@@ -8,7 +8,10 @@
 import pytest
 from netkit import told
 
-from api_gateway.control.config_changes import MOST_VERSIONS, Changes, Refused, content, read_history
+from api_gateway.control.config_changes import Changes
+from api_gateway.control.config_history import MAX_VERSIONS, ConfigHistoryFile, decode_history
+from api_gateway.control.config_preparation import changeable_content
+from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.gateway.config import read_config
 
 DEAD = "127.0.0.1:1"
@@ -101,7 +104,7 @@
     def add(self, what, by, pending=None):
         self.newest += 1
         self.versions[self.newest], self.by, self.pending = what, by, pending
-        self.versions.pop(self.newest - MOST_VERSIONS, None)
+        self.versions.pop(self.newest - MAX_VERSIONS, None)
         self.follow()
 
     def follow(self):
@@ -150,7 +153,7 @@
             self.filed = self.file
             self.newest += 1
             self.versions[self.newest], self.by, self.pending = self.file, "start", None
-            self.versions.pop(self.newest - MOST_VERSIONS, None)
+            self.versions.pop(self.newest - MAX_VERSIONS, None)
             self.own[p] = (self.newest, *self.file)
         self.follow()
 
@@ -165,7 +168,7 @@
         got = coroutine_or_value()
         if asyncio.iscoroutine(got):
             await got
-    except Refused as err:
+    except ChangeRejectedError as err:
         return err.status
     return 200
 
@@ -197,7 +200,7 @@
             except Killed:
                 model.own[p] = world.processes[p] = None
                 # Its own look may die as well, on the way to a version that the other has written.
-                found = read_history((folder / "n0-config.json").read_text())
+                found = decode_history((folder / "n0-config.json").read_text())
                 if found.newest.number > model.newest:
                     model.add(what, "call", within and (model.newest + 1, model.newest, world.now + within))
             else:
@@ -246,10 +249,10 @@
         changes, config = process.changes, process.node.config
         had = (changes.current.number, config.settings.plans["p"].rate, config.discovery[1] == 1)
         assert had == own, (seed, had, own)
-        assert content(config) == changes.current.content
+        assert changeable_content(config) == changes.current.content
         assert [v.number for v in changes.history.versions] == sorted(model.versions)
         waits = changes.history.pending
-        assert (waits and (waits.number, waits.back, waits.until)) == model.pending, seed
+        assert (waits and (waits.number, waits.previous, waits.deadline)) == model.pending, seed
         assert (waits is None) == (not process.node.timers)
 
 
@@ -278,27 +281,27 @@
 
 
 def planted_history_written_after_the_commit(monkeypatch):
-    write, commit = Changes.write, Changes.commit
+    save, commit = ConfigHistoryFile.save, Changes.commit
 
     def later(self, config, version, listing):
         commit(self, config, version, listing)
-        write(self, self.history)
+        save(self.history_file, self.history)
 
     def first(self, history):
-        if not self.kept.path.exists():
-            write(self, history)
+        if not self.path.exists():
+            save(self, history)
 
-    monkeypatch.setattr(Changes, "write", first)
+    monkeypatch.setattr(ConfigHistoryFile, "save", first)
     monkeypatch.setattr(Changes, "commit", later)
 
 
 def planted_no_timer_after_a_start(monkeypatch):
-    begin, arm = Changes.begin, Changes.arm
+    begin, schedule = Changes.begin, Changes.schedule_expiry
 
     def unarmed(self):
-        monkeypatch.setattr(Changes, "arm", lambda self: None)
+        monkeypatch.setattr(Changes, "schedule_expiry", lambda self: None)
         begin(self)
-        monkeypatch.setattr(Changes, "arm", arm)
+        monkeypatch.setattr(Changes, "schedule_expiry", schedule)
 
     monkeypatch.setattr(Changes, "begin", unarmed)
 
--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -108,7 +108,7 @@
         config.write_text(json.dumps(text | {"settings": SETTINGS | {"services": shorter}}))
         program.send_signal(signal.SIGTERM)
         program.send_signal(signal.SIGHUP)
-        while b"SIGHUP: 2 classes" not in await program.stderr.readline():
+        while b"SIGHUP: configuration file read classes=2 " not in await program.stderr.readline():
             pass
         program.send_signal(signal.SIGTERM)
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -21,7 +21,7 @@
 from api_gateway.base import resp
 from api_gateway.base.endpoint_list import read_list
 from api_gateway.base.resp import NO_REPLY, Reader
-from api_gateway.control import config_changes as changes
+from api_gateway.control import config_history
 from api_gateway.control import config_schema as keys
 from api_gateway.control.host_overrides import read_bans
 from api_gateway.counter_client import MOST_LINE, Call
@@ -849,7 +849,11 @@
             return None
         if by not in ("start", "signal", "call", "rollback", "expiry") or not isinstance(content, dict):
             return None
-        if digest != changes.digest(json.dumps(content, sort_keys=True)) or numbers and number <= numbers[-1]:
+        if (
+            digest != config_history.content_digest(json.dumps(content, sort_keys=True))
+            or numbers
+            and number <= numbers[-1]
+        ):
             return None
         if of is not None and type(of) is not int:
             return None
@@ -881,12 +885,12 @@
 )
 @seeded
 def test_a_history_is_read_as_a_slow_reader_does(count, waits, odd, odd_waits, change, written):
-    history = changes.History("f", (changes.version(1, 5.0, "start", {"a": 1}),))
+    history = config_history.ConfigHistory("f", (config_history.make_version(1, 5.0, "start", {"a": 1}),))
     for number in range(1, count):
         history = history.add({"a": number}, 5.0 + number, "call", None if number % 2 else 1)
     if waits:
-        history = replace(history, pending=changes.Pending(count, 1, 99.0))
-    text = history.text()
+        history = replace(history, pending=config_history.PendingConfirmation(count, 1, 99.0))
+    text = history.encode()
     if written:
         text = altered(text.encode(), change).decode("latin-1")
     else:
@@ -900,8 +904,8 @@
         slow = slow_history(json.loads(text))
     except ValueError:
         slow = None
-    read = taken(changes.read_history, text)
-    assert slow == (read and ([v.number for v in read.versions], read.pending and read.pending.until))
+    read = taken(config_history.decode_history, text)
+    assert slow == (read and ([v.number for v in read.versions], read.pending and read.pending.deadline))
 
 
 @given(
