--- a/api_gateway/control/config_history.py
+++ b/api_gateway/control/config_history.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
+from api_gateway.base.shared_file import Kept
 from api_gateway.control.config_schema import is_number
 from api_gateway.control.errors import CorruptHistoryError
-from api_gateway.control.host_overrides import Kept
 
 # Versions that the history holds.
 MAX_VERSIONS = 20
@@ -250,7 +250,7 @@
 
     def has_changed(self) -> bool:
         """Return whether another process has written since the last load or save."""
-        return self.shared_file.changed()
+        return self.shared_file.has_changed()
 
     def load(self) -> ConfigHistory | None:
         """Return the stored history; None, and a line in the log, where it cannot be read."""
--- a/api_gateway/control/host_overrides.py
+++ b/api_gateway/control/host_overrides.py
@@ -1,130 +1,123 @@
-"""The hosts that operators took out, kept where every process of this gateway finds them."""
+"""The operators' overrides of hosts, stored where every process of this gateway finds them.
+
+The file holds one JSON object: for each host, by its id, `out` (whether it is ejected) and `at` (Unix time in
+seconds of the operator's call). Gateways of other releases use it too.
+"""
 
 from __future__ import annotations
 
-import fcntl
 import json
 import logging
-import os
 import sys
-from collections.abc import Iterator
-from contextlib import contextmanager
 from pathlib import Path
+from typing import Any
 
 from api_gateway import interface as api
+from api_gateway.base.shared_file import Kept
+from api_gateway.control.errors import ControlError
 
-KEEP_BACK = 60.0  # s for which a host's return is told: it is warm long before
+# Seconds for which the end of an override is stored: the host is past its slow start long before.
+ENDED_OVERRIDE_TTL_S = 60.0
 
 log = logging.getLogger(__name__)
 
-Signature = tuple[int, int, int]
 
+class UnknownHost(ControlError):
+    """No endpoint list has named this host."""
+
+    def __init__(self, endpoint_id: str) -> None:
+        """Keep the host's id as the operator gave it."""
+        super().__init__(endpoint_id)
+        self.endpoint_id = endpoint_id
+
+
+def encode_overrides(overrides: dict[str, api.EndpointOverride]) -> str:
+    """Return the text of the file."""
+    return json.dumps({host: {"out": o.ejected, "at": o.at} for host, o in overrides.items()})
 
-class UnknownHost(Exception):
-    """No list has named this host."""
 
+def decode_overrides(text: str) -> dict[str, api.EndpointOverride]:
+    """Return the overrides by the ids of their hosts.
 
-def read_bans(text: str) -> dict[str, api.EndpointOverride]:
-    """Raises ValueError if it is not what write() makes."""
-    told = json.loads(text)
-    if not isinstance(told, dict):
+    Raises:
+        ValueError: The text is not what encode_overrides() returns.
+    """
+    raw = json.loads(text)
+    if not isinstance(raw, dict):
         raise ValueError("not an object")
-    bans = {}
-    for host, entry in told.items():
-        if not isinstance(entry, dict) or not isinstance(entry.get("out"), bool):
-            raise ValueError(f"{host!r} is neither out nor back")
-        at = entry.get("at")
-        if isinstance(at, bool) or not isinstance(at, int | float) or not abs(at) <= sys.float_info.max:
-            raise ValueError(f"{host!r} has no time")
-        bans[host] = api.EndpointOverride(host, entry["out"], float(at))
-    return bans
-
-
-class Kept:
-    """One small file that the processes of a gateway share: read whole, and replaced whole under a lock."""
-
-    def __init__(self, path: Path | None) -> None:
-        self.path = path
-        self.seen: Signature | None = None
-
-    def signature(self) -> Signature | None:
-        if self.path is None:
-            return None
-        try:
-            status = self.path.stat()
-        except OSError:
-            return None
-        return status.st_ino, status.st_mtime_ns, status.st_size
+    return {endpoint_id: decode_override(endpoint_id, entry) for endpoint_id, entry in raw.items()}
 
-    def changed(self) -> bool:
-        """Whether another process has written since this one last read or wrote."""
-        return self.path is not None and self.signature() != self.seen
 
-    def read(self) -> str | None:
-        """None where nothing was kept yet. Raises OSError, as without a descriptor, and is then to be read
-        still; raises ValueError for what is no text."""
-        seen = self.signature()
-        try:
-            data = self.path.read_bytes() if self.path else None
-        except FileNotFoundError:
-            data = None
-        self.seen = seen
-        return None if data is None else data.decode("utf-8")
-
-    def write(self, text: str) -> None:
-        """Under the lock, so that what an earlier life left half written is simply written over."""
-        if self.path is None:
-            return
-        fresh = self.path.with_suffix(".new")
-        fresh.write_text(text, encoding="utf-8")
-        fresh.replace(self.path)
-        self.seen = self.signature()
-
-    @contextmanager
-    def locked(self) -> Iterator[None]:
-        if self.path is None:
-            yield
-            return
-        lock = os.open(self.path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        try:
-            fcntl.flock(lock, fcntl.LOCK_EX)
-            yield
-        finally:
-            os.close(lock)
+def decode_override(endpoint_id: str, entry: Any) -> api.EndpointOverride:
+    """Return the override that one entry of the file holds. Raises ValueError where it holds none."""
+    if not isinstance(entry, dict) or not isinstance(entry.get("out"), bool):
+        raise ValueError(f"{endpoint_id!r} is neither out nor back")
+    at = entry.get("at")
+    if isinstance(at, bool) or not isinstance(at, int | float) or not abs(at) <= sys.float_info.max:
+        raise ValueError(f"{endpoint_id!r} has no time")
+    return api.EndpointOverride(endpoint_id, entry["out"], float(at))
 
 
 class Bans:
-    """Without a folder the bans last as long as the process."""
+    """The overrides as the processes of one gateway share them.
+
+    Without a folder they last as long as the process.
+    """
 
     def __init__(self, folder: Path | None, name: str) -> None:
-        self.kept = Kept(folder / f"{name}-hosts-out.json" if folder else None)
-        self.changed = self.kept.changed
-        self.known: dict[str, api.EndpointOverride] = {}
-        self.unread = False  # the file is there and cannot be read
+        """Name the file, without reading it.
+
+        Args:
+            folder: Where the processes of this gateway keep their files.
+            name: The gateway's, which begins the file's name.
+        """
+        self.shared_file = Kept(folder / f"{name}-hosts-out.json" if folder else None)
+        self.overrides: dict[str, api.EndpointOverride] = {}
+        self.read_failed = False
+
+    def changed(self) -> bool:
+        """Return whether another process has written since this one last read or wrote."""
+        return self.shared_file.has_changed()
 
     def read(self) -> dict[str, api.EndpointOverride]:
-        """All that is known; a file that cannot be read, or is torn or foreign, changes nothing."""
+        """Return all overrides; a file that cannot be read or decoded changes nothing.
+
+        Each shortage is logged once, when it begins.
+        """
         try:
-            self.take()
+            self.load()
         except OSError as err:
-            if not self.unread:
-                log.error("%s: %s; the hosts out stay as they were until it can be read", self.kept.path, err)
-            self.unread = True
-        return self.known
-
-    def take(self) -> None:
-        """Raises OSError."""
+            if not self.read_failed:
+                log.error(
+                    "host overrides not read, last ones stay until they are path=%s error=%s",
+                    self.shared_file.path,
+                    err,
+                )
+            self.read_failed = True
+        return self.overrides
+
+    def load(self) -> None:
+        """Take what is stored; text that is no overrides is logged and changes nothing. Raises OSError."""
         try:
-            text = self.kept.read()
-            self.known = self.known if text is None else read_bans(text)
+            text = self.shared_file.read()
+            if text is not None:
+                self.overrides = decode_overrides(text)
         except ValueError as err:
-            log.error("%s: %s; the hosts out stay as they were", self.kept.path, err)
-        self.unread = False
-
-    def say(self, ban: api.EndpointOverride) -> None:
-        """Raises OSError where it cannot be kept."""
-        with self.kept.locked():
-            self.take()  # else those that others said would be written over
-            known = {**self.known, ban.endpoint_id: ban}
-            self.known = {h: b for h, b in known.items() if b.ejected or ban.at - b.at < KEEP_BACK}
-            self.kept.write(json.dumps({h: {"out": b.ejected, "at": b.at} for h, b in self.known.items()}))
+            log.error("host overrides corrupt, last ones stay path=%s error=%s", self.shared_file.path, err)
+        self.read_failed = False
+
+    def say(self, override: api.EndpointOverride) -> None:
+        """Store an override beside those of other processes.
+
+        Raises:
+            OSError: It cannot be stored.
+        """
+        with self.shared_file.locked():
+            self.load()  # else those of other processes would be written over
+            overrides = {**self.overrides, override.endpoint_id: override}
+            self.overrides = {
+                endpoint_id: known
+                for endpoint_id, known in overrides.items()
+                if known.ejected or override.at - known.at < ENDED_OVERRIDE_TTL_S
+            }
+            self.shared_file.write(encode_overrides(self.overrides))
--- a/api_gateway/discovery/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -19,7 +19,7 @@
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import STATE, Address, Listing, read_list, write_address
-from api_gateway.control.host_overrides import Kept
+from api_gateway.base.shared_file import Kept
 from api_gateway.discovery.client import Discovery, Params
 
 KEEP_EVERY = 5.0  # s between two times that the list is written
--- a/api_gateway/gateway/wall_clock.py
+++ b/api_gateway/gateway/wall_clock.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from api_gateway.control.host_overrides import Kept
+from api_gateway.base.shared_file import Kept
 
 STEP = 0.25  # s; a wall clock that moves by more between two looks has been stepped
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # another one with each start of the machine
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -605,7 +605,7 @@
         assert (await apply(node, await candidate(node, settings__plans__0__rate=5.0), within=3600))[0] == 200
         changes, path = node.node.changes, node.node.changes.history_file.shared_file.path
         changes.history_file.shared_file.path = tmp_path / "none" / "there.json"
-        changes.history_file.shared_file.seen = None
+        changes.history_file.shared_file.last_signature = None
         assert (await node.call("POST /config/confirm?version=2"))[0] == 500
         assert changes.history.pending is not None
         assert (await node.call("POST /config/rollback?to=1"))[0] == 503
@@ -708,7 +708,7 @@
                 await node.start()
                 await asyncio.sleep(0.05)
                 names = ("control.config_changes", "control.config_history", "control.config_preparation",
-                         "control.config_schema", "control.server", "control.errors", "base.calls",
+                         "control.config_schema", "control.server", "base.calls",
                          "discovery.replicas", "downstream.admission")
                 assert not [n for n in names if "api_gateway." + n in sys.modules], "imported"
                 assert "aiohttp.web" not in sys.modules and "api_gateway.membership" not in sys.modules
--- a/tests/control/test_host_overrides.py
+++ b/tests/control/test_host_overrides.py
@@ -8,7 +8,7 @@
 from netkit import Node, StubHost, entry, on_loop, until
 
 from api_gateway import interface as api
-from api_gateway.control import host_overrides as bans
+from api_gateway.base.shared_file import Kept
 from api_gateway.control.host_overrides import Bans
 from api_gateway.gateway.instances import Lives
 
@@ -21,13 +21,15 @@
     assert one.changed() and not two.changed()
     assert (
         one.read()
-        == two.known
+        == two.overrides
         == {"h1": api.EndpointOverride("h1", True, 5.0), "h2": api.EndpointOverride("h2", True, 6.0)}
     )
     one.say(api.EndpointOverride("h1", False, 7.0))
     assert two.read()["h1"] == api.EndpointOverride("h1", False, 7.0)
     one.say(api.EndpointOverride("h3", True, 1000.0))
-    assert "h1" not in two.read() and two.known["h2"].ejected  # a return is forgotten in time, a ban never
+    assert (
+        "h1" not in two.read() and two.overrides["h2"].ejected
+    )  # a return is forgotten in time, a ban never
 
 
 @pytest.mark.parametrize(
@@ -48,7 +50,7 @@
 def test_a_torn_or_foreign_file_changes_nothing_and_is_written_over(text, tmp_path):
     bans = Bans(tmp_path, "n0")
     bans.say(api.EndpointOverride("h1", True, 5.0))
-    bans.kept.path.write_text(text, encoding="latin-1")
+    bans.shared_file.path.write_text(text, encoding="latin-1")
     assert (
         bans.changed() and bans.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not bans.changed()
     )
@@ -110,7 +112,7 @@
     """A folder is full for a while: the operator hears so, and the next process knows of it all the same."""
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         with monkeypatch.context() as patch:
-            patch.setattr(bans.Kept, "write", full)
+            patch.setattr(Kept, "write", full)
             assert (await node.call("POST /maintenance/enter?host=h1"))[0] == 500
             assert "h1" in node.node.hosts.out and not Bans(tmp_path, "n0").read()
         await until(lambda: Bans(tmp_path, "n0").read().get("h1"))
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -579,7 +579,7 @@
     with contextlib.suppress(OSError):
         two.say(api.EndpointOverride("h2", True, 6.0))
         raise AssertionError
-    assert not two.known
+    assert not two.overrides
 assert two.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not two.changed()
 two.say(api.EndpointOverride("h2", True, 6.0))
 assert one.read().keys() == {"h1", "h2"}
@@ -592,7 +592,7 @@
     """The files that the processes of a gateway share; the history is one."""
     without_descriptors(
         """
-from api_gateway.control.host_overrides import Kept
+from api_gateway.base.shared_file import Kept
 one, two = Kept(folder / "x.json"), Kept(folder / "x.json")
 with one.locked():
     one.write("first")
@@ -601,11 +601,11 @@
         with contextlib.suppress(OSError):
             act()
             raise AssertionError
-    assert two.changed()
-assert two.read() == "first" and not two.changed()
+    assert two.has_changed()
+assert two.read() == "first" and not two.has_changed()
 with one.locked():
     one.write("second")
-assert two.changed() and two.read() == "second"
+assert two.has_changed() and two.read() == "second"
 """,
         tmp_path,
     )
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -23,7 +23,7 @@
 from api_gateway.base.resp import NO_REPLY, Reader
 from api_gateway.control import config_history
 from api_gateway.control import config_schema as keys
-from api_gateway.control.host_overrides import read_bans
+from api_gateway.control.host_overrides import decode_overrides
 from api_gateway.counter_client import MOST_LINE, Call
 from api_gateway.counter_client import Line as CounterLine
 from api_gateway.discovery.fetcher import Broken, Fetcher, Line
@@ -831,7 +831,7 @@
     bans = sound and {
         host: api.EndpointOverride(host, entry["out"], float(entry["at"])) for host, entry in told.items()
     }
-    assert taken(read_bans, json.dumps(told)) == (bans if sound else None)
+    assert taken(decode_overrides, json.dumps(told)) == (bans if sound else None)
 
 
 def slow_history(told):
