--- a/api_gateway/control/server.py
+++ b/api_gateway/control/server.py
@@ -1,5 +1,8 @@
-"""The second address, where operators and the platform call: readiness, hosts out by hand, drains, changes of
-the configuration."""
+"""The control address, where operators and the platform call.
+
+It serves readiness, overrides of hosts, drains, and changes of the configuration; docs/on-call.md tells
+operators how to call it.
+"""
 
 from __future__ import annotations
 
@@ -7,9 +10,10 @@
 import inspect
 import logging
 from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from aiohttp import web
+from aiohttp.web_protocol import RequestHandler
 
 from api_gateway.base.accepting import BoundedServer, open_listening_socket
 from api_gateway.base.calls import read_body
@@ -19,182 +23,262 @@
 from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.control.host_overrides import UnknownHost
 
-MOST_CALLERS = 16  # connections; past them the one that came first goes
-MOST_ENDING = 4  # beside them whose end has not taken effect; more than both wait unopened, whatever comes
-CALL_WITHIN = 6.0  # s after which a connection ends, with or without a call
+if TYPE_CHECKING:
+    from api_gateway.gateway.node import GatewayNode
+
+# Open connections; with one more, the oldest is closed.
+MOST_CALLERS = 16
+# Connections beside them whose close has not taken effect; past both, new ones wait in the backlog.
+MOST_ENDING = 4
+# Seconds after which a connection is closed, with or without a call.
+CALL_TIMEOUT_S = 6.0
+# Connections that wait to be accepted.
 BACKLOG = 64
-BODY_WITHIN = 2.0  # s for a body to come
+# Seconds for a body to arrive.
+BODY_TIMEOUT_S = 2.0
+# Digits of a version's number in a query.
+MAX_VERSION_DIGITS = 9
 
 log = logging.getLogger(__name__)
 
+# HTTP status, and the JSON object of the body.
 Answer = tuple[int, dict[str, Any]]
+CallHandler = Callable[[web.BaseRequest], Answer | Awaitable[Answer]]
 
 
-class Callers(web.Server):
-    """A connection is for one call: one that brings none is not kept, nor is one that stays after it or does
-    not take its answer."""
+class SingleCallServer(web.Server):
+    """An HTTP server whose connections are for one call each.
 
-    def __init__(self, *args: Any, **more: Any) -> None:
-        super().__init__(*args, **more)
-        self.open: dict[Any, asyncio.Transport] = {}  # that are to stay, the first to come first
-        self.ended: Callable[[], None] = lambda: None  # hears of each end
+    A connection that brings none is closed in time, and so is one that stays after it or does not read its
+    answer.
+    """
 
-    def connection_made(self, handler: Any, transport: asyncio.Transport) -> None:
+    def __init__(self, handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]) -> None:
+        """Serve calls by `handler`; the owner of the socket sets `on_connection_ended`."""
+        super().__init__(handler, access_log=None)
+        # Those that are not being closed, the oldest first.
+        self.open_connections: dict[RequestHandler, asyncio.Transport] = {}
+        self.on_connection_ended: Callable[[], None] = lambda: None
+
+    def connection_made(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
+        """Bound the number of connections and the time of this one."""
         super().connection_made(handler, transport)
-        self.open[handler] = transport
-        if len(self.open) > MOST_CALLERS:
-            self.end(next(iter(self.open)))
-        asyncio.get_running_loop().call_later(CALL_WITHIN, self.end, handler)
+        self.open_connections[handler] = transport
+        if len(self.open_connections) > MOST_CALLERS:
+            self.abort(next(iter(self.open_connections)))
+        asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.abort, handler)
 
-    def connection_lost(self, handler: Any, exc: BaseException | None = None) -> None:
+    def connection_lost(self, handler: RequestHandler, exc: BaseException | None = None) -> None:
+        """Report the end of a connection to the owner of the socket."""
         super().connection_lost(handler, exc)
-        self.open.pop(handler, None)
-        self.ended()
+        self.open_connections.pop(handler, None)
+        self.on_connection_ended()
 
-    def end(self, handler: Any) -> None:
-        """Whatever of an answer it has not taken."""
-        transport = self.open.pop(handler, None)
+    def abort(self, handler: RequestHandler) -> None:
+        """Close a connection at once, whatever it has not read of an answer; twice is no harm."""
+        transport = self.open_connections.pop(handler, None)
         if transport is not None:
             handler.force_close()
             transport.abort()
 
 
 class Control:
-    """`node` has status(), hand(host, out) and drain(on), which act before they return, and its changes."""
+    """Answers the calls of operators for one gateway process.
+
+    The node and its changes act before they return, so an answer says what has happened.
+    """
 
-    def __init__(self, node: Any) -> None:
+    def __init__(self, node: GatewayNode) -> None:
+        """Prepare to serve; listen() opens the socket."""
         self.node = node
-        self.server = Callers(self.call, access_log=None)
+        self.server = SingleCallServer(self.handle_request)
         self.listener: BoundedServer | None = None
-        self.calls: dict[str, tuple[str, Callable[[web.BaseRequest], Answer | Awaitable[Answer]]]] = {
-            "/status": ("GET", self.status),
-            "/members": ("GET", self.members),
-            "/config": ("GET", self.config),
-            "/config/history": ("GET", self.history),
-            "/config/check": ("POST", self.check),
-            "/config/apply": ("POST", self.apply),
-            "/config/confirm": ("POST", self.confirm),
-            "/config/rollback": ("POST", self.roll_back),
-            "/maintenance/enter": ("POST", lambda request: self.hand(request, True)),
-            "/maintenance/exit": ("POST", lambda request: self.hand(request, False)),
-            "/standby": ("POST", lambda request: self.drain(request, True)),
-            "/active": ("POST", lambda request: self.drain(request, False)),
+        # The method and the handler of each path.
+        self.calls: dict[str, tuple[str, CallHandler]] = {
+            "/status": ("GET", self.get_status),
+            "/members": ("GET", self.get_members),
+            "/config": ("GET", self.get_config),
+            "/config/history": ("GET", self.get_history),
+            "/config/check": ("POST", self.check_config),
+            "/config/apply": ("POST", self.apply_config),
+            "/config/confirm": ("POST", self.confirm_config),
+            "/config/rollback": ("POST", self.roll_back_config),
+            "/maintenance/enter": ("POST", self.eject_host),
+            "/maintenance/exit": ("POST", self.readmit_host),
+            "/standby": ("POST", self.begin_drain),
+            "/active": ("POST", self.end_drain),
         }
 
     async def listen(self, address: Address) -> int:
-        """Returns the port. Raises OSError."""
+        """Open the control address and return its port. Raises OSError."""
         sock = open_listening_socket(address, BACKLOG)
         self.listener = BoundedServer(sock, self.server, MOST_CALLERS + MOST_ENDING)
-        self.server.ended = self.listener.connection_ended
-        return self.listener.sockets[0].getsockname()[1]
+        self.server.on_connection_ended = self.listener.connection_ended
+        port: int = self.listener.sockets[0].getsockname()[1]
+        return port
 
-    async def call(self, request: web.BaseRequest) -> web.Response:
-        status, told = await self.answer(request)
+    async def handle_request(self, request: web.BaseRequest) -> web.Response:
+        """Answer one call and let its connection end."""
+        status, body = await self.answer(request)
         if request.method != "GET":
-            log.info("control: %s %s: %d", request.method, request.path_qs, status)
-        answer = web.json_response(told, status=status)
-        answer.force_close()
-        return answer
+            log.info(
+                "control call answered method=%s path=%s status=%d", request.method, request.path_qs, status
+            )
+        response = web.json_response(body, status=status)
+        response.force_close()
+        return response
 
     async def answer(self, request: web.BaseRequest) -> Answer:
+        """Return the answer to a call, also to one that fails."""
         if request.path not in self.calls:
             return 404, {"error": "no such call"}
-        method, act = self.calls[request.path]
+        method, handler = self.calls[request.path]
         if request.method != method:
             return 405, {"error": f"this is a {method}"}
         try:
-            answer = act(request)
+            answer = handler(request)
             return await answer if inspect.isawaitable(answer) else answer
-        except ValueError as err:
-            return 400, {"error": str(err)}
-        except ChangeRejectedError as err:
-            return err.status, err.answer
-        except UnknownHost as err:
-            return 404, {"error": f"no list has named host {err}"}
-        except TimeoutError:
-            return 408, {"error": f"no whole body within {BODY_WITHIN:.0f} s"}
-        except OSError as err:
-            log.error("control: %s", err)
-            return 500, {"error": f"it does not outlast this process: {err}"}
-
-    def status(self, request: web.BaseRequest) -> Answer:
-        names(request)
-        told = self.node.status()
-        return (200 if told["ready"] else 503), told
-
-    def hand(self, request: web.BaseRequest, out: bool) -> Answer:
-        host = names(request, "host")[0]
-        self.node.hand(host, out)
-        return 200, {"host": host, "out": out}
-
-    def drain(self, request: web.BaseRequest, on: bool) -> Answer:
-        names(request)
-        if not self.node.drain(on):
+        except Exception as err:
+            answer_to_error = answer_of(err)
+            if answer_to_error is None:
+                raise
+            return answer_to_error
+
+    def get_status(self, request: web.BaseRequest) -> Answer:
+        """Answer whether this process is ready for clients, by the HTTP status too."""
+        query_values(request)
+        status = self.node.status()
+        return (200 if status["ready"] else 503), status
+
+    def eject_host(self, request: web.BaseRequest) -> Answer:
+        """Eject a host until an operator readmits it."""
+        return self.override_host(request, ejected=True)
+
+    def readmit_host(self, request: web.BaseRequest) -> Answer:
+        """End an operator's ejection of a host."""
+        return self.override_host(request, ejected=False)
+
+    def override_host(self, request: web.BaseRequest, *, ejected: bool) -> Answer:
+        """Set the override of the host that the query names."""
+        host = query_values(request, "host")[0]
+        self.node.hand(host, ejected)
+        return 200, {"host": host, "out": ejected}
+
+    def begin_drain(self, request: web.BaseRequest) -> Answer:
+        """Send clients away."""
+        return self.set_drain(request, draining=True)
+
+    def end_drain(self, request: web.BaseRequest) -> Answer:
+        """Take clients again."""
+        return self.set_drain(request, draining=False)
+
+    def set_drain(self, request: web.BaseRequest, *, draining: bool) -> Answer:
+        """Begin or end a drain; a process that is stopping rejects both."""
+        query_values(request)
+        if not self.node.drain(draining):
             return 409, {"error": "this process is at its end"}
         return 200, {"state": self.node.state}
 
-    def members(self, request: web.BaseRequest) -> Answer:
-        names(request)
+    def get_members(self, request: web.BaseRequest) -> Answer:
+        """Answer the members of the cluster as this process sees them."""
+        query_values(request)
         if self.node.member is None:
             return 404, {"error": "this process is in no cluster"}
         return 200, self.node.member.told()
 
-    def config(self, request: web.BaseRequest) -> Answer:
-        names(request)
+    def get_config(self, request: web.BaseRequest) -> Answer:
+        """Answer the configuration in force."""
+        query_values(request)
         return 200, self.node.changes.status_with_config()
 
-    def history(self, request: web.BaseRequest) -> Answer:
-        names(request)
+    def get_history(self, request: web.BaseRequest) -> Answer:
+        """Answer the versions that can be rolled back to."""
+        query_values(request)
         return 200, {"versions": self.node.changes.list_versions()}
 
-    async def check(self, request: web.BaseRequest) -> Answer:
-        names(request)
+    async def check_config(self, request: web.BaseRequest) -> Answer:
+        """Check a candidate and answer what it would change."""
+        query_values(request)
         changes = self.node.changes
-        tree = changes.check(await read_body(request, MOST_BODY, BODY_WITHIN))
-        rows = list(differences(changes.current.content, tree))
+        content = changes.check(await read_body(request, MOST_BODY, BODY_TIMEOUT_S))
+        rows = list(differences(changes.current.content, content))
         return 200, {"changes": rows[:MOST_TOLD], "more": max(0, len(rows) - MOST_TOLD)}
 
-    async def apply(self, request: web.BaseRequest) -> Answer:
-        expect, within = names(request, "expect", maybe="confirm_within")
-        body = await read_body(request, MOST_BODY, BODY_WITHIN)
-        return 200, await self.node.changes.apply(body, whole("expect", expect), span(within))
+    async def apply_config(self, request: web.BaseRequest) -> Answer:
+        """Bring a candidate into force."""
+        expected, window = query_values(request, "expect", optional="confirm_within")
+        body = await read_body(request, MOST_BODY, BODY_TIMEOUT_S)
+        expected_version = parse_version_number("expect", expected)
+        return 200, await self.node.changes.apply(body, expected_version, parse_confirm_window(window))
 
-    def confirm(self, request: web.BaseRequest) -> Answer:
-        return 200, self.node.changes.confirm(whole("version", names(request, "version")[0]))
+    def confirm_config(self, request: web.BaseRequest) -> Answer:
+        """Let a change stay that waits for its confirmation."""
+        number = parse_version_number("version", query_values(request, "version")[0])
+        return 200, self.node.changes.confirm(number)
 
-    async def roll_back(self, request: web.BaseRequest) -> Answer:
-        return 200, await self.node.changes.roll_back(whole("to", names(request, "to")[0]))
+    async def roll_back_config(self, request: web.BaseRequest) -> Answer:
+        """Bring an earlier version into force again."""
+        number = parse_version_number("to", query_values(request, "to")[0])
+        return 200, await self.node.changes.roll_back(number)
 
     def close(self) -> None:
+        """Close the address and all connections."""
         if self.listener:
             self.listener.close()
-        for caller in self.server.connections:
-            caller.force_close()
-
-
-def names(request: web.BaseRequest, *wanted: str, maybe: str = "") -> list[str]:
-    """The values of exactly these names in the query; "" for one that may be there and is not. Raises
-    ValueError if it holds others."""
+        for connection in self.server.connections:
+            connection.force_close()
+
+
+def answer_of(error: Exception) -> Answer | None:
+    """Return the answer to a call that raised this error; None where no call is meant to."""
+    if isinstance(error, ValueError):
+        return 400, {"error": str(error)}
+    if isinstance(error, ChangeRejectedError):
+        return error.status, error.answer
+    if isinstance(error, UnknownHost):
+        return 404, {"error": f"no list has named host {error}"}
+    if isinstance(error, TimeoutError):
+        return 408, {"error": f"no whole body within {BODY_TIMEOUT_S:.0f} s"}
+    if isinstance(error, OSError):
+        log.error("control call failed error=%s", error)
+        return 500, {"error": f"it does not outlast this process: {error}"}
+    return None
+
+
+def query_values(request: web.BaseRequest, *required: str, optional: str = "") -> list[str]:
+    """Return the values of exactly these names in the query; "" for the optional one where it is absent.
+
+    Raises:
+        ValueError: The query holds other names, or a name without a value.
+    """
     found = [name for name, _ in sorted(request.query.items())]
-    if found not in (sorted(wanted), sorted([*wanted, maybe])) or not all(request.query.values()):
-        least = f"the query must hold {' and '.join(wanted) or 'nothing'}"
-        raise ValueError(least + (f", and may hold {maybe}" if maybe else ""))
-    return [request.query.get(name, "") for name in ([*wanted, maybe] if maybe else wanted)]
+    accepted = (sorted(required), sorted([*required, optional]))
+    if found not in accepted or not all(request.query.values()):
+        text = f"the query must hold {' and '.join(required) or 'nothing'}"
+        raise ValueError(text + (f", and may hold {optional}" if optional else ""))
+    names = [*required, optional] if optional else required
+    return [request.query.get(name, "") for name in names]
 
 
-def whole(name: str, text: str) -> int:
-    if not (text.isascii() and text.isdecimal()) or len(text) > 9:
+def parse_version_number(name: str, text: str) -> int:
+    """Return the number that a query gives under `name`. Raises ValueError where it is none."""
+    if not (text.isascii() and text.isdecimal()) or len(text) > MAX_VERSION_DIGITS:
         raise ValueError(f"{name} must be a version's number")
     return int(text)
 
 
-def span(text: str) -> float | None:
+def parse_confirm_window(text: str) -> float | None:
+    """Return the seconds within which a change must be confirmed; None for "".
+
+    Raises:
+        ValueError: It is no number within the bounds.
+    """
     if not text:
         return None
     try:
-        value = float(text)
+        window = float(text)
     except ValueError:
-        value = -1.0
-    if not is_number(value) or not CONFIRM_LEAST <= value <= CONFIRM_MOST:
+        window = -1.0
+    if not is_number(window) or not CONFIRM_LEAST <= window <= CONFIRM_MOST:
         raise ValueError(f"confirm_within must be {CONFIRM_LEAST:.0f} to {CONFIRM_MOST:.0f} seconds")
-    return value
+    return window
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -194,7 +194,7 @@
 
 @on_loop
 async def test_a_body_that_does_not_come_is_not_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(control, "BODY_WITHIN", 0.05)
+    monkeypatch.setattr(control, "BODY_TIMEOUT_S", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await asyncio.open_connection("127.0.0.1", node.control_port)
         writer.write(b"POST /config/check HTTP/1.1\r\nHost: g\r\nContent-Length: 9\r\n\r\n{")
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -72,7 +72,7 @@
         assert (await node.call("GET /status"))[0] == 200
         assert await idle[0][0].read() == b""  # the oldest went
         assert await node.ask(command()) == SERVED
-        monkeypatch.setattr(control, "CALL_WITHIN", 0.05)
+        monkeypatch.setattr(control, "CALL_TIMEOUT_S", 0.05)
         reader, writer = await asyncio.open_connection("127.0.0.1", node.control_port)
         assert await reader.read() == b""
         for _, out in [*idle, (reader, writer)]:
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -410,8 +410,8 @@
 @on_loop
 async def test_who_takes_none_of_an_answer_at_the_control_address_does_not_stay(tmp_path, monkeypatch):
     """What is left of its answer holds no descriptor past its time."""
-    monkeypatch.setattr(control_net, "CALL_WITHIN", 0.3)
-    monkeypatch.setattr(control_net.Control, "history", lambda *_: (200, {"versions": "x" * 20_000_000}))
+    monkeypatch.setattr(control_net, "CALL_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(control_net.Control, "get_history", lambda *_: (200, {"versions": "x" * 20_000_000}))
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         asks = socket.create_connection(("127.0.0.1", node.control_port))
         asks.sendall(b"GET /config/history HTTP/1.1\r\nHost: x\r\n\r\n")
