--- a/api_gateway/control/config_changes.py
+++ b/api_gateway/control/config_changes.py
@@ -17,7 +17,7 @@
 
 from api_gateway.base.endpoint_list import Listing, write_address
 from api_gateway.base.errors import ConfigError
-from api_gateway.control import config_schema
+from api_gateway.control import config_candidate
 from api_gateway.control.config_history import (
     MAX_BYTES,
     MAX_VERSIONS,
@@ -35,6 +35,7 @@
     reject_if_stopping,
     source_digest,
 )
+from api_gateway.control.config_schema import CAN_CHANGE, MOST_TOLD
 from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.gateway.config import Config, reread_config
 
@@ -126,7 +127,7 @@
         """Bring a configuration into force between two events of the loop; nothing here can fail."""
         previous = self.current
         self.current = version
-        if list(config_schema.differences(previous.content, version.content)):
+        if list(config_candidate.differences(previous.content, version.content)):
             self.node.adopt(config, listing)
         log.info(
             "configuration version in force version=%d origin=%s classes=%d plans=%d discovery=%s",
@@ -183,25 +184,25 @@
             ChangeRejectedError: With each fault of the candidate.
         """
         self.look()
-        tree, faults = config_schema.parse(body)
+        tree, faults = config_candidate.parse(body)
         if not faults:
-            faults = config_schema.check(tree, {**self.node.config.tree, **self.current.content})
+            faults = config_candidate.check(tree, {**self.node.config.tree, **self.current.content})
         content: JsonObject = {}
         if not faults:
-            content = {name: tree[name] for name in config_schema.CAN_CHANGE if name in tree}
+            content = {name: tree[name] for name in CAN_CHANGE if name in tree}
             try:
                 build_config(self.node.config, content)
             except ConfigError as err:
-                faults = [config_schema.Fault("", None, str(err))]
+                faults = [config_candidate.Fault("", None, str(err))]
         if faults:
-            shown = [fault.told() for fault in faults[: config_schema.MOST_TOLD]]
+            shown = [fault.to_json() for fault in faults[:MOST_TOLD]]
             raise ChangeRejectedError(400, f"{len(faults)} faults", faults=shown)
         return content
 
     def is_in_force(self, content: JsonObject) -> bool:
         """Return whether this content is in force here and is the newest version."""
         return self.current == self.history.newest and not list(
-            config_schema.differences(self.current.content, content)
+            config_candidate.differences(self.current.content, content)
         )
 
     async def apply(self, body: bytes, expected_version: int, confirm_within: float | None) -> JsonObject:
@@ -339,7 +340,7 @@
         def add_file(history: ConfigHistory) -> ConfigHistory:
             history = replace(history, source_digest=source_digest(config), pending=None)
             newest = history.newest
-            if self.current == newest and not list(config_schema.differences(newest.content, content)):
+            if self.current == newest and not list(config_candidate.differences(newest.content, content)):
                 return history
             return history.add(content, self.node.clock(), "signal")
 
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -707,7 +707,8 @@
                 node = GatewayNode(read_config())
                 await node.start()
                 await asyncio.sleep(0.05)
-                names = ("control.config_changes", "control.config_history", "control.config_preparation",
+                names = ("control.config_candidate", "control.config_changes", "control.config_history",
+                         "control.config_preparation",
                          "control.config_schema", "control.server", "base.calls",
                          "discovery.replicas", "downstream.admission")
                 assert not [n for n in names if "api_gateway." + n in sys.modules], "imported"
--- a/tests/control/test_config_schema.py
+++ b/tests/control/test_config_schema.py
@@ -6,6 +6,7 @@
 import pytest
 from netkit import told
 
+from api_gateway.control import config_candidate as candidate
 from api_gateway.control import config_schema as keys
 from api_gateway.gateway.config import build
 
@@ -27,8 +28,8 @@
 
 
 def faults(tree):
-    found, odd = keys.parse(json.dumps(tree).encode())
-    return {f.path: f for f in odd or keys.check(found, LAST)}
+    found, odd = candidate.parse(json.dumps(tree).encode())
+    return {f.path: f for f in odd or candidate.check(found, LAST)}
 
 
 def test_what_is_in_force_is_no_fault_and_makes_a_configuration():
@@ -103,8 +104,8 @@
     fault = found[at]
     assert fault.allowed and len(found) == 1
     if at == path:
-        shown = fault.told()["value"]
-        assert shown == keys.shown(value) and json.dumps(shown, allow_nan=False)
+        shown = fault.to_json()["value"]
+        assert shown == candidate.abbreviate(value) and json.dumps(shown, allow_nan=False)
 
 
 def test_all_faults_are_found_at_once():
@@ -148,16 +149,19 @@
     ],
 )
 def test_a_body_that_is_no_candidate(body, word):
-    tree, found = keys.parse(body)
-    found = found or keys.check(tree, LAST)
+    tree, found = candidate.parse(body)
+    found = found or candidate.check(tree, LAST)
     assert found and any(word in fault.allowed for fault in found)
-    assert json.dumps([f.told() for f in found], allow_nan=False)
+    assert json.dumps([f.to_json() for f in found], allow_nan=False)
 
 
 def test_keys_that_stand_twice_are_named_wherever_they_stand():
     text = json.dumps(LAST).replace('"rate": 1000.0', '"rate": 1000.0, "rate": 5.0')
     text = text.replace('"cores": 1.0', '"cores": 1.0, "cores": 1.0, "cores": 2.0')
-    assert sorted(f.path for f in keys.parse(text.encode())[1]) == ["limits.cores", "settings.plans.0.rate"]
+    assert sorted(f.path for f in candidate.parse(text.encode())[1]) == [
+        "limits.cores",
+        "settings.plans.0.rate",
+    ]
 
 
 def test_differences_name_entries_and_not_their_places():
@@ -165,31 +169,35 @@
     tree["settings"]["plans"].reverse()
     tree["settings"]["services"].append(tree["settings"]["services"][0] | {"name": "extra"})
     del tree["settings"]["services"][2]
-    assert {row["path"]: (row["from"], row["to"]) for row in keys.differences(LAST, tree)} == {
+    assert {row["path"]: (row["from"], row["to"]) for row in candidate.differences(LAST, tree)} == {
         "settings.plans.small.rate": (1.0, 2.0),
         "settings.services.note": ("an object of 5", None),
         "settings.services.extra": (None, "an object of 5"),
     }
-    assert not list(keys.differences({"a": 1}, {"a": 1.0})) and list(keys.differences({"a": 1}, {"a": True}))
+    assert not list(candidate.differences({"a": 1}, {"a": 1.0})) and list(
+        candidate.differences({"a": 1}, {"a": True})
+    )
 
 
 class Seen(dict):
     """Notes each name that is read of it, there or not."""
 
     def __init__(self, tree, path, names):
-        super().__init__({name: watch(value, keys.join(path, name), names) for name, value in tree.items()})
+        super().__init__(
+            {name: watch(value, candidate.join(path, name), names) for name, value in tree.items()}
+        )
         self.path, self.names = path, names
 
     def __getitem__(self, name):
-        self.names.add(keys.join(self.path, name))
+        self.names.add(candidate.join(self.path, name))
         return super().__getitem__(name)
 
     def __contains__(self, name):
-        self.names.add(keys.join(self.path, name))
+        self.names.add(candidate.join(self.path, name))
         return super().__contains__(name)
 
     def get(self, name, default=None):
-        self.names.add(keys.join(self.path, name))
+        self.names.add(candidate.join(self.path, name))
         return super().get(name, default)
 
 
@@ -202,10 +210,10 @@
 def test_every_key_that_a_configuration_is_read_from_has_its_row_and_the_docs_quote_the_table():
     names = set()
     build(Seen(LAST, "", names), {})
-    assert {name for name in names if not name.startswith("known.")} <= keys.BY_PATH.keys()
+    assert {name for name in names if not name.startswith("known.")} <= keys.KEY_BY_PATH.keys()
     # Prices are read by name in the module, whatever names there are; nothing depends on the cores.
-    assert keys.BY_PATH.keys() - names == {"settings.prices.*", "limits.cores"}
-    assert keys.FIXED == {
+    assert keys.KEY_BY_PATH.keys() - names == {"settings.prices.*", "limits.cores"}
+    assert keys.FIXED_PATHS == {
         "name",
         "listen",
         "control",
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -21,8 +21,8 @@
 from api_gateway.base import resp
 from api_gateway.base.endpoint_list import read_list
 from api_gateway.base.resp import NO_REPLY, Reader
+from api_gateway.control import config_candidate as candidate
 from api_gateway.control import config_history
-from api_gateway.control import config_schema as keys
 from api_gateway.control.host_overrides import decode_overrides
 from api_gateway.counter_client import MOST_LINE, Call
 from api_gateway.counter_client import Line as CounterLine
@@ -924,8 +924,8 @@
         tree[name][inner] = odd
     else:
         tree[name] = odd
-    parsed, faults = keys.parse(json.dumps(tree).encode())
-    faults = faults or keys.check(parsed, base)
+    parsed, faults = candidate.parse(json.dumps(tree).encode())
+    faults = faults or candidate.check(parsed, base)
     sound = inner and name == "limits" and number(odd) and odd > 0 and (inner != "sockets" or odd == int(odd))
     assert faults or sound or odd in ("10.0.0.1:6379", "[::1]:6379")
 
