--- a/api_gateway/gateway/instances.py
+++ b/api_gateway/gateway/instances.py
@@ -1,4 +1,4 @@
-"""Which processes of this gateway live: two do while a new version takes over."""
+"""Which processes of this gateway run: there are two while a new version takes over from the last one."""
 
 from __future__ import annotations
 
@@ -11,57 +11,85 @@
 
 log = logging.getLogger(__name__)
 
+# No descriptor is open.
+CLOSED = -1
+
 
 class Lives:
-    """Each process holds the lock of a file of its own, which ends with it however it ends."""
+    """The processes of one gateway, each known to the others by a file of its own that it locks.
+
+    The lock ends with the process, however that ends. `NAME-life-*` are the files; `NAME-starting-*` is one
+    before it is locked.
+    """
 
     def __init__(self, folder: Path | None, name: str) -> None:
-        self.folder, self.name, self.prefix = folder, name, f"{name}-life-"
-        self.lock, self.path = -1, ""
-        self.known = 0  # others at the last look
+        """Name the files, without making one.
+
+        Args:
+            folder: Where the processes of this gateway keep their files; None: they don't know each other.
+            name: The gateway's.
+        """
+        self.folder = folder
+        self.name = name
+        self.prefix = f"{name}-life-"
+        self.lock_descriptor = CLOSED
+        self.path = ""
+        self.last_count = 0
 
     def begin(self) -> None:
+        """Make this process known; where its file cannot be made it serves all the same."""
         if self.folder is None:
             return
         try:
-            # Locked before it has the name by which others look for it: they would remove it as a dead one's.
-            self.lock, made = tempfile.mkstemp(prefix=f"{self.name}-starting-", dir=self.folder)
-            fcntl.flock(self.lock, fcntl.LOCK_EX)
-            self.path = str(self.folder / (self.prefix + made.rpartition("-")[2]))
-            os.rename(made, self.path)
-        except OSError as err:  # it serves all the same, unseen by others
-            log.error("%s: %s", self.folder, err)
+            # Locked before it has the name by which others find it: they would remove it as a dead one's.
+            self.lock_descriptor, new_path = tempfile.mkstemp(
+                prefix=f"{self.name}-starting-", dir=self.folder
+            )
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX)
+            self.path = str(self.folder / (self.prefix + new_path.rpartition("-")[2]))
+            os.rename(new_path, self.path)
+        except OSError as err:
+            log.error("process not registered folder=%s error=%s", self.folder, err)
 
     def others(self) -> int:
-        """How many others live; as many as last time where nobody can tell, as without a descriptor. What
-        earlier lives left behind is removed."""
+        """Return how many other processes run, and remove the files of those that ended.
+
+        As many as last time where that cannot be seen, as without a descriptor.
+        """
         if self.folder is None:
             return 0
         try:
             paths = [path for path in self.folder.glob(self.prefix + "*") if str(path) != self.path]
-            self.known = sum(self.held(path) for path in paths)
+            self.last_count = sum(self.is_running(path) for path in paths)
         except OSError as err:
-            log.debug("%s: %s", self.folder, err)
-        return self.known
+            log.debug("processes not counted folder=%s error=%s", self.folder, err)
+        return self.last_count
+
+    def is_running(self, path: Path) -> bool:
+        """Return whether the process of this file runs, and remove the file if not.
 
-    def held(self, path: Path) -> bool:
+        Raises:
+            OSError: It cannot be seen.
+        """
         try:
-            file = os.open(path, os.O_RDWR | os.O_CLOEXEC)
-        except (FileNotFoundError, PermissionError):  # it has just gone, or is none of ours
+            descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
+        except (FileNotFoundError, PermissionError):  # it has just ended, or is none of this gateway's
             return False
         try:
-            fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             return True
         else:
             path.unlink(missing_ok=True)
             return False
         finally:
-            os.close(file)
+            os.close(descriptor)
 
     def end(self) -> None:
-        if self.lock >= 0:
-            with contextlib.suppress(OSError):
-                os.unlink(self.path)
-            os.close(self.lock)
-            self.lock = -1
+        """Let the others know that this process ends; twice is no harm."""
+        if self.lock_descriptor == CLOSED:
+            return
+        with contextlib.suppress(OSError):
+            os.unlink(self.path)
+        os.close(self.lock_descriptor)
+        self.lock_descriptor = CLOSED
--- a/api_gateway/gateway/wall_clock.py
+++ b/api_gateway/gateway/wall_clock.py
@@ -1,4 +1,4 @@
-"""The clock of a gateway's decisions, which never steps, and what is seen of the machine's wall clock."""
+"""The clock of a gateway's decisions, which never steps, and how far the machine's wall clock is from it."""
 
 from __future__ import annotations
 
@@ -10,57 +10,72 @@
 
 from api_gateway.base.shared_file import Kept
 
-STEP = 0.25  # s; a wall clock that moves by more between two looks has been stepped
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")  # another one with each start of the machine
+# Seconds; a wall clock that moves by more between two checks has been stepped.
+STEP_THRESHOLD_S = 0.25
+# Holds another text after each boot of the machine, when the monotonic clock begins anew.
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 log = logging.getLogger(__name__)
 
 
-def boot_id() -> str:
-    """Raises OSError."""
-    return BOOT_ID.read_text(encoding="ascii").strip()
+def read_boot_id() -> str:
+    """Return what tells this boot of the machine from others. Raises OSError."""
+    return BOOT_ID_PATH.read_text(encoding="ascii").strip()
 
 
-def read_zero(kept: Kept, boot: str) -> float | None:
-    """The beginning that was kept in this life of the machine; None where there is none to be read."""
+def read_epoch(shared_file: Kept, boot_id: str) -> float | None:
+    """Return the epoch that a process stored since this boot; None where there is none to be read.
+
+    Raises:
+        OSError: The file cannot be read.
+    """
     try:
-        told = json.loads(kept.read() or "{}")
-        return float(told["zero"]) if told["boot"] == boot else None
+        raw = json.loads(shared_file.read() or "{}")
+        return float(raw["zero"]) if raw["boot"] == boot_id else None
     except (ValueError, KeyError, TypeError):
         return None
 
 
 class Clock:
-    """Seconds of Unix time as the wall clock had it when the gateway's first process on this machine began,
-    and monotonic from there on.
+    """Seconds of Unix time as the wall clock had it when the gateway's first process began, monotonic since.
 
-    With a folder the processes of one gateway share that beginning, so that times which one of them writes
-    down mean the same to the next, however the wall clock was stepped between them.
+    With a folder the processes of one gateway on this machine share that epoch, so that times which one of
+    them stores mean the same to the next, however the wall clock was stepped between them.
     """
 
     def __init__(self, folder: Path | None = None, name: str = "") -> None:
-        self.zero = time.time() - time.monotonic()
-        self.wall_offset = 0.0  # s by which the wall clock was ahead of this one at the last look
-        self.kept = Kept(folder / f"{name}-clock.json" if folder else None)
-        with suppress(OSError):  # then it is this process's own
-            self.share()
+        """Take the stored epoch or store a new one; what cannot be stored is this process's own.
+
+        Args:
+            folder: Where the processes of this gateway keep their files; None: nothing is shared.
+            name: The gateway's, which begins the file's name.
+        """
+        # Unix time in seconds at which the monotonic clock was 0.
+        self.epoch = time.time() - time.monotonic()
+        # Seconds by which the wall clock was ahead of this one at the last check.
+        self.wall_offset = 0.0
+        self.shared_file = Kept(folder / f"{name}-clock.json" if folder else None)
+        with suppress(OSError):
+            self.share_epoch()
 
     def __call__(self) -> float:
-        return self.zero + time.monotonic()
+        """Return the time in seconds."""
+        return self.epoch + time.monotonic()
 
-    def share(self) -> None:
-        """Takes the beginning that is kept, or keeps this one. Raises OSError."""
-        if self.kept.path is None:
+    def share_epoch(self) -> None:
+        """Take the epoch that is stored, or store this one. Raises OSError."""
+        if self.shared_file.path is None:
             return
-        boot = boot_id()
-        with self.kept.locked():
-            zero = read_zero(self.kept, boot)
-            if zero is not None:
-                self.zero = zero
+        boot_id = read_boot_id()
+        with self.shared_file.locked():
+            epoch = read_epoch(self.shared_file, boot_id)
+            if epoch is not None:
+                self.epoch = epoch
             else:
-                self.kept.write(json.dumps({"boot": boot, "zero": self.zero}))
+                self.shared_file.write(json.dumps({"boot": boot_id, "zero": self.epoch}))
 
     def wall_stepped(self) -> bool:
-        """Whether the wall clock has stepped since the last look."""
-        last, self.wall_offset = self.wall_offset, time.time() - self()
-        return abs(self.wall_offset - last) > STEP
+        """Return whether the wall clock has stepped since the last call."""
+        previous = self.wall_offset
+        self.wall_offset = time.time() - self()
+        return abs(self.wall_offset - previous) > STEP_THRESHOLD_S
--- a/tests/control/test_host_overrides.py
+++ b/tests/control/test_host_overrides.py
@@ -79,8 +79,8 @@
     assert one.others() == 0 and not (tmp_path / "n0-life-left").exists()
     two.begin()
     assert one.others() == two.others() == 1
-    os.close(two.lock)  # as its death does
-    two.lock = -1
+    os.close(two.lock_descriptor)  # as its death does
+    two.lock_descriptor = -1
     assert one.others() == 0
     one.end()
     none.begin()
