--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -410,8 +410,8 @@
 @on_loop
 async def test_who_takes_none_of_an_answer_at_the_control_address_does_not_stay(tmp_path, monkeypatch):
     """What is left of its answer holds no descriptor past its time."""
-    monkeypatch.setattr(control_net, "CALL_WITHIN", 0.3)
-    monkeypatch.setattr(control_net.Control, "history", lambda *_: (200, {"versions": "x" * 20_000_000}))
+    monkeypatch.setattr(control_net, "CALL_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(control_net.Control, "get_history", lambda *_: (200, {"versions": "x" * 20_000_000}))
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         asks = socket.create_connection(("127.0.0.1", node.control_port))
         asks.sendall(b"GET /config/history HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -579,7 +579,7 @@
     with contextlib.suppress(OSError):
         two.say(api.EndpointOverride("h2", True, 6.0))
         raise AssertionError
-    assert not two.known
+    assert not two.overrides
 assert two.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not two.changed()
 two.say(api.EndpointOverride("h2", True, 6.0))
 assert one.read().keys() == {"h1", "h2"}
@@ -592,7 +592,7 @@
     """The files that the processes of a gateway share; the history is one."""
     without_descriptors(
         """
-from api_gateway.control.host_overrides import Kept
+from api_gateway.base.shared_file import Kept
 one, two = Kept(folder / "x.json"), Kept(folder / "x.json")
 with one.locked():
     one.write("first")
@@ -601,11 +601,11 @@
         with contextlib.suppress(OSError):
             act()
             raise AssertionError
-    assert two.changed()
-assert two.read() == "first" and not two.changed()
+    assert two.has_changed()
+assert two.read() == "first" and not two.has_changed()
 with one.locked():
     one.write("second")
-assert two.changed() and two.read() == "second"
+assert two.has_changed() and two.read() == "second"
 """,
         tmp_path,
     )
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -21,9 +21,9 @@
 from api_gateway.base import resp
 from api_gateway.base.endpoint_list import read_list
 from api_gateway.base.resp import NO_REPLY, Reader
-from api_gateway.control import config_changes as changes
-from api_gateway.control import config_schema as keys
-from api_gateway.control.host_overrides import read_bans
+from api_gateway.control import config_candidate as candidate
+from api_gateway.control import config_history
+from api_gateway.control.host_overrides import decode_overrides
 from api_gateway.counter_client import MOST_LINE, Call
 from api_gateway.counter_client import Line as CounterLine
 from api_gateway.discovery.fetcher import Broken, Fetcher, Line
@@ -831,7 +831,7 @@
     bans = sound and {
         host: api.EndpointOverride(host, entry["out"], float(entry["at"])) for host, entry in told.items()
     }
-    assert taken(read_bans, json.dumps(told)) == (bans if sound else None)
+    assert taken(decode_overrides, json.dumps(told)) == (bans if sound else None)
 
 
 def slow_history(told):
@@ -849,7 +849,11 @@
             return None
         if by not in ("start", "signal", "call", "rollback", "expiry") or not isinstance(content, dict):
             return None
-        if digest != changes.digest(json.dumps(content, sort_keys=True)) or numbers and number <= numbers[-1]:
+        if (
+            digest != config_history.content_digest(json.dumps(content, sort_keys=True))
+            or numbers
+            and number <= numbers[-1]
+        ):
             return None
         if of is not None and type(of) is not int:
             return None
@@ -881,12 +885,12 @@
 )
 @seeded
 def test_a_history_is_read_as_a_slow_reader_does(count, waits, odd, odd_waits, change, written):
-    history = changes.History("f", (changes.version(1, 5.0, "start", {"a": 1}),))
+    history = config_history.ConfigHistory("f", (config_history.make_version(1, 5.0, "start", {"a": 1}),))
     for number in range(1, count):
         history = history.add({"a": number}, 5.0 + number, "call", None if number % 2 else 1)
     if waits:
-        history = replace(history, pending=changes.Pending(count, 1, 99.0))
-    text = history.text()
+        history = replace(history, pending=config_history.PendingConfirmation(count, 1, 99.0))
+    text = history.encode()
     if written:
         text = altered(text.encode(), change).decode("latin-1")
     else:
@@ -900,8 +904,8 @@
         slow = slow_history(json.loads(text))
     except ValueError:
         slow = None
-    read = taken(changes.read_history, text)
-    assert slow == (read and ([v.number for v in read.versions], read.pending and read.pending.until))
+    read = taken(config_history.decode_history, text)
+    assert slow == (read and ([v.number for v in read.versions], read.pending and read.pending.deadline))
 
 
 @given(
@@ -920,8 +924,8 @@
         tree[name][inner] = odd
     else:
         tree[name] = odd
-    parsed, faults = keys.parse(json.dumps(tree).encode())
-    faults = faults or keys.check(parsed, base)
+    parsed, faults = candidate.parse(json.dumps(tree).encode())
+    faults = faults or candidate.check(parsed, base)
     sound = inner and name == "limits" and number(odd) and odd > 0 and (inner != "sockets" or odd == int(odd))
     assert faults or sound or odd in ("10.0.0.1:6379", "[::1]:6379")
 
