--- a/api_gateway/base/descriptors.py
+++ b/api_gateway/base/descriptors.py
@@ -1,4 +1,4 @@
-"""What is done where the system has no descriptor, memory or port left to open a connection with."""
+"""Opening connections when the process or the machine has run out of descriptors, memory or ports."""
 
 from __future__ import annotations
 
@@ -9,28 +9,45 @@
 
 from api_gateway.base.accepting import SHORTAGE_ERRORS
 
-T = TypeVar("T")
+Opened = TypeVar("Opened")
+
+# A connect that finds no free local port fails with EADDRNOTAVAIL; an accept never does.
+CONNECT_SHORTAGE_ERRORS = SHORTAGE_ERRORS | {errno.EADDRNOTAVAIL}
 
 
 def is_resource_exhaustion(err: BaseException) -> bool:
-    """Whether this process or its machine has nothing left, which says nothing of whom it was to reach."""
-    return isinstance(err, OSError) and err.errno in SHORTAGE_ERRORS | {errno.EADDRNOTAVAIL}
+    """Return whether an error is a shortage of this process or machine.
+
+    Such an error is no evidence about the peer that was to be reached.
+    """
+    return isinstance(err, OSError) and err.errno in CONNECT_SHORTAGE_ERRORS
 
 
 def reclaim_nothing() -> bool:
-    """The `reclaim_descriptor` of a caller that has no other connections."""
+    """Return False: the `reclaim` function of a caller that has no connection to give up."""
     return False
 
 
-async def retry_after_reclaim(open_once: Callable[[], Awaitable[T]], reclaim: Callable[[], bool]) -> T:
-    """What `open_once` opens; tried once more where `reclaim` has ended a connection for its descriptor.
+async def retry_after_reclaim(
+    open_once: Callable[[], Awaitable[Opened]], reclaim: Callable[[], bool]
+) -> Opened:
+    """Open a connection, with one retry after a descriptor was reclaimed.
+
+    Args:
+        open_once: Makes one attempt to open the connection.
+        reclaim: Closes another connection to free its descriptor. Returns whether there was one to close.
+
+    Returns:
+        What `open_once` returns; the caller owns it.
 
-    Raises what `open_once` raises.
+    Raises:
+        OSError: What the last call of `open_once` raised. Other exceptions of it pass through as well.
     """
     try:
         return await open_once()
     except OSError as err:
         if err.errno not in SHORTAGE_ERRORS or not reclaim():
             raise
-    await asyncio.sleep(0)  # the end takes effect a turn later
+    # An aborted transport releases its descriptor only in the next turn of the event loop.
+    await asyncio.sleep(0)
     return await open_once()
--- a/api_gateway/counter_client.py
+++ b/api_gateway/counter_client.py
@@ -1,4 +1,9 @@
-"""Calls to the counter: pipelined over a few kept connections, each name on one of them."""
+"""Client of the counter service: pipelined calls over a few persistent connections.
+
+Each counter name belongs to one connection, so its answers come in order. A connection that is lost is opened
+again with backoff. A call ends once, with one of the results `ok`, `full`, `timeout` and `connect_failed`;
+after a `timeout` it may report once more, as `late`, since the amount was added and the total is true.
+"""
 
 from __future__ import annotations
 
@@ -14,236 +19,360 @@
 from api_gateway.base.endpoint_list import Address
 from api_gateway.base.ratelimit import LimitedLog
 
-LINES = 4  # connections, so that a part that is slow does not hold up the names of the others
-KEEP_ALIVE = 2.0  # s without a call after which a `ping`, which costs nothing, keeps a connection open
-KEEP_PART, KEEP_LEAST = 0.5, 0.1  # part of the rest after which the counter closed one; least time for a ping
-SILENT = 2.0  # s without an answer that was due, after which a connection is held dead and made anew
-BACKOFF_LEAST, BACKOFF_MOST = 0.05, 1.0  # s between tries to connect
-PING = -1  # in place of a name
-MOST_LINE = 4096  # bytes of an answer
-TOTAL = re.compile(rb"ok ([+-]?(?:\d+\.?\d*|\.\d+)(?:[eE][+-]?\d+)?)")  # float() takes 1_0 and blanks too
+# Number of connections: several, so that a slow part of the counter does not delay the names of the others.
+CONNECTION_COUNT = 4
+CONNECT_TIMEOUT_S = 1.0
+# Idle time after which a `ping`, which costs nothing, keeps a connection open.
+KEEP_ALIVE_S = 2.0
+# Part of the idle time after which the counter closed a connection, at which the next `ping` is sent.
+KEEP_ALIVE_FRACTION = 0.5
+MIN_KEEP_ALIVE_S = 0.1
+# Wait for a due answer after which a connection counts as dead and is opened again.
+ANSWER_TIMEOUT_S = 2.0
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
+# Stands in for the counter name in a call that is a `ping`.
+PING_NAME = -1
+MAX_ANSWER_BYTES = 4096
+# The answer to `incr`. float() alone would take 1_0 and blanks, too.
+TOTAL_ANSWER = re.compile(rb"ok ([+-]?(?:\d+\.?\d*|\.\d+)(?:[eE][+-]?\d+)?)")
 
 log = logging.getLogger(__name__)
 
-Done = Callable[[int, str, float, float], None]  # name, result, total, elapsed
+# Receives a call's outcome: counter name, result, total, seconds since the call was made.
+ResultCallback = Callable[[int, str, float, float], None]
 
 
 class Call:
-    __slots__ = ("name", "text", "done", "started", "written", "again", "late", "timer")
-
-    def __init__(self, name: int, text: bytes, done: Done | None) -> None:
-        self.name, self.text, self.done, self.started, self.written = name, text, done, monotonic(), False
-        self.again = False  # it reads the total that a broken answer left out
-        self.late: Done | None = None  # hears of an answer after the time-out
+    """One command to the counter and the callback that receives its result.
+
+    Attributes:
+        name: Counter name, or PING_NAME.
+        command: The bytes to send.
+        on_result: Called once with the result; None once it was, or where nobody waits.
+        on_late_result: Called with the total that comes after a timeout.
+        started_at: When the call was made, by the monotonic clock.
+        is_written: Whether it was written, so that its amount may have been added.
+        is_reread: Whether it reads the total that a malformed answer left out.
+        timer: Ends the call at its timeout.
+    """
+
+    __slots__ = (
+        "name",
+        "command",
+        "on_result",
+        "on_late_result",
+        "started_at",
+        "is_written",
+        "is_reread",
+        "timer",
+    )
+
+    def __init__(self, name: int, command: bytes, on_result: ResultCallback | None) -> None:
+        """Make a call that is not written yet."""
+        self.name = name
+        self.command = command
+        self.on_result = on_result
+        self.on_late_result: ResultCallback | None = None
+        self.started_at = monotonic()
+        self.is_written = False
+        self.is_reread = False
         self.timer: asyncio.TimerHandle | None = None
 
     def give_up(self) -> None:
-        self.end("timeout" if self.written else "connect_failed")  # once written, it may have been added
+        """End the call without an answer."""
+        self.end("timeout" if self.is_written else "connect_failed")
 
     def end(self, result: str, total: float = 0.0) -> None:
-        """Reports once, but for a total that comes after a time-out: it is true, and the add was made."""
+        """Report the result once; a total after a timeout is reported as `late`."""
         if self.timer is not None:
             self.timer.cancel()
-        done, self.done = self.done, None
+        callback = self.on_result
+        self.on_result = None
         if result == "timeout":
-            self.late = done
-        elif done is None and result == "ok":
-            done, result = self.late, "late"
-        if done is not None:
-            done(self.name, result, total, monotonic() - self.started)
-
-
-class Line(asyncio.Protocol):
-    """One connection, made again whenever it is lost."""
+            self.on_late_result = callback
+        elif callback is None and result == "ok":
+            callback = self.on_late_result
+            result = "late"
+        if callback is not None:
+            callback(self.name, result, total, monotonic() - self.started_at)
+
+
+class CounterConnection(asyncio.Protocol):
+    """One connection to the counter, opened again whenever it is lost.
+
+    Attributes:
+        address: Where the next connection goes.
+        transport: The open connection's transport.
+        unanswered_calls: Calls that were written, in the order of their answers.
+        waiting_calls: Calls that wait for a connection which is coming up; None where none comes up.
+        keep_alive: Idle seconds after which a `ping` is sent; learnt, since the counter does not announce
+            after how long it closes an idle connection.
+        reclaim_descriptor: Closes some other connection of the gateway where none can be opened; set by the
+            owner.
+    """
 
     def __init__(self, address: Address) -> None:
+        """Make a connection that is not open; `run` opens it."""
         self.address = address
         self.transport: asyncio.Transport | None = None
-        self.calls: deque[Call] = deque()  # written and not answered
-        self.coming: list[Call] | None = None  # calls that wait for a connection which is coming up
-        self.rest, self.blocked, self.used = b"", False, 0.0
-        self.worked = False  # the connection has brought an answer
-        self.keep_alive = KEEP_ALIVE  # the counter does not tell for how long a connection may stand idle
-        self.lost = asyncio.Event()
-        self.reclaim_descriptor = reclaim_nothing  # ends a connection of others where none can be opened
-        self.odd = LimitedLog(log)
+        self.unanswered_calls: deque[Call] = deque()
+        self.waiting_calls: list[Call] | None = None
+        self.keep_alive = KEEP_ALIVE_S
+        self.reclaim_descriptor: Callable[[], bool] = reclaim_nothing
+        self._partial_line = b""
+        self._is_write_blocked = False
+        self._last_written_at = 0.0
+        self._is_proven = False  # it has brought an answer, so it is opened again without backoff
+        self._lost = asyncio.Event()
+        self._protocol_log = LimitedLog(log)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the calls that waited for the connection."""
         self.transport = transport  # type: ignore[assignment]
-        # pause_writing then tells at once that the socket did not take a whole call.
+        # With no buffer above the socket, pause_writing follows at once where it did not take a whole call.
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
-        self.rest, self.blocked, self.used, self.worked = b"", False, monotonic(), False
-        self.release()
-
-    def release(self) -> None:
-        waiting, self.coming = self.coming or [], None
-        for call in waiting:
-            if call.done is not None and not self.write(call):
-                call.give_up()
+        self._partial_line = b""
+        self._is_write_blocked = False
+        self._last_written_at = monotonic()
+        self._is_proven = False
+        self._release_waiting_calls()
 
     def pause_writing(self) -> None:
-        self.blocked = True
+        """Note that the socket takes no more."""
+        self._is_write_blocked = True
 
     def resume_writing(self) -> None:
-        self.blocked = False
+        """Note that the socket takes calls again."""
+        self._is_write_blocked = False
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """End the unanswered calls and have `run` connect again."""
         self.transport = None
-        if self.worked:  # it is made again at once: what comes meanwhile waits for that
-            self.coming = self.coming or []
-        calls, self.calls = self.calls, deque()
+        if self._is_proven:  # it is opened again at once: calls made meanwhile wait for that
+            self.waiting_calls = self.waiting_calls or []
+        calls = self.unanswered_calls
+        self.unanswered_calls = deque()
         for call in calls:
             call.give_up()
-        self.lost.set()
+        self._lost.set()
 
     def eof_received(self) -> None:
-        if not self.calls:  # it stood idle for too long: from now on it is kept open in time
-            idle = KEEP_PART * (monotonic() - self.used)
-            self.keep_alive = max(KEEP_LEAST, min(self.keep_alive, idle))
-
-    def write(self, call: Call) -> bool:
-        """False if nothing of it was written, nor will be."""
-        if self.coming is not None:
-            self.coming.append(call)
-            return True
-        if self.transport is None or self.blocked or self.transport.is_closing():
-            return False
-        self.calls.append(call)
-        self.used, call.written = monotonic(), True
-        self.transport.write(call.text)
-        return True
+        """Learn the counter's idle timeout where it closed an idle connection."""
+        if not self.unanswered_calls:
+            idle_time = KEEP_ALIVE_FRACTION * (monotonic() - self._last_written_at)
+            self.keep_alive = max(MIN_KEEP_ALIVE_S, min(self.keep_alive, idle_time))
 
     def data_received(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        """Match each answer with the call that is due; drop the connection at a malformed one."""
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
-            if len(line) > MOST_LINE or line[-1:] != b"\r" or not self.answer(line[:-1]):
-                self.odd.say(logging.WARNING, "counter: unexpected answer %r", line[:80])
-                self.spoilt()
+            is_line = len(line) <= MAX_ANSWER_BYTES and line[-1:] == b"\r"
+            if not is_line or not self._handle_answer(line[:-1]):
+                self._protocol_log.say(logging.WARNING, "counter: unexpected answer %r", line[:80])
+                self.abort_after_malformed_answer()
                 return
-        if len(self.rest) > MOST_LINE:
-            self.odd.say(logging.WARNING, "counter: an answer without end")
-            self.spoilt()
-
-    def spoilt(self) -> None:
-        """An answer without a number: the amount was added, so the total is read on the next connection."""
-        if self.calls and self.calls[0].done is not None and not self.calls[0].again:
-            call = self.calls.popleft()
-            _, name, _, lifetime = call.text.split()
-            call.text, call.again = b"incr %s 0 %s\r\n" % (name, lifetime), True
-            self.worked, self.coming = True, [call, *(self.coming or [])]
-        self.abort()
+        if len(self._partial_line) > MAX_ANSWER_BYTES:
+            self._protocol_log.say(logging.WARNING, "counter: an answer without end")
+            self.abort_after_malformed_answer()
 
-    def answer(self, line: bytes) -> bool:
-        """Whether it answers the call whose turn it is. What is said behind an error changes nothing."""
-        if not self.calls or (line == b"pong") != (self.calls[0].name == PING):
-            return False
-        if told := TOTAL.fullmatch(line):
-            total = float(told[1])
-            if not math.isfinite(total):
-                return False
-            self.calls.popleft().end("ok", total)
-        elif line == b"busy" or line.split(b" ", 1)[0] == b"error":
-            self.calls.popleft().end("full")
-        elif line == b"pong":
-            self.calls.popleft().end("ok")
-        else:
+    def write(self, call: Call) -> bool:
+        """Send a call, or queue it for a connection that is coming up.
+
+        Returns:
+            Whether it was taken; otherwise no byte of it was written, nor will be.
+        """
+        if self.waiting_calls is not None:
+            self.waiting_calls.append(call)
+            return True
+        if self.transport is None or self._is_write_blocked or self.transport.is_closing():
             return False
-        self.worked = True
-        self.leave()
+        self.unanswered_calls.append(call)
+        self._last_written_at = monotonic()
+        call.is_written = True
+        self.transport.write(call.command)
         return True
 
+    def expect_connection(self) -> None:
+        """Let calls from now on wait for the connection that `run` is about to open."""
+        self.waiting_calls = []
+
     def move(self, address: Address) -> None:
-        """To another address, once what is out here is answered; what comes from now on goes there."""
+        """Change the address, once the unanswered calls are answered; calls from now on go to the new one."""
         self.address = address
         if self.transport is not None:
-            self.worked, self.coming = True, self.coming or []
-            self.leave()
-
-    def leave(self) -> None:
-        if self.coming is not None and not self.calls:
-            self.abort()
+            self._is_proven = True
+            self.waiting_calls = self.waiting_calls or []
+            self._abort_if_leaving()
 
     def abort(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
     def check(self) -> None:
+        """Drop a connection that has gone silent; keep an idle one open by a `ping`."""
         now = monotonic()
-        if self.calls and now - self.calls[0].started > SILENT:
+        if self.unanswered_calls and now - self.unanswered_calls[0].started_at > ANSWER_TIMEOUT_S:
             # A machine that vanished says nothing, and its connections stay open for good.
-            self.odd.say(logging.WARNING, "counter: no answer for %.0f s, connecting again", SILENT)
+            self._protocol_log.say(
+                logging.WARNING, "counter: no answer for %.0f s, connecting again", ANSWER_TIMEOUT_S
+            )
             self.abort()
-        elif self.transport is not None and not self.calls and now - self.used > self.keep_alive:
-            self.write(Call(PING, b"ping\r\n", None))
-
-    async def keep(self) -> None:
-        loop, pause = asyncio.get_running_loop(), BACKOFF_LEAST
+            return
+        is_idle = self.transport is not None and not self.unanswered_calls
+        if is_idle and now - self._last_written_at > self.keep_alive:
+            self.write(Call(PING_NAME, b"ping\r\n", None))
+
+    async def run(self) -> None:
+        """Keep the connection open until cancelled, with backoff between attempts that fail."""
+        backoff = MIN_BACKOFF_S
         while True:
-            self.lost.clear()
-            self.coming = self.coming or []
+            self._lost.clear()
+            self.waiting_calls = self.waiting_calls or []
             try:
-                async with asyncio.timeout(1.0):
-                    await retry_after_reclaim(
-                        lambda: loop.create_connection(lambda: self, *self.address), self.reclaim_descriptor
-                    )
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                    await retry_after_reclaim(self._connect, self.reclaim_descriptor)
             except (OSError, TimeoutError):
-                self.release()
-                await asyncio.sleep(pause)
-                pause = min(BACKOFF_MOST, 2 * pause)
+                self._release_waiting_calls()
+                await asyncio.sleep(backoff)
+                backoff = min(MAX_BACKOFF_S, 2 * backoff)
                 continue
-            await self.lost.wait()
-            if self.worked:
-                pause = BACKOFF_LEAST
-            else:  # accepted, then closed: no reason to hurry
-                await asyncio.sleep(pause)
-                pause = min(BACKOFF_MOST, 2 * pause)
+            await self._lost.wait()
+            if self._is_proven:
+                backoff = MIN_BACKOFF_S
+            else:  # accepted, then closed without an answer
+                await asyncio.sleep(backoff)
+                backoff = min(MAX_BACKOFF_S, 2 * backoff)
+
+    async def _connect(self) -> None:
+        host, port = self.address
+        await asyncio.get_running_loop().create_connection(lambda: self, host, port)
+
+    def _release_waiting_calls(self) -> None:
+        """Send the waiting calls; those that cannot be sent end, since no connection is coming up now."""
+        waiting = self.waiting_calls or []
+        self.waiting_calls = None
+        for call in waiting:
+            if call.on_result is not None and not self.write(call):
+                call.give_up()
+
+    def _handle_answer(self, line: bytes) -> bool:
+        """Return whether a line answers the call that is due. Text behind `error` has no meaning."""
+        if not self.unanswered_calls:
+            return False
+        if (line == b"pong") != (self.unanswered_calls[0].name == PING_NAME):
+            return False
+        if match := TOTAL_ANSWER.fullmatch(line):
+            total = float(match[1])
+            if not math.isfinite(total):
+                return False
+            self.unanswered_calls.popleft().end("ok", total)
+        elif line == b"busy" or line.split(b" ", 1)[0] == b"error":
+            self.unanswered_calls.popleft().end("full")
+        elif line == b"pong":
+            self.unanswered_calls.popleft().end("ok")
+        else:
+            return False
+        self._is_proven = True
+        self._abort_if_leaving()
+        return True
+
+    def abort_after_malformed_answer(self) -> None:
+        """Drop the connection; the amount was added, so the next connection first reads the total."""
+        due_call = self.unanswered_calls[0] if self.unanswered_calls else None
+        if due_call is not None and due_call.on_result is not None and not due_call.is_reread:
+            self.unanswered_calls.popleft()
+            _, name, _, lifetime = due_call.command.split()
+            due_call.command = b"incr %s 0 %s\r\n" % (name, lifetime)
+            due_call.is_reread = True
+            self._is_proven = True
+            self.waiting_calls = [due_call, *(self.waiting_calls or [])]
+        self.abort()
+
+    def _abort_if_leaving(self) -> None:
+        """Close a connection whose calls already wait for the next one, once all answers have come."""
+        if self.waiting_calls is not None and not self.unanswered_calls:
+            self.abort()
 
 
 class Counter:
+    """The gateway's client of the counter service.
+
+    Attributes:
+        timeout: Seconds that a call waits for its answer.
+        lines: The connections; a counter name belongs to one of them.
+    """
+
     def __init__(self, address: Address, timeout: float) -> None:
+        """Make a client that is not connected; `start` connects it."""
         self.timeout = timeout
-        self.lines = [Line(address) for _ in range(LINES)]
-        self.tasks: list[asyncio.Task[None]] = []
+        self.lines = [CounterConnection(address) for _ in range(CONNECTION_COUNT)]
+        self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
+        """Open the connections and keep them open. Calls made at once wait for the first of them."""
         loop = asyncio.get_running_loop()
-        for line in self.lines:  # what is called at once waits for the first connection
-            line.coming = []
-        work = [*(line.keep() for line in self.lines), self.checks()]
-        self.tasks = [loop.create_task(one) for one in work]
-
-    async def checks(self) -> None:
-        while True:
-            await asyncio.sleep(min(line.keep_alive for line in self.lines) / 4)
-            for line in self.lines:
-                line.check()
-
-    def add(self, name: int, amount: float, lifetime: float, done: Done) -> None:
-        text = b"incr %d %s %d\r\n" % (name, f"{amount:.7g}".encode(), max(1, math.ceil(lifetime * 1000)))
-        call, loop = Call(name, text, done), asyncio.get_running_loop()
-        if self.lines[name % LINES].write(call):  # one line a name keeps its answers in order
+        for connection in self.lines:
+            connection.expect_connection()
+        work = [*(connection.run() for connection in self.lines), self._check_connections()]
+        self._tasks = [loop.create_task(coroutine) for coroutine in work]
+
+    def add(self, name: int, amount: float, lifetime: float, on_result: ResultCallback) -> None:
+        """Add to a counter and read its total.
+
+        Args:
+            name: The counter's name.
+            amount: What is added; 0 reads the total only.
+            lifetime: Seconds for which the counter keeps the name; at least 1 ms is asked for.
+            on_result: Receives the result, never before this method returns.
+        """
+        lifetime_ms = max(1, math.ceil(lifetime * 1000))
+        command = b"incr %d %s %d\r\n" % (name, f"{amount:.7g}".encode(), lifetime_ms)
+        call = Call(name, command, on_result)
+        loop = asyncio.get_running_loop()
+        # One connection a name keeps its answers in order.
+        if self.lines[name % CONNECTION_COUNT].write(call):
             call.timer = loop.call_later(self.timeout, call.give_up)
         else:
             loop.call_soon(call.give_up)
 
     def retune(self, address: Address, timeout: float) -> None:
+        """Apply a changed configuration.
+
+        Args:
+            address: Where the counter is now.
+            timeout: Seconds that a call waits for its answer.
+        """
         self.timeout = timeout
-        for line in self.lines:
-            if line.address != address:
-                line.move(address)
+        for connection in self.lines:
+            if connection.address != address:
+                connection.move(address)
 
     async def contact(self, address: Address) -> None:
-        """A `ping`, which costs nothing, at another address. Raises OSError where no `pong` comes."""
-        reader, writer = await asyncio.open_connection(*address, limit=MOST_LINE)
+        """Send a `ping`, which costs nothing, to another address.
+
+        Raises:
+            OSError: Where no `pong` comes.
+        """
+        host, port = address
+        reader, writer = await asyncio.open_connection(host, port, limit=MAX_ANSWER_BYTES)
         try:
             writer.write(b"ping\r\n")
             if await reader.readline() != b"pong\r\n":
-                raise ConnectionError(f"no counter answers at {address[0]}:{address[1]}")
+                raise ConnectionError(f"no counter answers at {host}:{port}")
         finally:
             writer.transport.abort()
 
     def close(self) -> None:
-        for task in self.tasks:
+        """Close the connections for good."""
+        for task in self._tasks:
             task.cancel()
-        for line in self.lines:
-            line.abort()
+        for connection in self.lines:
+            connection.abort()
+
+    async def _check_connections(self) -> None:
+        while True:
+            await asyncio.sleep(min(connection.keep_alive for connection in self.lines) / 4)
+            for connection in self.lines:
+                connection.check()
--- a/api_gateway/experiments/scale/arithmetic.py
+++ b/api_gateway/experiments/scale/arithmetic.py
@@ -522,7 +522,9 @@
     for label, at in (("config_bytes", of("routes")), ("config_bytes_of_tenants", book["plans"])):
         name(label, book.measured("config_bytes", "distribution", "plans", at), "bytes")
     name("apply_s", book.measured("apply_ms", "distribution", "plans", of("routes")) / unit("ms_a_s"), "s")
-    name("counter_connections", of("gateways") * book.code("counter_client", "LINES"), "connections")
+    name(
+        "counter_connections", of("gateways") * book.code("counter_client", "CONNECTION_COUNT"), "connections"
+    )
     name(
         "rush_calls_s",
         book.measured("calls_s_most", "counter", "customers", book["customers_a_gateway"]),
--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -677,7 +677,7 @@
             None,
             "none",
             None,
-            "`counter_client.LINES`",
+            "`counter_client.CONNECTION_COUNT`",
         ),
         Row(
             "processor of the stand-in",
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -679,7 +679,7 @@
 # Constants that bound a number of things, and are no bounds on a fleet: on one connection, line, value or
 # caller, times, weights, or what a configuration sets.
 NO_BOUND_ON_A_FLEET = {
-    "counter_client.MOST_LINE",
+    "counter_client.MAX_ANSWER_BYTES",
     "downstream.client_connection.MOST_PENDING",
     "downstream.client_connection.OVER_MOST",
     "base.resp.MOST_PARTS",
@@ -703,7 +703,7 @@
     "base.endpoint_list.MOST_VALUE",
     "base.subsets.WORD_MOST",
     "control.config_changes.MOST_VERSIONS",
-    "counter_client.BACKOFF_MOST",
+    "counter_client.MAX_BACKOFF_S",
     "discovery.client.GRACE_MOST",
     "discovery.client.BACKOFF_MOST",
     "control.config_changes.CONFIRM_MOST",
@@ -749,7 +749,7 @@
                     found |= {
                         f"{module}.{name}"
                         for name in names[1].split(", ")
-                        if name.startswith("MOST_") or name.endswith("_MOST") or name == "WATCHERS"
+                        if name.startswith(("MOST_", "MAX_")) or name.endswith("_MOST") or name == "WATCHERS"
                     }
     listed = {row.limit.expr for row in every_row() if row.limit is not None and row.limit.kind == cells.CODE}
     assert found - listed - NO_BOUND_ON_A_FLEET == set()
--- a/tests/experiments/test_scale_run.py
+++ b/tests/experiments/test_scale_run.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 
-from api_gateway.counter_client import LINES
+from api_gateway.counter_client import CONNECTION_COUNT
 from api_gateway.experiments.scale import __main__ as scale_main
 from api_gateway.experiments.scale import (
     connects,
@@ -230,7 +230,7 @@
     told = play(2)
     calls = lessees.asked(0)
     assert calls == lessees.asked(0) and all(0 <= at <= lessees.ROUND + 1 for at, *_ in calls)
-    assert told["connections"] == 2 * LINES and told["messages_s"] > 0
+    assert told["connections"] == 2 * CONNECTION_COUNT and told["messages_s"] > 0
     assert told["failures"] == 0 and told["bytes_in_s"] > told["bytes_out_s"] > 0
 
 
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -24,8 +24,8 @@
 from api_gateway.control import config_changes as changes
 from api_gateway.control import config_schema as keys
 from api_gateway.control.host_overrides import read_bans
-from api_gateway.counter_client import MOST_LINE, Call
-from api_gateway.counter_client import Line as CounterLine
+from api_gateway.counter_client import MAX_ANSWER_BYTES, Call
+from api_gateway.counter_client import CounterConnection as CounterLine
 from api_gateway.discovery.fetcher import Broken, Fetcher, Line
 from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
 from api_gateway.membership.core import read as read_datagram
@@ -452,7 +452,7 @@
     while (end := stream.find(b"\n")) >= 0:
         line, stream = stream[:end], stream[end + 1 :]
         text = line.removesuffix(b"\r")
-        if len(line) > MOST_LINE or text == line or not calls:
+        if len(line) > MAX_ANSWER_BYTES or text == line or not calls:
             return told, True
         name, *calls = calls
         if text == b"pong" and name < 0:
@@ -463,7 +463,7 @@
             told.append((name, "full", 0.0))
         else:
             return told, True
-    return told, len(stream) > MOST_LINE
+    return told, len(stream) > MAX_ANSWER_BYTES
 
 
 class Spoilt(Exception):
@@ -471,14 +471,14 @@
 
 
 class Heard(CounterLine):
-    def spoilt(self):
+    def abort_after_malformed_answer(self):
         raise Spoilt
 
 
 def hear(pieces, calls):
     line, told = Heard(("127.0.0.1", 1)), []
     for name in calls:
-        line.calls.append(Call(name, b"", lambda *said: told.append(said[:3])))
+        line.unanswered_calls.append(Call(name, b"", lambda *said: told.append(said[:3])))
     try:
         for piece in pieces:
             line.data_received(piece)
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -5,7 +5,7 @@
 import pytest
 from netkit import SERVED, Node, StubCounter, StubHost, command, on_loop
 
-from api_gateway.counter_client import Counter, Line
+from api_gateway.counter_client import Counter, CounterConnection
 
 
 @on_loop
@@ -127,7 +127,7 @@
 
 @on_loop
 async def test_a_counter_that_garbles_every_answer_fills_no_log(caplog):
-    line = Line(("127.0.0.1", 1))
+    line = CounterConnection(("127.0.0.1", 1))
     for _ in range(100):
         line.data_received(b"ok {}\r\n")
     assert caplog.text.count("unexpected answer") == 1
