--- a/api_gateway/experiments/scale/connects.py
+++ b/api_gateway/experiments/scale/connects.py
@@ -16,7 +16,8 @@
 
 from api_gateway import interface as api
 from api_gateway.experiments.scale.module import BEGIN, Case, Driver
-from api_gateway.upstream.pool import IDLE_CHECK, IDLE_MARGIN, SETTLED
+from api_gateway.upstream.endpoint_pools import IDLE_CHECK, IDLE_MARGIN
+from api_gateway.upstream.pool import SETTLED
 
 IDLE_CLOSE = 30.0  # s after which a host closes a connection that rests, as the lab's settings have it
 IDLE_TIME = IDLE_CLOSE * (1 - IDLE_MARGIN) - IDLE_CHECK
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -623,7 +623,7 @@
     (
         "of it work: sockets and framing",
         "part_sockets_p99_ms",
-        "`downstream.client_connection.Client`, `upstream.pool.Connection`",
+        "`downstream.client_connection.Client`, `upstream.connection.Connection`",
     ),
     ("of it waiting: until a loop turns to it", "part_loop_p99_ms", "`gateway.node.GatewayNode`"),
     ("of it waiting: for its turn among clients", "part_turn_p99_ms", "`downstream.admission.Turns`"),
--- a/api_gateway/experiments/scale/stamped.py
+++ b/api_gateway/experiments/scale/stamped.py
@@ -22,7 +22,8 @@
 from api_gateway.gateway import __main__ as program
 from api_gateway.gateway.node import GatewayNode
 from api_gateway.upstream.connect_limits import SharedPool
-from api_gateway.upstream.pool import Connection, Pool
+from api_gateway.upstream.connection import Connection
+from api_gateway.upstream.pool import Pool
 
 # In this order: for its turn among clients, reading it, the module, for a lease or an open attempt, for a
 # host that is free, sending, for a connection to settle, for a connect, at the host, at hosts that failed it,
--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -922,7 +922,7 @@
             book["connects_a_host_at_a_start"],
             "a start of all, worst second",
             None,
-            "`upstream.connect_limits.Bounds`",
+            "`upstream.connect_limits.ConnectLimits`",
         ),
         Row(
             "probes",
--- a/api_gateway/gateway/node.py
+++ b/api_gateway/gateway/node.py
@@ -33,7 +33,8 @@
 from api_gateway.gateway.shutdown import shut_down
 from api_gateway.gateway.wall_clock import Clock
 from api_gateway.policy import Gateway
-from api_gateway.upstream.pool import Attempt, Hosts
+from api_gateway.upstream.attempt import Attempt
+from api_gateway.upstream.endpoint_pools import Hosts
 
 GUARD = 0.01  # s before the client gives up by which a request is failed, whatever the module does
 MOST_HELD = 16 * 1024 * 1024  # bytes of small bodies in work past which requests are refused
--- a/api_gateway/gateway/requests.py
+++ b/api_gateway/gateway/requests.py
@@ -7,7 +7,7 @@
 
 from api_gateway import interface as api
 from api_gateway.downstream.client_connection import Slot
-from api_gateway.upstream.pool import Attempt
+from api_gateway.upstream.attempt import Attempt
 
 RESERVED = 0.03  # s before the client gives up by which the module is to be done
 LONGEST_WAIT = 3600.0  # s; a client that says it will wait for longer is in error
--- a/api_gateway/upstream/__init__.py
+++ b/api_gateway/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to endpoints: pools, attempts, health checks, load reports and limits on connects."""
--- a/api_gateway/upstream/connect_limits.py
+++ b/api_gateway/upstream/connect_limits.py
@@ -1,9 +1,9 @@
-"""Connects to hosts, bounded by host and in all, and shared. Only with `connects` in the key `edge`.
+"""Limits on concurrent connects to endpoints. Only imported with `connects` in the key `edge`.
 
-Without it each attempt that finds no connection at rest opens one for itself, so that a rush of requests is a
-rush of handshakes too, which costs hosts work. Here an attempt waits for the first connection that comes up
-or has ended its work, whichever it was opened for, and no longer than a connect may take: then it may be
-tried elsewhere.
+Without it each attempt that finds no idle connection opens one for itself, so that a rush of requests is a
+rush of handshakes too, which costs endpoints work. Here an attempt waits for the first connection that comes
+up or becomes idle, whichever it was opened for, and no longer than a connect may take: then it may be retried
+at another endpoint.
 """
 
 from __future__ import annotations
@@ -13,88 +13,140 @@
 from collections.abc import Callable
 
 from api_gateway.base.endpoint_list import Address
-from api_gateway.upstream.pool import TICK, Attempt, Connection, Hosts, Pool, Short
+from api_gateway.upstream.attempt import Attempt
+from api_gateway.upstream.connection import Connection
+from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.pool import TIMER_MARGIN_S, Pool, ShortageError
 
 
-class Bounds:
-    """Connects to one host and to all at once (0: any number), over the pools of one process."""
+class ConnectLimits:
+    """Limits on concurrent connects, over the pools of one process.
 
-    def __init__(self, host: int, most: int) -> None:
-        self.host, self.most = host, most
-        self.blocked: weakref.WeakSet[SharedPool] = weakref.WeakSet()  # that found no room in all
+    Attributes:
+        max_per_endpoint: Concurrent connects to one endpoint.
+        max_total: Concurrent connects to all endpoints; 0: any number.
+        blocked_pools: Pools that wait since `max_total` is reached.
+    """
 
-    def free(self, hosts: Hosts) -> bool:
-        return not self.most or hosts.coming < self.most
+    def __init__(self, max_per_endpoint: int, max_total: int) -> None:
+        """Make limits that no pool has reached."""
+        self.max_per_endpoint = max_per_endpoint
+        self.max_total = max_total
+        self.blocked_pools: weakref.WeakSet[SharedPool] = weakref.WeakSet()
 
-    def ended(self) -> None:
-        """A connect has ended: those that found no room look again, the one with most waiting first."""
-        for pool in sorted(self.blocked, key=lambda pool: -len(pool.waiting)):
-            self.blocked.discard(pool)
-            pool.fill()
+    def has_capacity(self, hosts: Hosts) -> bool:
+        """Return whether the total allows one more connect."""
+        return not self.max_total or hosts.connecting_count < self.max_total
+
+    def on_connect_ended(self) -> None:
+        """Let the blocked pools connect, the one with most waiting attempts first."""
+        for pool in sorted(self.blocked_pools, key=lambda pool: -len(pool.waiting)):
+            self.blocked_pools.discard(pool)
+            pool.start_connects()
 
 
 class SharedPool(Pool):
-    """`waiting`: attempts without a connection, the first that came first, with the ends of their waits."""
+    """A pool whose new connections serve whichever attempt has waited longest.
+
+    Attributes:
+        limits: The limits on connects, shared by all pools.
+        waiting: Attempts without a connection, the one that waits longest first, with the timers that end
+            their waits.
+    """
 
-    def __init__(self, hosts: Hosts, address: Address, bounds: Bounds) -> None:
+    def __init__(self, hosts: Hosts, address: Address, limits: ConnectLimits) -> None:
+        """Make a pool without connections."""
         super().__init__(hosts, address)
-        self.bounds, self.waiting = bounds, dict[Attempt, asyncio.TimerHandle]()
+        self.limits = limits
+        self.waiting: dict[Attempt, asyncio.TimerHandle] = {}
 
     def start(self, attempt: Attempt) -> None:
-        if not self.reuse(attempt):
+        """Send an attempt on an idle connection, or let it wait for one."""
+        if not self.start_on_idle(attempt):
             loop = asyncio.get_running_loop()
-            self.waiting[attempt] = loop.call_later(self.hosts.connect_timeout, self.overdue, attempt)
-            self.fill()
-
-    def fill(self) -> None:
-        """As many connects as there are attempts that wait for more than what settles, within the bounds."""
-        while self.up and len(self.coming) < min(len(self.waiting) - len(self.idle), self.bounds.host):
-            if not self.bounds.free(self.hosts):
-                self.bounds.blocked.add(self)
+            timeout = self.hosts.connect_timeout
+            self.waiting[attempt] = loop.call_later(timeout, self._on_wait_timeout, attempt)
+            self.start_connects()
+
+    def start_connects(self) -> None:
+        """Start connects for waiting attempts that no settling connection will serve, up to the limits."""
+        while self.is_open and len(self.connecting) < self._wanted_connects():
+            if not self.limits.has_capacity(self.hosts):
+                self.limits.blocked_pools.add(self)
                 return
-            if not self.hosts.room():
-                if not self.coming:  # none will come up that could be shared
-                    asyncio.get_running_loop().call_soon(self.fail, "moot")
+            if not self.hosts.reserve_capacity():
+                if not self.connecting:  # none will come up that could be shared
+                    asyncio.get_running_loop().call_soon(self.fail_waiting, "moot")
                 return
             token = object()
-            self.coming[token] = asyncio.get_running_loop().create_task(self.come_up(token))
+            self.connecting[token] = asyncio.get_running_loop().create_task(self._connect_shared(token))
+
+    def fail_waiting(self, result: str = "connect_failed") -> None:
+        """End all waiting attempts: what one connect met holds for all, and each may be retried elsewhere."""
+        waiting = self.waiting
+        self.waiting = {}
+        for attempt, timer in waiting.items():
+            timer.cancel()
+            attempt.end(result)
+
+    def add_idle(self, conn: Connection) -> None:
+        """Give a new connection to a waiting attempt at once, a used one once it has settled."""
+        is_new = self.is_open and not conn.is_used
+        if is_new and self.waiting and conn.is_sound() and self._give_to_waiting(conn):
+            return
+        super().add_idle(conn)
+        loop = asyncio.get_running_loop()
+        loop.call_later(self.settle_time + TIMER_MARGIN_S, self._offer_settled)
+
+    def forget(self, conn: Connection) -> None:
+        """Forget a connection that closes; it may have been the last one that waiting attempts could get."""
+        super().forget(conn)
+        self.start_connects()
+
+    def cancel_wait(self, attempt: Attempt) -> None:
+        """Stop the wait of an attempt. A connect under way goes on: what comes up serves the next attempt."""
+        timer = self.waiting.pop(attempt, None)
+        if timer is not None:
+            timer.cancel()
 
-    async def come_up(self, token: object) -> None:
-        conn, result = None, "connect_failed"
+    def stop(self) -> None:
+        """Close the pool for good; waiting attempts end, those in flight go on."""
+        self.is_open = False
+        self.close_idle()
+        for token in list(self.connecting):
+            task = self.connecting.pop(token)
+            if task is not None:
+                task.cancel()
+        self.fail_waiting()
+        self.limits.on_connect_ended()
+
+    def _wanted_connects(self) -> int:
+        return min(len(self.waiting) - len(self.idle), self.limits.max_per_endpoint)
+
+    async def _connect_shared(self, token: object) -> None:
+        conn = None
+        result = "connect_failed"
         try:
             conn = await self.open()
-        except Short:
+        except ShortageError:
             result = "moot"
         finally:
-            self.coming.pop(token, None)
+            self.connecting.pop(token, None)
         if conn is None:
-            self.fail(result)
+            self.fail_waiting(result)
         else:
-            self.hosts.conns.add(conn)
-            self.rest(conn)
-        self.fill()
-        self.bounds.ended()
-
-    def fail(self, result: str = "connect_failed") -> None:
-        """What one connect met is so for all that wait: each may be tried elsewhere at once."""
-        waiting, self.waiting = self.waiting, {}
-        for attempt, end in waiting.items():
-            end.cancel()
-            attempt.end(result)
+            self.hosts.connections.add(conn)
+            self.add_idle(conn)
+        self.start_connects()
+        self.limits.on_connect_ended()
 
-    def overdue(self, attempt: Attempt) -> None:
-        """It waited as long as a connect of its own might have taken."""
+    def _on_wait_timeout(self, attempt: Attempt) -> None:
+        """End an attempt that has waited as long as a connect of its own might have taken."""
         del self.waiting[attempt]
         attempt.end("connect_failed")
 
-    def rest(self, conn: Connection) -> None:
-        new = self.up and not conn.used
-        if not (new and self.waiting and conn.sound() and self.give(conn)):
-            super().rest(conn)
-            asyncio.get_running_loop().call_later(self.settle + TICK, self.offer)
-
-    def give(self, conn: Connection) -> bool:
-        """Whether one of those that wait went out on it."""
+    def _give_to_waiting(self, conn: Connection) -> bool:
+        """Return whether a waiting attempt went out on the connection."""
         while self.waiting:
             attempt = next(iter(self.waiting))
             self.waiting.pop(attempt).cancel()
@@ -102,33 +154,19 @@
                 return True
         return False
 
-    def offer(self) -> None:
-        """What has ended its work goes to those that wait once no second answer can come on it."""
-        while self.up and self.waiting and (conn := self.settled()) is not None:
-            if not self.give(conn):
-                self.put_back(conn)
-
-    def drop(self, conn: Connection) -> None:
-        """It may have been the last one that those who wait could have had."""
-        super().drop(conn)
-        self.fill()
-
-    def call_off(self, attempt: Attempt) -> None:
-        """A connect that is on its way goes on: what comes up rests, and serves the next one."""
-        end = self.waiting.pop(attempt, None)
-        if end is not None:
-            end.cancel()
-
-    def stop(self) -> None:
-        self.up = False
-        self.close_idle()
-        for token in list(self.coming):
-            self.coming.pop(token).cancel()
-        self.fail()
-        self.bounds.ended()
+    def _offer_settled(self) -> None:
+        """Give settled connections to the waiting attempts."""
+        while self.is_open and self.waiting and (conn := self.take_settled()) is not None:
+            if not self._give_to_waiting(conn):
+                self.return_idle(conn)
 
 
 def shared(host: int, most: int) -> Callable[[Hosts, Address], Pool]:
-    """What makes the pools of one process."""
-    bounds = Bounds(host, most)
-    return lambda hosts, address: SharedPool(hosts, address, bounds)
+    """Return what makes the pools of one process.
+
+    Args:
+        host: Concurrent connects to one endpoint.
+        most: Concurrent connects to all endpoints; 0: any number.
+    """
+    limits = ConnectLimits(host, most)
+    return lambda hosts, address: SharedPool(hosts, address, limits)
--- /dev/null
+++ b/api_gateway/upstream/endpoint_pools.py
@@ -0,0 +1,221 @@
+"""The connection pools of all endpoints: addresses, limits, idle connections, sending and health checks."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import OrderedDict
+from collections.abc import Callable
+from time import monotonic
+
+from api_gateway.base.endpoint_list import Address
+from api_gateway.upstream.attempt import HEALTH_CHECK, Attempt
+from api_gateway.upstream.connection import Connection
+from api_gateway.upstream.pool import Pool
+
+# Part of the endpoints' idle timeout by which a connection is closed before them.
+IDLE_MARGIN = 0.1
+# s between checks for connections that were idle for too long or have stalled.
+IDLE_CHECK = 0.5
+# The command of a health check.
+LOAD_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
+
+
+class Hosts:
+    """The pools of all endpoints, and what holds for all of them.
+
+    Nothing here that a request, a change of one endpoint or a timer does walks over all pools.
+
+    Attributes:
+        most: Limit of connections, those that are coming up among them.
+        make: Makes the pool of an endpoint's address.
+        reclaim_descriptor: Closes a connection, of any kind, where none can be opened; returns whether there
+            was one.
+        connect_timeout: Seconds that a connect may take.
+        max_idle_time: Seconds after which an idle connection is closed.
+        pools: The open pools, by endpoint id.
+        addresses: Where the endpoint list has the endpoints that are up.
+        out: Endpoints that are ejected by an operator override.
+        connections: All connections that have come up.
+        connecting_count: Number of connections that are coming up.
+        idle: The idle connections of all pools, the longest idle first.
+    """
+
+    def __init__(self, connect_timeout: float, idle_close: float, most: int) -> None:
+        """Make pools for no endpoints.
+
+        Args:
+            connect_timeout: Seconds that a connect may take.
+            idle_close: Seconds after which endpoints close an idle connection.
+            most: Limit of connections.
+        """
+        self.most = most
+        self.make: Callable[[Hosts, Address], Pool] = Pool
+        self.reclaim_descriptor: Callable[[], bool] = self.end_idle
+        self.pools: dict[str, Pool] = {}
+        self.addresses: dict[str, Address] = {}
+        self.out: set[str] = set()
+        self.connections: set[Connection] = set()
+        self.connecting_count = 0
+        self.idle: OrderedDict[Connection, None] = OrderedDict()
+        self._check_timer: asyncio.TimerHandle | None = None
+        self.retune(connect_timeout, idle_close)
+
+    def retune(self, connect_timeout: float, idle_close: float) -> None:
+        """Apply the times of a changed configuration, in seconds as in the constructor."""
+        self.connect_timeout = connect_timeout
+        self.max_idle_time = idle_close * (1 - IDLE_MARGIN) - IDLE_CHECK
+
+    # Endpoints
+
+    def listed(self, host: str, address: Address | None) -> None:
+        """Apply an entry of the endpoint list.
+
+        Args:
+            host: The endpoint's id.
+            address: Where it is now; None where nothing new may go to it.
+        """
+        if address is not None:
+            self.addresses[host] = address
+        else:
+            self.addresses.pop(host, None)
+        self._update_pool(host)
+
+    def take_out(self, host: str, out: bool) -> None:
+        """Set or end an operator's ejection of an endpoint, which holds whatever the endpoint list says."""
+        if out:
+            self.out.add(host)
+        else:
+            self.out.discard(host)
+        self._update_pool(host)
+
+    def _update_pool(self, endpoint_id: str) -> None:
+        """Open, replace or stop the pool of one endpoint."""
+        address = None if endpoint_id in self.out else self.addresses.get(endpoint_id)
+        pool = self.pools.get(endpoint_id)
+        if pool is not None and pool.address != address:
+            pool.stop()
+            del self.pools[endpoint_id]
+        if address is not None and endpoint_id not in self.pools:
+            self.pools[endpoint_id] = self.make(self, address)
+
+    # Attempts
+
+    def send(self, attempt: Attempt, timeout: float) -> None:
+        """Send an attempt to its endpoint.
+
+        Args:
+            attempt: It ends once, never before this method returns where no pool is open for its endpoint.
+            timeout: Seconds after which it is given up.
+        """
+        loop = asyncio.get_running_loop()
+        pool = self.pools.get(attempt.host)
+        if pool is None:
+            loop.call_soon(attempt.end, "connect_failed")
+            return
+        attempt.deadline = monotonic() + timeout
+        attempt.timer = loop.call_later(timeout, self.give_up, attempt, "timeout")
+        pool.start(attempt)
+
+    def probe(self, host: str, done: Callable[[Attempt], None]) -> None:
+        """Send a health check.
+
+        Args:
+            host: The endpoint's id.
+            done: Called with the attempt once it has ended.
+        """
+        self.send(Attempt(host, lambda _: LOAD_COMMAND, done, HEALTH_CHECK), self.connect_timeout)
+
+    def give_up(self, attempt: Attempt, result: str) -> None:
+        """Give up an attempt.
+
+        Its connection is closed too: a late answer must not meet the next attempt on it.
+
+        Args:
+            attempt: Without effect where it has ended.
+            result: The attempt's result, where it may have run and its value has not come whole.
+        """
+        if attempt.result:
+            return
+        conn = attempt.conn
+        if conn is None:
+            pool = self.pools.get(attempt.host)
+            if pool is not None:
+                pool.cancel_wait(attempt)
+            attempt.end("connect_failed")
+            return
+        if not conn.is_written:
+            result = "connect_failed"
+        elif attempt.whole:
+            result = "ok"
+        conn.attempt = None
+        conn.close()
+        attempt.end(result)
+
+    # The limit of connections
+
+    @property
+    def open(self) -> int:
+        """The number of connections, those that are coming up among them."""
+        return len(self.connections) + self.connecting_count
+
+    def reserve_capacity(self) -> bool:
+        """Return whether a connection may be opened; at the limit an idle one is closed for it."""
+        return self.open < self.most or self.end_idle()
+
+    def make_room(self) -> None:
+        """Close idle connections, the longest idle first, down to a limit that has shrunk."""
+        while self.open > self.most and self.reserve_capacity():
+            pass
+
+    # Idle connections
+
+    def add_idle(self, conn: Connection) -> None:
+        """Add an idle connection in the order of `idle_since`: it is the last one unless it was put back."""
+        idle_for_less = []
+        while self.idle and (last := next(reversed(self.idle))).idle_since > conn.idle_since:
+            idle_for_less.append(last)
+            del self.idle[last]
+        self.idle[conn] = None
+        for last in reversed(idle_for_less):
+            self.idle[last] = None
+
+    def resting(self) -> int:
+        """Return the number of idle connections."""
+        return len(self.idle)
+
+    def end_idle(self) -> bool:
+        """Close the longest idle connection. Return whether there was one."""
+        if self.idle:
+            next(iter(self.idle)).close()
+            return True
+        return False
+
+    def close_idle(self, host: str) -> None:
+        """Close the idle connections to one endpoint."""
+        if host in self.pools:
+            self.pools[host].close_idle()
+
+    def close_stale(self) -> None:
+        """Close what was idle nearly as long as endpoints allow: an attempt that met their close is reset."""
+        before = monotonic() - self.max_idle_time
+        while self.idle and (oldest := next(iter(self.idle))).idle_since < before:
+            oldest.close()
+
+    # Lifecycle
+
+    def start_checks(self) -> None:
+        """Check for stale and stalled connections, now and then regularly until `close`."""
+        self.close_stale()
+        now = monotonic()
+        for conn in list(self.connections):
+            conn.check(now)
+        self._check_timer = asyncio.get_running_loop().call_later(IDLE_CHECK, self.start_checks)
+
+    def close(self) -> None:
+        """Stop all pools and close all connections for good."""
+        if self._check_timer is not None:
+            self._check_timer.cancel()
+        for pool in self.pools.values():
+            pool.stop()
+        for conn in list(self.connections):
+            conn.close()
--- /dev/null
+++ b/api_gateway/upstream/load_report.py
@@ -0,0 +1,41 @@
+"""Reading of the load reports that endpoints attach to their answers."""
+
+from __future__ import annotations
+
+import math
+import re
+
+from api_gateway.settings_parser import REPORT, read_report
+
+# A plain number of the protocol. float() alone would take 1_0, too.
+PLAIN_NUMBER = re.compile(r"(?:[0-9]+\.?[0-9]*|\.[0-9]+)(?:[eE][+-]?[0-9]+)?")
+
+# Values by the decision module's name of the field; times in seconds.
+LoadReport = dict[str, float]
+
+
+def parse_load_report(text: object) -> LoadReport:
+    """Parse a load report of the form `name=value,name=value`.
+
+    Args:
+        text: What stood in the report's place: bytes, text, or anything else that an answer can hold.
+
+    Returns:
+        The known fields. Empty where the report is missing or any part of it is malformed.
+    """
+    if isinstance(text, bytes):
+        text = text.decode("utf-8", "replace")
+    if not isinstance(text, str) or "=" not in text:
+        return {}
+    pairs = [pair.split("=", 1) for pair in text.split(",")]
+    try:
+        fields = dict(pairs)
+    except ValueError:
+        return {}
+    if len(fields) < len(pairs):  # a field that stands twice
+        return {}
+    for name, value in fields.items():
+        if value and name in REPORT and not PLAIN_NUMBER.fullmatch(value):
+            return {}
+    report = read_report(fields.items())
+    return report if math.inf not in report.values() else {}
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -68,7 +68,7 @@
         "settings": n.settings,
         "module": n.module.set,
         "connects": n.hosts.connect_timeout,
-        "rests": n.hosts.idle_time,
+        "rests": n.hosts.max_idle_time,
         "discovery": n.discovery.url,
         "watch": n.discovery.watching,
         "timeout": n.counter.timeout,
@@ -80,7 +80,7 @@
         "plans": dict(n.module.uses),
         "current": n.changes.current,
         "history": n.changes.history,
-        "connections": set(n.hosts.conns) | set(n.clients.clients),
+        "connections": set(n.hosts.connections) | set(n.clients.clients),
     }
 
 
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -107,7 +107,7 @@
 async def test_an_attempt_whose_connection_is_still_coming_up_does_not_reach_a_banned_host(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         replies = [asyncio.create_task(node.ask(command(b"r%d" % n))) for n in range(8)]
-        while not node.node.hosts.pools["h1"].coming:
+        while not node.node.hosts.pools["h1"].connecting:
             await asyncio.sleep(0)
         node.node.hand("h1", True)
         assert not node.node.hosts.pools.keys() & {"h1"}
--- a/tests/demo/test_demo.py
+++ b/tests/demo/test_demo.py
@@ -207,6 +207,10 @@
         "api_gateway.policy.slow_start",
         "api_gateway.settings_parser",
         "api_gateway.upstream",
+        "api_gateway.upstream.attempt",
+        "api_gateway.upstream.connection",
+        "api_gateway.upstream.endpoint_pools",
+        "api_gateway.upstream.load_report",
         "api_gateway.upstream.pool",
     ]
     assert not {"click", "rich", "aiohttp"} & set(told)
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -81,7 +81,7 @@
         node.node.module = Sender()
         asked = asyncio.create_task(node.ask(command()))
         pool = node.node.hosts.pools["h1"]
-        while not pool.coming:  # the attempt waits for its connection
+        while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
         node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
--- a/tests/downstream/test_bad_client_storms.py
+++ b/tests/downstream/test_bad_client_storms.py
@@ -105,7 +105,8 @@
         asking.cancel()
         assert {answer[:1] for answer in answers} <= {b"$", b"-"}
         await until(lambda: len(server.clients) == 1 and set(node.node.in_flight) <= {b"l%d" % len(answers)})
-        await until(lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(node.node.hosts.conns) * 2)
+        pools = node.node.hosts
+        await until(lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(pools.connections) * 2)
         assert len(server.timed) <= 1 and not server.budget.used and not server.budget.waiting
         if more:
             listener = server.listener
--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -104,18 +104,18 @@
 
             pool.open = opened
             node.node.send(api.SendAttempt("r1", other(attempt)))
-            assert len(pool.coming) == 1
+            assert len(pool.connecting) == 1
             held.set()
         else:
             (resting,) = pool.idle
-            pool.pace, pool.settle = 1e6, 1000.0
+            pool.typical_response_time, pool.settle_time = 1e6, 1000.0
             node.node.send(api.SendAttempt("r1", other(attempt)))
             ((settling, (conn, timer)),) = pool.settling.items()
             assert conn is resting
-            pool.settle = 0.0
+            pool.settle_time = 0.0
             timer.cancel()
             peer.end(how)
-            pool.has_settled(settling)
+            pool.on_settled(settling)
             assert pool.idle == [conn] and not pool.settling  # unused, so it serves the next
         assert cause == "connect" or (work.finished and work.sends == 2)
         assert await sent_on(node, one, two) == [b"r1"]
@@ -263,7 +263,7 @@
             assert await node.ask(command(b"r0")) == SERVED
         pool, go = node.node.hosts.pools["h1"], asyncio.Event()
         host.commands.clear()
-        pool.pace, pool.settle = 1e6, 1000.0
+        pool.typical_response_time, pool.settle_time = 1e6, 1000.0
         open_ = pool.open
 
         async def opened():
@@ -275,14 +275,14 @@
         asked = asyncio.create_task(node.ask(command()))
         await until(lambda: "r1" in node.node.in_flight)
         work = node.node.in_flight["r1"]
-        assert len(pool.coming if wait == "connect" else pool.settling) == 1
+        assert len(pool.connecting if wait == "connect" else pool.settling) == 1
         work.deadline -= 1.0  # as if a second had passed
         (attempt,) = work.live.values()
-        attempt.ends, attempt.started = attempt.ends - 1.0, attempt.started - 1.0
-        pool.settle = 0.0
+        attempt.deadline, attempt.started_at = attempt.deadline - 1.0, attempt.started_at - 1.0
+        pool.settle_time = 0.0
         if wait == "settle":
             pool.settling[attempt][1].cancel()
-            pool.has_settled(attempt)
+            pool.on_settled(attempt)
         go.set()
         assert await asked == SERVED
         (got,) = host.commands
@@ -301,7 +301,7 @@
             for work in node.node.in_flight.values():
                 work.deadline -= 10.0
                 for attempt in work.live.values():
-                    attempt.ends -= 10.0
+                    attempt.deadline -= 10.0
             return conn
 
         pool.open = opened
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -88,7 +88,7 @@
         await host.arrived.get()
         big = BIG * 4
         host.writers[0].write(value(big))
-        await until(lambda: any(c.paused for c in node.node.hosts.conns))
+        await until(lambda: any(c.is_paused for c in node.node.hosts.connections))
         client = next(iter(node.node.clients.clients))
         assert client.transport.get_write_buffer_size() < 1 << 20
         assert await node.ask(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -18,7 +18,8 @@
 from api_gateway.gateway import node as gateway
 from api_gateway.policy import Gateway
 from api_gateway.supervisor.fleet import CLASSES
-from api_gateway.upstream import pool as hosts
+from api_gateway.upstream import connection
+from api_gateway.upstream.pool import Pool
 
 FAULT = 1_000_000
 PATIENCE = 30  # s
@@ -66,8 +67,8 @@
     ("read", gateway.GatewayNode, "read_request", lambda *args: True),
     ("module", Gateway, "handle", asked_for),
     ("send", gateway.InFlightRequest, "payload", lambda *args: True),
-    ("connect", hosts.Pool, "open", lambda *args: True),
-    ("answer", hosts, "read_reply", lambda *args: True),
+    ("connect", Pool, "open", lambda *args: True),
+    ("answer", connection, "read_reply", lambda *args: True),
 ]
 
 
@@ -104,7 +105,7 @@
 def test_a_host_whose_connect_is_slow(edge, clock, monkeypatch, tmp_path):
     @on_loop
     async def play():
-        slow(monkeypatch, clock, hosts.Pool, "open")
+        slow(monkeypatch, clock, Pool, "open")
         with stamped.watching() as stamps:
             async with StubHost() as host, Node(host, path=tmp_path, more=edge) as gw:
                 assert await gw.ask(command()) == SERVED
@@ -175,12 +176,13 @@
         async with StubHost() as host, Node(host, path=tmp_path) as gw:
             assert await gw.ask(command()) == SERVED
             pool = gw.node.hosts.pools["h1"]
-            pool.pace, pool.settle = 1e5, 3600.0  # its answers take long, so the next one waits for it
+            # Its answers take long, so the next one waits for it.
+            pool.typical_response_time, pool.settle_time = 1e5, 3600.0
             asked = asyncio.create_task(gw.ask(command(b"r2")))
             await until(lambda: pool.settling)
             assert stamps.open["r2"].part == "settle"
             clock.fault()
-            pool.has_settled(*pool.settling)
+            pool.on_settled(*pool.settling)
             assert await asked == SERVED
             summed(stamps.told_of("r2"))
             shown_in(stamps.told_of("r2"), "settle")
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -688,7 +688,7 @@
     "base.resp.MOST_DIGITS",
     "gateway.node.MOST_HELD",
     "downstream.client_connection.MOST_COMMAND",
-    "upstream.pool.MOST_REPLY",
+    "upstream.connection.MAX_REPLY_BYTES",
     "control.server.MOST_CALLERS",
     "control.server.MOST_ENDING",
     "control.config_schema.MOST_DEPTH",
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -30,7 +30,9 @@
 from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
 from api_gateway.membership.core import read as read_datagram
 from api_gateway.settings_parser import read_settings
-from api_gateway.upstream.pool import Attempt, parse_report, read_reply
+from api_gateway.upstream.attempt import Attempt
+from api_gateway.upstream.connection import read_reply
+from api_gateway.upstream.load_report import parse_load_report
 
 ENDS = b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n"  # the value's end is no end
 DIGITS = set(b"0123456789")
@@ -428,7 +430,7 @@
 @seeded
 def test_a_load_report_is_read_as_a_slow_reader_does(pairs, change):
     text = altered(",".join(f"{name}={value}" for name, value in pairs).encode(), change)
-    assert parse_report(text) == slow_report(text.decode("utf-8", "replace"))
+    assert parse_load_report(text) == slow_report(text.decode("utf-8", "replace"))
 
 
 # The counter
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -108,7 +108,7 @@
 
 async def has_settled(pool):
     """Until the connection that was used last may be used again."""
-    await until(lambda: pool.idle and monotonic() - pool.idle[-1].idle_since > pool.settle)
+    await until(lambda: pool.idle and monotonic() - pool.idle[-1].idle_since > pool.settle_time)
 
 
 def entry(host, name="h1", state="up", port=None):
--- a/tests/upstream/test_connect_limits.py
+++ b/tests/upstream/test_connect_limits.py
@@ -8,28 +8,29 @@
 import pytest
 from netkit import Node, StubHost, command, on_loop, read_reply, until
 
+from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.connect_limits import SharedPool, shared
-from api_gateway.upstream.pool import Attempt, Hosts
+from api_gateway.upstream.endpoint_pools import Hosts
 
 
 class Line:
     """In the place of a connection: works on an attempt for a while, then rests."""
 
-    written, attempt = True, None
+    is_written, attempt = True, None
 
     def __init__(self, pool, rng):
         self.pool, self.rng, self.transport, self.ended = pool, rng, self, False
-        self.idle_since, self.served, self.used = 0.0, 0, False
+        self.idle_since, self.served, self.is_used = 0.0, 0, False
 
     def is_closing(self):
         return self.ended
 
-    def sound(self):
+    def is_sound(self):
         return not self.ended
 
     def start(self, attempt):
         assert not self.ended and not attempt.result
-        attempt.conn, self.used = self, True
+        attempt.conn, self.is_used = self, True
         self.served += 1
         asyncio.get_running_loop().call_later(self.rng.random() * 0.002, self.done, attempt)
         return True
@@ -38,34 +39,34 @@
         if not self.ended and self.rng.random() < 0.1:
             self.close()
         elif not self.ended:
-            self.pool.rest(self)
+            self.pool.add_idle(self)
         attempt.end("ok")
 
     def close(self):
         self.ended = True
-        self.pool.drop(self)
+        self.pool.forget(self)
 
 
 class Unbounded(SharedPool):
     """Planted: the bound by host is not looked at."""
 
-    def fill(self):
-        host, self.bounds.host = self.bounds.host, 1000
-        super().fill()
-        self.bounds.host = host
+    def start_connects(self):
+        limit, self.limits.max_per_endpoint = self.limits.max_per_endpoint, 1000
+        super().start_connects()
+        self.limits.max_per_endpoint = limit
 
 
 class Forgets(SharedPool):
     """Planted: one whose host refused is not told."""
 
-    def fail(self):
+    def fail_waiting(self):
         self.waiting = {}
 
 
 class Hoards(SharedPool):
     """Planted: what comes up rests although others wait."""
 
-    def rest(self, conn):
+    def add_idle(self, conn):
         conn.idle_since = monotonic()
         self.idle.append(conn)
 
@@ -77,7 +78,7 @@
     make = shared(host_most, most)
 
     class Tried(kind):
-        settle = 0.002
+        settle_time = 0.002
 
         async def open(self):
             nonlocal connects
@@ -85,7 +86,7 @@
             await asyncio.sleep(rng.random() * 0.003)
             return None if rng.random() < 0.1 else Line(self, rng)
 
-    hosts.make = lambda *args: Tried(*args, make(*args).bounds)
+    hosts.make = lambda *args: Tried(*args, make(*args).limits)
     for name in ("a", "b", "c"):
         hosts.listed(name, ("127.0.0.1", 1))
     attempts, beside = [], Counter()
@@ -100,10 +101,10 @@
             hosts.listed("a", ("127.0.0.1", 2))
         await asyncio.sleep(0.0005)
         pools = list(hosts.pools.values())
-        seen = max(seen, *(len(pool.coming) for pool in pools))
-        assert all(len(pool.coming) <= host_most for pool in pools), "past the bound by host"
-        assert not most or sum(len(pool.coming) for pool in pools) <= most, "past the bound in all"
-        assert hosts.coming == sum(len(pool.coming) for pool in pools)
+        seen = max(seen, *(len(pool.connecting) for pool in pools))
+        assert all(len(pool.connecting) <= host_most for pool in pools), "past the bound by host"
+        assert not most or sum(len(pool.connecting) for pool in pools) <= most, "past the bound in all"
+        assert hosts.connecting_count == sum(len(pool.connecting) for pool in pools)
         resting = sorted(conn.idle_since for pool in pools for conn in pool.idle)
         assert kind is Hoards or [conn.idle_since for conn in hosts.idle] == resting
         settled = {
@@ -111,13 +112,13 @@
             for pool in pools
             if pool.waiting
             for conn in pool.idle
-            if monotonic() - conn.idle_since > 5 * pool.settle
+            if monotonic() - conn.idle_since > 5 * pool.settle_time
         }
         beside = Counter({conn: beside[conn] + 1 for conn in settled})
         # The loop's timers fire in order: a few turns after that time its own has fired, however late all is.
         assert max(beside.values(), default=0) < 5, "one waits beside a connection at rest"
     async with asyncio.timeout(1.0):
-        while len(ended) < len(attempts) or any(pool.coming for pool in hosts.pools.values()):
+        while len(ended) < len(attempts) or any(pool.connecting for pool in hosts.pools.values()):
             await asyncio.sleep(0.001)
     assert len({id(attempt) for attempt in ended}) == len(ended) == len(attempts), "not one end each"
     assert not any(pool.waiting for pool in hosts.pools.values())
@@ -154,7 +155,7 @@
 
     hosts, ended = Hosts(0.05, 30.0, 1000), []
     make = shared(1, most)
-    hosts.make = lambda *args: Slow(*args, make(*args).bounds)
+    hosts.make = lambda *args: Slow(*args, make(*args).limits)
     for name in "ab":
         hosts.listed(name, ("127.0.0.1", 1))
         hosts.send(Attempt(name, lambda _: b"x", ended.append), 30.0)
@@ -184,7 +185,7 @@
         writer.write(b"".join(command(b"r%d" % n, customer=b"%016x" % n) for n in range(40)))
         most = 0
         for _ in range(40):
-            most = max(most, *(len(pool.coming) for pool in node.node.hosts.pools.values()))
+            most = max(most, *(len(pool.connecting) for pool in node.node.hosts.pools.values()))
             assert (await read_reply(reader))[:1] in (b"$", b"-")
         assert all(isinstance(pool, SharedPool) == bounded for pool in node.node.hosts.pools.values())
         if bounded:
@@ -192,7 +193,7 @@
             for host in (one, two):  # the loop closes a listener later than it says so
                 host.server.close()
                 await refused(host.port)
-            for conn in list(node.node.hosts.conns):
+            for conn in list(node.node.hosts.connections):
                 conn.close()
             assert (await node.ask(command(b"last"))).startswith((b"-ERR", b"-BUSY"))
             await until(lambda: not any(pool.waiting for pool in node.node.hosts.pools.values()))
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -23,7 +23,9 @@
 )
 
 from api_gateway import interface as api
-from api_gateway.upstream.pool import Attempt, Hosts, Pool
+from api_gateway.upstream.attempt import Attempt
+from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.pool import Pool
 
 
 @on_loop
@@ -234,14 +236,14 @@
     async with Scripted() as host, Node(host, path=tmp_path) as node:
         bear(node.node, 1.0)  # the next one waits for the first one's place
         node.node.module.fleet.full = lambda *_: (
-            bool(node.node.hosts.conns) and any(conn.attempt for conn in node.node.hosts.conns)
+            bool(node.node.hosts.connections) and any(conn.attempt for conn in node.node.hosts.connections)
         )
         first = asyncio.create_task(node.ask(asks(b"r1")))
         _, out = await host.commands.get()
         second = asyncio.create_task(node.ask(asks(b"r2")))
         await until(lambda: "r2" in node.node.in_flight)
         pool = node.node.hosts.pools["h1"]
-        pool.settle, pool.pace = 10.0, 100.0  # far more than this machine is late
+        pool.settle_time, pool.typical_response_time = 10.0, 100.0  # far more than this machine is late
         out.write(value(b"one"))
         assert await first == b"$3\r\none\r\n"
         out.write(value(b"one"))
@@ -263,10 +265,10 @@
         assert await first == b"$3\r\none\r\n"
         pool = node.node.hosts.pools["h1"]
         (conn,) = pool.idle
-        conn.idle_since -= pool.settle
+        conn.idle_since -= pool.settle_time
         conn.transport.pause_reading()  # as between two turns of the loop
         out.write(left) if left else out.close()
-        await until(lambda: not conn.sound())
+        await until(lambda: not conn.is_sound())
         second = asyncio.create_task(node.ask(write(b"r2", cls=b"note")))
         name, other = await host.commands.get()
         assert name == b"r2" and other is not out
@@ -291,9 +293,10 @@
         asked = asyncio.create_task(node.ask(write()))
         await until(lambda: len(opened) == 2)
         (attempt,) = node.node.in_flight["r1"].live.values()
-        assert attempt.until - attempt.started <= 3.0 - 0.02  # memory_span, less the way to the host
+        # memory_span, less the way to the host
+        assert attempt.send_deadline - attempt.started_at <= 3.0 - 0.02
         if late:
-            attempt.until = monotonic()
+            attempt.send_deadline = monotonic()
         held.set()
         assert (await asked)[:1] == b"-"
         assert len(one.commands) + len(two.commands) == 1 + sent
@@ -304,7 +307,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command()) == SERVED
         pool, ended = node.node.hosts.pools["h1"], []
-        pool.idle[0].idle_since -= pool.settle
+        pool.idle[0].idle_since -= pool.settle_time
         node.node.hosts.send(Attempt("h1", lambda _: command(b"r2"), ended.append, within=-1.0), 3.0)
         assert [attempt.result for attempt in ended] == ["connect_failed"]
         assert len(pool.idle) == 1 and len(host.commands) == 1
@@ -318,25 +321,25 @@
         first = asyncio.create_task(node.ask(command(b"r1")))
         _, out = await host.commands.get()
         pool = hosts.pools["h1"]
-        pool.settle, pool.pace = 30.0 if end != "settles" else 0.2, 1000.0
+        pool.settle_time, pool.typical_response_time = 30.0 if end != "settles" else 0.2, 1000.0
         out.write(value(b"one"))
         assert await first == b"$3\r\none\r\n"
         (conn,) = pool.idle
         attempt = Attempt("h1", lambda _: command(b"r2"), ended.append)
         hosts.send(attempt, 60.0)
-        assert not pool.coming and not pool.idle and list(pool.settling) == [attempt]
+        assert not pool.connecting and not pool.idle and list(pool.settling) == [attempt]
         if end == "settles":
             name, again = await host.commands.get()
             assert name == b"r2" and again is out
             out.write(value(b"two"))
             await until(lambda: ended)
-            assert ended[0].result == "ok" and len(hosts.conns) == 1
+            assert ended[0].result == "ok" and len(hosts.connections) == 1
         elif end == "called off":
             hosts.give_up(attempt, "cancelled")
             assert pool.idle == [conn] and ended[0].result == "connect_failed"
         elif end == "drained":
             hosts.listed("h1", None)
-            assert ended[0].result == "connect_failed" and not hosts.conns
+            assert ended[0].result == "connect_failed" and not hosts.connections
         else:
             out.write(value(b"one"))
             name, other = await host.commands.get()
@@ -363,9 +366,9 @@
         node.node.module = Sender()
         node.node.hosts.listed("silent", silent.getsockname())
         asked = asyncio.create_task(node.ask(command(b"r1", terms(c="note"), b"API.WRITE", body=body)))
-        await until(lambda: any(conn.attempt for conn in node.node.hosts.conns))
-        (conn,) = node.node.hosts.conns
-        await until(lambda: not conn.written or len(body) < 100)
+        await until(lambda: any(conn.attempt for conn in node.node.hosts.connections))
+        (conn,) = node.node.hosts.connections
+        await until(lambda: not conn.is_written or len(body) < 100)
         silent.close()  # what nobody accepted is reset
         assert await asked == b"-ERR failed\r\n" and seen == [result]
 
@@ -377,7 +380,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command()) == SERVED
         pool = node.node.hosts.pools["h1"]
-        pool.settle, pool.pace = 0.3, pace
+        pool.settle_time, pool.typical_response_time = 0.3, pace
         pool.idle[0].idle_since = monotonic()
         assert await node.ask(command(b"r2")) == SERVED
         assert (len(host.writers) == 2) == new
@@ -397,9 +400,9 @@
             taken.append(rng.choice(list(hosts.idle)))
             del hosts.idle[taken[-1]]
         elif taken and rng.random() < 0.5:
-            hosts.rests(taken.pop(rng.randrange(len(taken))))
+            hosts.add_idle(taken.pop(rng.randrange(len(taken))))
         else:
-            hosts.rests(Rests(now))
+            hosts.add_idle(Rests(now))
         order = [conn.idle_since for conn in hosts.idle]
         assert order == sorted(order)
 
