--- a/api_gateway/upstream/connect_limits.py
+++ b/api_gateway/upstream/connect_limits.py
@@ -34,9 +34,9 @@
         self.max_total = max_total
         self.blocked_pools: weakref.WeakSet[SharedPool] = weakref.WeakSet()
 
-    def has_capacity(self, hosts: Hosts) -> bool:
+    def has_capacity(self, endpoint_pools: Hosts) -> bool:
         """Return whether the total allows one more connect."""
-        return not self.max_total or hosts.connecting_count < self.max_total
+        return not self.max_total or endpoint_pools.connecting_count < self.max_total
 
     def on_connect_ended(self) -> None:
         """Let the blocked pools connect, the one with most waiting attempts first."""
@@ -54,9 +54,9 @@
             their waits.
     """
 
-    def __init__(self, hosts: Hosts, address: Address, limits: ConnectLimits) -> None:
+    def __init__(self, endpoint_pools: Hosts, address: Address, limits: ConnectLimits) -> None:
         """Make a pool without connections."""
-        super().__init__(hosts, address)
+        super().__init__(endpoint_pools, address)
         self.limits = limits
         self.waiting: dict[Attempt, asyncio.TimerHandle] = {}
 
@@ -64,17 +64,17 @@
         """Send an attempt on an idle connection, or let it wait for one."""
         if not self.start_on_idle(attempt):
             loop = asyncio.get_running_loop()
-            timeout = self.hosts.connect_timeout
+            timeout = self.endpoint_pools.connect_timeout
             self.waiting[attempt] = loop.call_later(timeout, self._on_wait_timeout, attempt)
             self.start_connects()
 
     def start_connects(self) -> None:
         """Start connects for waiting attempts that no settling connection will serve, up to the limits."""
         while self.is_open and len(self.connecting) < self._wanted_connects():
-            if not self.limits.has_capacity(self.hosts):
+            if not self.limits.has_capacity(self.endpoint_pools):
                 self.limits.blocked_pools.add(self)
                 return
-            if not self.hosts.reserve_capacity():
+            if not self.endpoint_pools.reserve_capacity():
                 if not self.connecting:  # none will come up that could be shared
                     asyncio.get_running_loop().call_soon(self.fail_waiting, "moot")
                 return
@@ -89,18 +89,18 @@
             timer.cancel()
             attempt.end(result)
 
-    def add_idle(self, conn: Connection) -> None:
+    def add_idle(self, connection: Connection) -> None:
         """Give a new connection to a waiting attempt at once, a used one once it has settled."""
-        is_new = self.is_open and not conn.is_used
-        if is_new and self.waiting and conn.is_sound() and self._give_to_waiting(conn):
+        is_new = self.is_open and not connection.is_used
+        if is_new and self.waiting and connection.is_sound() and self._give_to_waiting(connection):
             return
-        super().add_idle(conn)
+        super().add_idle(connection)
         loop = asyncio.get_running_loop()
         loop.call_later(self.settle_time + TIMER_MARGIN_S, self._offer_settled)
 
-    def forget(self, conn: Connection) -> None:
+    def forget(self, connection: Connection) -> None:
         """Forget a connection that closes; it may have been the last one that waiting attempts could get."""
-        super().forget(conn)
+        super().forget(connection)
         self.start_connects()
 
     def cancel_wait(self, attempt: Attempt) -> None:
@@ -124,19 +124,19 @@
         return min(len(self.waiting) - len(self.idle), self.limits.max_per_endpoint)
 
     async def _connect_shared(self, token: object) -> None:
-        conn = None
+        connection = None
         result = "connect_failed"
         try:
-            conn = await self.open()
+            connection = await self.open()
         except ShortageError:
             result = "moot"
         finally:
             self.connecting.pop(token, None)
-        if conn is None:
+        if connection is None:
             self.fail_waiting(result)
         else:
-            self.hosts.connections.add(conn)
-            self.add_idle(conn)
+            self.endpoint_pools.connections.add(connection)
+            self.add_idle(connection)
         self.start_connects()
         self.limits.on_connect_ended()
 
@@ -145,28 +145,28 @@
         del self.waiting[attempt]
         attempt.end("connect_failed")
 
-    def _give_to_waiting(self, conn: Connection) -> bool:
+    def _give_to_waiting(self, connection: Connection) -> bool:
         """Return whether a waiting attempt went out on the connection."""
         while self.waiting:
             attempt = next(iter(self.waiting))
             self.waiting.pop(attempt).cancel()
-            if conn.start(attempt):
+            if connection.start(attempt):
                 return True
         return False
 
     def _offer_settled(self) -> None:
         """Give settled connections to the waiting attempts."""
-        while self.is_open and self.waiting and (conn := self.take_settled()) is not None:
-            if not self._give_to_waiting(conn):
-                self.return_idle(conn)
+        while self.is_open and self.waiting and (connection := self.take_settled()) is not None:
+            if not self._give_to_waiting(connection):
+                self.return_idle(connection)
 
 
-def shared(host: int, most: int) -> Callable[[Hosts, Address], Pool]:
+def shared(max_per_endpoint: int, max_total: int) -> Callable[[Hosts, Address], Pool]:
     """Return what makes the pools of one process.
 
     Args:
-        host: Concurrent connects to one endpoint.
-        most: Concurrent connects to all endpoints; 0: any number.
+        max_per_endpoint: Concurrent connects to one endpoint.
+        max_total: Concurrent connects to all endpoints; 0: any number.
     """
-    limits = ConnectLimits(host, most)
-    return lambda hosts, address: SharedPool(hosts, address, limits)
+    limits = ConnectLimits(max_per_endpoint, max_total)
+    return lambda endpoint_pools, address: SharedPool(endpoint_pools, address, limits)
--- a/api_gateway/upstream/connection.py
+++ b/api_gateway/upstream/connection.py
@@ -34,10 +34,10 @@
     def record_response_time(self, seconds: float) -> None:
         """Note how long an answer took."""
 
-    def add_idle(self, conn: Connection) -> None:
+    def add_idle(self, connection: Connection) -> None:
         """Take a connection that has become idle."""
 
-    def forget(self, conn: Connection) -> None:
+    def forget(self, connection: Connection) -> None:
         """Forget a connection that closes."""
 
     def abandon(self, attempt: Attempt, result: str) -> None:
--- a/api_gateway/upstream/endpoint_pools.py
+++ b/api_gateway/upstream/endpoint_pools.py
@@ -40,15 +40,15 @@
         idle: The idle connections of all pools, the longest idle first.
     """
 
-    def __init__(self, connect_timeout: float, idle_close: float, most: int) -> None:
+    def __init__(self, connect_timeout: float, idle_timeout: float, max_connections: int) -> None:
         """Make pools for no endpoints.
 
         Args:
             connect_timeout: Seconds that a connect may take.
-            idle_close: Seconds after which endpoints close an idle connection.
-            most: Limit of connections.
+            idle_timeout: Seconds after which endpoints close an idle connection.
+            max_connections: Limit of connections.
         """
-        self.most = most
+        self.most = max_connections
         self.make: Callable[[Hosts, Address], Pool] = Pool
         self.reclaim_descriptor: Callable[[], bool] = self.end_idle
         self.pools: dict[str, Pool] = {}
@@ -58,35 +58,35 @@
         self.connecting_count = 0
         self.idle: OrderedDict[Connection, None] = OrderedDict()
         self._check_timer: asyncio.TimerHandle | None = None
-        self.retune(connect_timeout, idle_close)
+        self.retune(connect_timeout, idle_timeout)
 
-    def retune(self, connect_timeout: float, idle_close: float) -> None:
+    def retune(self, connect_timeout: float, idle_timeout: float) -> None:
         """Apply the times of a changed configuration, in seconds as in the constructor."""
         self.connect_timeout = connect_timeout
-        self.max_idle_time = idle_close * (1 - IDLE_MARGIN) - IDLE_CHECK
+        self.max_idle_time = idle_timeout * (1 - IDLE_MARGIN) - IDLE_CHECK
 
     # Endpoints
 
-    def listed(self, host: str, address: Address | None) -> None:
+    def listed(self, endpoint_id: str, address: Address | None) -> None:
         """Apply an entry of the endpoint list.
 
         Args:
-            host: The endpoint's id.
+            endpoint_id: The endpoint's id.
             address: Where it is now; None where nothing new may go to it.
         """
         if address is not None:
-            self.addresses[host] = address
+            self.addresses[endpoint_id] = address
         else:
-            self.addresses.pop(host, None)
-        self._update_pool(host)
+            self.addresses.pop(endpoint_id, None)
+        self._update_pool(endpoint_id)
 
-    def take_out(self, host: str, out: bool) -> None:
+    def take_out(self, endpoint_id: str, ejected: bool) -> None:
         """Set or end an operator's ejection of an endpoint, which holds whatever the endpoint list says."""
-        if out:
-            self.out.add(host)
+        if ejected:
+            self.out.add(endpoint_id)
         else:
-            self.out.discard(host)
-        self._update_pool(host)
+            self.out.discard(endpoint_id)
+        self._update_pool(endpoint_id)
 
     def _update_pool(self, endpoint_id: str) -> None:
         """Open, replace or stop the pool of one endpoint."""
@@ -116,14 +116,14 @@
         attempt.timer = loop.call_later(timeout, self.give_up, attempt, "timeout")
         pool.start(attempt)
 
-    def probe(self, host: str, done: Callable[[Attempt], None]) -> None:
+    def probe(self, endpoint_id: str, on_done: Callable[[Attempt], None]) -> None:
         """Send a health check.
 
         Args:
-            host: The endpoint's id.
-            done: Called with the attempt once it has ended.
+            endpoint_id: The endpoint's id.
+            on_done: Called with the attempt once it has ended.
         """
-        self.send(Attempt(host, lambda _: LOAD_COMMAND, done, HEALTH_CHECK), self.connect_timeout)
+        self.send(Attempt(endpoint_id, lambda _: LOAD_COMMAND, on_done, HEALTH_CHECK), self.connect_timeout)
 
     def give_up(self, attempt: Attempt, result: str) -> None:
         """Give up an attempt.
@@ -136,19 +136,19 @@
         """
         if attempt.result:
             return
-        conn = attempt.conn
-        if conn is None:
+        connection = attempt.conn
+        if connection is None:
             pool = self.pools.get(attempt.host)
             if pool is not None:
                 pool.cancel_wait(attempt)
             attempt.end("connect_failed")
             return
-        if not conn.is_written:
+        if not connection.is_written:
             result = "connect_failed"
         elif attempt.whole:
             result = "ok"
-        conn.attempt = None
-        conn.close()
+        connection.attempt = None
+        connection.close()
         attempt.end(result)
 
     # The limit of connections
@@ -169,13 +169,13 @@
 
     # Idle connections
 
-    def add_idle(self, conn: Connection) -> None:
+    def add_idle(self, connection: Connection) -> None:
         """Add an idle connection in the order of `idle_since`: it is the last one unless it was put back."""
         idle_for_less = []
-        while self.idle and (last := next(reversed(self.idle))).idle_since > conn.idle_since:
+        while self.idle and (last := next(reversed(self.idle))).idle_since > connection.idle_since:
             idle_for_less.append(last)
             del self.idle[last]
-        self.idle[conn] = None
+        self.idle[connection] = None
         for last in reversed(idle_for_less):
             self.idle[last] = None
 
@@ -190,10 +190,10 @@
             return True
         return False
 
-    def close_idle(self, host: str) -> None:
+    def close_idle(self, endpoint_id: str) -> None:
         """Close the idle connections to one endpoint."""
-        if host in self.pools:
-            self.pools[host].close_idle()
+        if endpoint_id in self.pools:
+            self.pools[endpoint_id].close_idle()
 
     def close_stale(self) -> None:
         """Close what was idle nearly as long as endpoints allow: an attempt that met their close is reset."""
@@ -207,8 +207,8 @@
         """Check for stale and stalled connections, now and then regularly until `close`."""
         self.close_stale()
         now = monotonic()
-        for conn in list(self.connections):
-            conn.check(now)
+        for connection in list(self.connections):
+            connection.check(now)
         self._check_timer = asyncio.get_running_loop().call_later(IDLE_CHECK, self.start_checks)
 
     def close(self) -> None:
@@ -217,5 +217,5 @@
             self._check_timer.cancel()
         for pool in self.pools.values():
             pool.stop()
-        for conn in list(self.connections):
-            conn.close()
+        for connection in list(self.connections):
+            connection.close()
--- a/api_gateway/upstream/pool.py
+++ b/api_gateway/upstream/pool.py
@@ -40,10 +40,10 @@
         self.cause = cause
 
 
-class Settling(NamedTuple):
+class ReservedConnection(NamedTuple):
     """A connection that is reserved for an attempt until no second answer can come on it."""
 
-    conn: Connection
+    connection: Connection
     timer: asyncio.TimerHandle
 
 
@@ -54,7 +54,7 @@
 
     Attributes:
         settle_time: Seconds that this takes.
-        hosts: The owner, with what holds for all pools.
+        endpoint_pools: The owner, with what holds for all pools.
         address: Where the connections go.
         is_open: Whether attempts may start here; False for good after `stop`.
         idle: The idle connections, the latest used last.
@@ -65,15 +65,15 @@
 
     settle_time = SETTLED
 
-    def __init__(self, hosts: Hosts, address: Address) -> None:
+    def __init__(self, endpoint_pools: Hosts, address: Address) -> None:
         """Make a pool without connections."""
-        self.hosts = hosts
+        self.endpoint_pools = endpoint_pools
         self.address = address
         self.is_open = True
         self.idle: list[Connection] = []
         self.typical_response_time = 0.0
-        self.connecting = Connects(hosts)
-        self.settling: dict[Attempt, Settling] = {}
+        self.connecting = Connects(endpoint_pools)
+        self.settling: dict[Attempt, ReservedConnection] = {}
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, on one that will have settled soon, or on a new one.
@@ -91,39 +91,40 @@
             return
         loop = asyncio.get_running_loop()
         timer = loop.call_later(settle_wait + TIMER_MARGIN_S, self.on_settled, attempt)
-        self.settling[attempt] = Settling(self.take_idle(self.idle[0]), timer)
+        self.settling[attempt] = ReservedConnection(self.take_idle(self.idle[0]), timer)
 
     def start_on_idle(self, attempt: Attempt) -> bool:
         """Send an attempt on an idle connection. Return whether there was one."""
-        conn = self.take_settled()
-        if conn is not None and not conn.start(attempt):
-            self.return_idle(conn)
-        return conn is not None
+        connection = self.take_settled()
+        if connection is not None and not connection.start(attempt):
+            self.return_idle(connection)
+        return connection is not None
 
     def take_settled(self) -> Connection | None:
         """Take the latest used of the idle connections that have settled; unsound ones are closed."""
         settled_before = monotonic() - self.settle_time
-        for conn in [conn for conn in reversed(self.idle) if conn.idle_since <= settled_before]:
-            if conn.is_sound():
-                return self.take_idle(conn)
-            conn.close()
+        settled = [idle for idle in reversed(self.idle) if idle.idle_since <= settled_before]
+        for connection in settled:
+            if connection.is_sound():
+                return self.take_idle(connection)
+            connection.close()
         return None
 
     def on_settled(self, attempt: Attempt) -> None:
         """Send an attempt on the connection that has settled for it."""
-        conn = self.settling[attempt].conn
-        if not conn.is_sound():
-            conn.close()  # which starts the attempt on a new one
+        connection = self.settling[attempt].connection
+        if not connection.is_sound():
+            connection.close()  # which starts the attempt on a new one
             return
         del self.settling[attempt]
         attempt.started_at = monotonic()  # the wait so far is no evidence about the endpoint
-        if not conn.start(attempt):
-            self.return_idle(conn)
+        if not connection.start(attempt):
+            self.return_idle(connection)
 
     def start_new(self, attempt: Attempt) -> None:
         """Send an attempt on a new connection, where the limit of connections allows one."""
         loop = asyncio.get_running_loop()
-        if self.hosts.reserve_capacity():
+        if self.endpoint_pools.reserve_capacity():
             self.connecting[attempt] = loop.create_task(self._connect_for(attempt))
         else:  # all are in use, which is no evidence about this endpoint
             loop.call_soon(attempt.end, "moot")
@@ -136,7 +137,7 @@
         settling = self.settling.pop(attempt, None)
         if settling is not None:
             settling.timer.cancel()
-            self.return_idle(settling.conn)
+            self.return_idle(settling.connection)
 
     async def open(self) -> Connection | None:
         """Open a connection.
@@ -148,7 +149,7 @@
             ShortageError: The gateway itself has nothing left to open one with.
         """
         try:
-            return await retry_after_reclaim(self._open_once, self.hosts.reclaim_descriptor)
+            return await retry_after_reclaim(self._open_once, self.endpoint_pools.reclaim_descriptor)
         except OSError as err:  # refused, or out of time
             if is_resource_exhaustion(err):
                 raise ShortageError(err) from err
@@ -156,43 +157,43 @@
             pass
         return None
 
-    def add_idle(self, conn: Connection) -> None:
+    def add_idle(self, connection: Connection) -> None:
         """Add a connection that has become idle now."""
         if self.is_open:
-            conn.idle_since = monotonic()
-            self.idle.append(conn)
-            self.hosts.add_idle(conn)
+            connection.idle_since = monotonic()
+            self.idle.append(connection)
+            self.endpoint_pools.add_idle(connection)
         else:
-            conn.close()
+            connection.close()
 
-    def take_idle(self, conn: Connection) -> Connection:
+    def take_idle(self, connection: Connection) -> Connection:
         """Remove a connection from the idle ones and return it."""
-        self.idle.remove(conn)
-        self.hosts.idle.pop(conn, None)
-        return conn
+        self.idle.remove(connection)
+        self.endpoint_pools.idle.pop(connection, None)
+        return connection
 
-    def return_idle(self, conn: Connection) -> None:
+    def return_idle(self, connection: Connection) -> None:
         """Return a connection that was taken and not used; it stays idle since the same time as before."""
-        if self.is_open and conn in self.hosts.connections:
-            bisect.insort(self.idle, conn, key=lambda idle: idle.idle_since)
-            self.hosts.add_idle(conn)
+        if self.is_open and connection in self.endpoint_pools.connections:
+            bisect.insort(self.idle, connection, key=lambda idle: idle.idle_since)
+            self.endpoint_pools.add_idle(connection)
         else:
-            conn.close()
+            connection.close()
 
-    def forget(self, conn: Connection) -> None:
+    def forget(self, connection: Connection) -> None:
         """Forget a connection that closes; an attempt that it was reserved for gets a new one."""
-        if conn in self.idle:
-            self.take_idle(conn)
-        self.hosts.connections.discard(conn)
+        if connection in self.idle:
+            self.take_idle(connection)
+        self.endpoint_pools.connections.discard(connection)
         for attempt, settling in list(self.settling.items()):
-            if settling.conn is conn:
+            if settling.connection is connection:
                 del self.settling[attempt]
                 settling.timer.cancel()
                 self.start_new(attempt)
 
     def abandon(self, attempt: Attempt, result: str) -> None:
         """Give up an attempt, and the connection that it is on."""
-        self.hosts.give_up(attempt, result)
+        self.endpoint_pools.give_up(attempt, result)
 
     def record_response_time(self, seconds: float) -> None:
         """Add a response time to the endpoint's moving average."""
@@ -200,8 +201,8 @@
 
     def close_idle(self) -> None:
         """Close the idle connections."""
-        for conn in list(self.idle):
-            conn.close()
+        for connection in list(self.idle):
+            connection.close()
 
     def stop(self) -> None:
         """Close the pool for good; attempts that wait for a connection end, those in flight go on."""
@@ -210,7 +211,7 @@
         for attempt, settling in list(self.settling.items()):
             del self.settling[attempt]
             settling.timer.cancel()
-            settling.conn.close()
+            settling.connection.close()
             attempt.end("connect_failed")
         for waiting, task in list(self.connecting.items()):
             del self.connecting[waiting]
@@ -220,22 +221,22 @@
 
     async def _connect_for(self, attempt: Attempt) -> None:
         """Open a connection and send the attempt on it, if it still waits for one."""
-        conn = None
+        connection = None
         result = "connect_failed"
         try:
-            conn = await self.open()
+            connection = await self.open()
         except ShortageError:
             result = "moot"
         finally:
             is_awaited = self.connecting.pop(attempt, None) is not None
-        if conn is not None:
-            self.hosts.connections.add(conn)
+        if connection is not None:
+            self.endpoint_pools.connections.add(connection)
             is_wanted = is_awaited and not attempt.result and self.is_open
-            if is_wanted and conn.transport is not None and not conn.transport.is_closing():
-                if not conn.start(attempt):
-                    self.add_idle(conn)
+            if is_wanted and connection.transport is not None and not connection.transport.is_closing():
+                if not connection.start(attempt):
+                    self.add_idle(connection)
                 return
-            conn.close()
+            connection.close()
         if is_awaited:
             attempt.end(result)
 
@@ -244,17 +245,17 @@
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
-        conn: Connection | None = None
+        connection: Connection | None = None
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-            async with asyncio.timeout(self.hosts.connect_timeout):
+            async with asyncio.timeout(self.endpoint_pools.connect_timeout):
                 await loop.sock_connect(sock, self.address)
-                _, conn = await loop.create_connection(lambda: Connection(self, sock), sock=sock)
-            return conn
+                _, connection = await loop.create_connection(lambda: Connection(self, sock), sock=sock)
+            return connection
         finally:
-            if conn is None:
+            if connection is None:
                 sock.close()
 
 
@@ -265,22 +266,22 @@
     cancelled before its first step would never remove it.
     """
 
-    def __init__(self, hosts: Hosts) -> None:
-        """Make an empty map whose length counts in `hosts.connecting_count`."""
+    def __init__(self, endpoint_pools: Hosts) -> None:
+        """Make an empty map whose length counts in `endpoint_pools.connecting_count`."""
         super().__init__()
-        self.hosts = hosts
+        self.endpoint_pools = endpoint_pools
 
     def __setitem__(self, key: object, task: asyncio.Task[None]) -> None:
         """Add a connect."""
-        self.hosts.connecting_count += key not in self
+        self.endpoint_pools.connecting_count += key not in self
         super().__setitem__(key, task)
 
     def __delitem__(self, key: object) -> None:
         """Remove a connect."""
         super().__delitem__(key)
-        self.hosts.connecting_count -= 1
+        self.endpoint_pools.connecting_count -= 1
 
     def pop(self, key: object, default: asyncio.Task[None] | None = None) -> asyncio.Task[None] | None:  # type: ignore[override]
         """Remove a connect and return it, or `default` where there is none."""
-        self.hosts.connecting_count -= key in self
+        self.endpoint_pools.connecting_count -= key in self
         return super().pop(key, default)
