--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -27,8 +27,8 @@
 from api_gateway.control import config_changes as module
 from api_gateway.control import config_schema as keys
 from api_gateway.control import server as control
-from api_gateway.control.config_changes import STEPS
 from api_gateway.control.config_history import ConfigHistory, content_digest, decode_history, make_version
+from api_gateway.control.config_preparation import STEPS
 from api_gateway.downstream import client_connection as clients
 
 EXTRA = SETTINGS["services"][0] | {"name": "extra"}
@@ -69,7 +69,7 @@
         "settings": n.settings,
         "module": n.module.settings,
         "connects": n.hosts.connect_timeout,
-        "rests": n.hosts.idle_time,
+        "rests": n.hosts.max_idle_time,
         "discovery": n.discovery.url,
         "watch": n.discovery.watching,
         "timeout": n.counter.timeout,
@@ -81,7 +81,7 @@
         "plans": dict(n.module.quota.plan_usage),
         "current": n.changes.current,
         "history": n.changes.history,
-        "connections": set(n.hosts.conns) | set(n.clients.clients),
+        "connections": set(n.hosts.connections) | set(n.clients.clients),
     }
 
 
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -679,7 +679,7 @@
 # Constants that bound a number of things, and are no bounds on a fleet: on one connection, line, value or
 # caller, times, weights, or what a configuration sets.
 NO_BOUND_ON_A_FLEET = {
-    "counter_client.MOST_LINE",
+    "counter_client.MAX_ANSWER_BYTES",
     "downstream.client_connection.MOST_PENDING",
     "downstream.client_connection.OVER_MOST",
     "base.resp.MOST_PARTS",
@@ -688,7 +688,7 @@
     "base.resp.MOST_DIGITS",
     "gateway.node.MOST_HELD",
     "downstream.client_connection.MOST_COMMAND",
-    "upstream.pool.MOST_REPLY",
+    "upstream.connection.MAX_REPLY_BYTES",
     "control.server.MOST_CALLERS",
     "control.server.MOST_ENDING",
     "control.config_schema.MOST_DEPTH",
@@ -703,7 +703,7 @@
     "base.endpoint_list.MOST_VALUE",
     "base.subsets.WORD_MOST",
     "control.config_changes.MOST_VERSIONS",
-    "counter_client.BACKOFF_MOST",
+    "counter_client.MAX_BACKOFF_S",
     "discovery.client.GRACE_MOST",
     "discovery.client.BACKOFF_MOST",
     "control.config_changes.CONFIRM_MOST",
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -24,13 +24,15 @@
 from api_gateway.control import config_candidate as candidate
 from api_gateway.control import config_history
 from api_gateway.control.host_overrides import decode_overrides
-from api_gateway.counter_client import MOST_LINE, Call
-from api_gateway.counter_client import Line as CounterLine
+from api_gateway.counter_client import MAX_ANSWER_BYTES, Call
+from api_gateway.counter_client import CounterConnection as CounterLine
 from api_gateway.discovery.fetcher import Broken, Fetcher, Line
 from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
 from api_gateway.membership.core import read as read_datagram
 from api_gateway.settings_parser import read_settings
-from api_gateway.upstream.pool import Attempt, parse_report, read_reply
+from api_gateway.upstream.attempt import Attempt
+from api_gateway.upstream.connection import read_reply
+from api_gateway.upstream.load_report import parse_load_report
 
 ENDS = b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n"  # the value's end is no end
 DIGITS = set(b"0123456789")
@@ -428,7 +430,7 @@
 @seeded
 def test_a_load_report_is_read_as_a_slow_reader_does(pairs, change):
     text = altered(",".join(f"{name}={value}" for name, value in pairs).encode(), change)
-    assert parse_report(text) == slow_report(text.decode("utf-8", "replace"))
+    assert parse_load_report(text) == slow_report(text.decode("utf-8", "replace"))
 
 
 # The counter
@@ -452,7 +454,7 @@
     while (end := stream.find(b"\n")) >= 0:
         line, stream = stream[:end], stream[end + 1 :]
         text = line.removesuffix(b"\r")
-        if len(line) > MOST_LINE or text == line or not calls:
+        if len(line) > MAX_ANSWER_BYTES or text == line or not calls:
             return told, True
         name, *calls = calls
         if text == b"pong" and name < 0:
@@ -463,7 +465,7 @@
             told.append((name, "full", 0.0))
         else:
             return told, True
-    return told, len(stream) > MOST_LINE
+    return told, len(stream) > MAX_ANSWER_BYTES
 
 
 class Spoilt(Exception):
@@ -471,14 +473,14 @@
 
 
 class Heard(CounterLine):
-    def spoilt(self):
+    def abort_after_malformed_answer(self):
         raise Spoilt
 
 
 def hear(pieces, calls):
     line, told = Heard(("127.0.0.1", 1)), []
     for name in calls:
-        line.calls.append(Call(name, b"", lambda *said: told.append(said[:3])))
+        line.unanswered_calls.append(Call(name, b"", lambda *said: told.append(said[:3])))
     try:
         for piece in pieces:
             line.data_received(piece)
