--- a/api_gateway/downstream/client_connection.py
+++ b/api_gateway/downstream/client_connection.py
@@ -1,49 +1,34 @@
-"""The server that clients connect to: reads commands, answers in order, notes clients that left."""
+"""One connection of a client: reads its commands and writes their answers in order."""
 
 from __future__ import annotations
 
 import array
 import asyncio
 import fcntl
-import logging
-import math
-import os
 import select
 import socket
 import termios
-from collections import OrderedDict, deque
+from collections import deque
 from collections.abc import Callable, Iterable
-from functools import partial
-from itertools import islice
 from time import monotonic
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import hiredis
 
-from api_gateway.base.accepting import open_listening_socket
-from api_gateway.base.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
-from api_gateway.downstream.listener import ClientListener
+from api_gateway.base.resp import NO_REPLY, SMALL, Reader
+from api_gateway.downstream.body_budget import Body
+
+if TYPE_CHECKING:
+    from api_gateway.downstream.client_server import ClientServer
 
 MOST_COMMAND = SMALL + 4096  # bytes of one command but for a large body, framing included
-BACKLOG = 1024
 MOST_PENDING = 512  # commands of one connection in work; past that it is not read
 HEAD_WITHIN = 2.5  # s for a connection's first command, and for one that has begun, to come but for its body
 PIECE_WITHIN = 2.2  # s between two pieces of a body
 TAKEN_WITHIN = 60.0  # s after which a client that takes nothing more of its answers is given up
-SWEEP = 0.1  # s between looks for those that took longer, or that went while they were not read
 LINGER = 1.0  # s after the end of what is sent in which the client may end its side
-LINGER_PART = 0.25  # part of the connections that may do so at once; past it the first of them is closed
-FRESH_PART = 0.25  # part of the connections that those between requests keep which asked once or never
-OVER_PART = 0.05  # part past the limit for new ones that are served once where all others are at work
-OVER_MOST = 16  # of these; with one turn's new connections within the descriptors that are spare
-TRIES = 8  # connections between requests that are looked at for one that may go
-REST = 2.0  # s without a request after which a connection may be closed
-LAST_READ = 1.6  # s into a drain from which nothing more is read: at 4 s only older requests are open
-READ_PART = 0.55  # part of a shorter time for a drain from which nothing more is read
 FIRST_WITHIN = 1.0  # s for the first command of a connection that comes during a drain
 
-log = logging.getLogger(__name__)
-
 
 class Slot:
     """The place of one command's answer among those of its connection."""
@@ -73,49 +58,6 @@
         self.client.transport.close()
 
 
-class Body:
-    """A large body that comes in pieces. Its place in the budget is taken before any of them."""
-
-    __slots__ = ("data", "size")
-
-    def __init__(self, length: int) -> None:
-        self.data, self.size = bytearray(length), 0
-
-    def add(self, piece: bytes) -> None:
-        if self.size < len(self.data):  # and not the end behind it
-            self.data[self.size : self.size + len(piece)] = piece
-            self.size += len(piece)
-
-
-class Budget:
-    """Bytes of large bodies over all clients. Who finds no room waits; the first of them gets in first."""
-
-    def __init__(self) -> None:
-        self.most = MOST_LARGE
-        self.used = 0
-        self.waiting: deque[tuple[int, Client]] = deque()
-
-    def take(self, length: int, client: Client) -> None:
-        self.waiting.append((length, client))
-        self.admit()
-
-    def give(self, length: int) -> None:
-        self.used -= length
-        self.admit()
-
-    def admit(self) -> None:
-        """One body at least always has its place, however small the budget has become."""
-        while self.waiting:
-            length, client = self.waiting[0]
-            gone = client.transport.is_closing()
-            if not gone and self.used and self.used + length > self.most:
-                return
-            self.waiting.popleft()
-            if not gone:
-                self.used += length
-                client.admitted(length)
-
-
 class Client(asyncio.Protocol):
     def __init__(self, server: ClientServer) -> None:
         self.server = server
@@ -408,205 +350,3 @@
             found[fd] = client
             poll.register(fd, select.POLLRDHUP if client.ends_by_half() else 0)  # a reset is told in any case
     return [found[fd] for fd, _ in poll.poll(0)]
-
-
-class Idle:
-    """Connections between requests, each kind in the order in which they came to rest: those that have asked
-    once or never, and those that have come back. All is done in the same time, however many there are."""
-
-    def __init__(self) -> None:
-        self.fresh: OrderedDict[Client, None] = OrderedDict()
-        self.kept: OrderedDict[Client, None] = OrderedDict()
-
-    def add(self, client: Client) -> None:
-        (self.kept if client.asked > 1 else self.fresh)[client] = None
-
-    def drop(self, client: Client) -> None:
-        self.fresh.pop(client, None)
-        self.kept.pop(client, None)
-
-    def first(self, fresh: float) -> Client | None:
-        """Which one is to go: many that come and stay take no place from those that work, where more than
-        `fresh` have not come back."""
-        kinds = (self.fresh, self.kept) if len(self.fresh) > fresh else (self.kept, self.fresh)
-        return next((client for kind in kinds for client in kind), None)
-
-
-class ClientServer:
-    """`handler` has command(slot, command) and gone(slot)."""
-
-    def __init__(self, handler: Any, most: int) -> None:
-        self.handler, self.most = handler, most
-        self.clients: dict[Client, None] = {}  # in order of their coming
-        self.timed: dict[Client, None] = {}  # those of which something is due within a time
-        self.not_read: dict[Client, None] = {}  # those that are not read now: the loop hears of no end
-        self.idle = Idle()
-        self.lingering: OrderedDict[Client, None] = OrderedDict()  # the first that began to is the first
-        self.ending: dict[Client, None] = {}  # those that were cut, until the loop says so
-        self.listener: Any = None  # a ClientListener, or an Acceptor
-        self.on_empty: Callable[[], None] | None = None
-        self.sweeping: asyncio.TimerHandle | None = None
-        self.drained_at: float | None = None  # since when clients are sent away
-        self.last_read = LAST_READ  # s into a drain
-        self.budget = Budget()
-
-    async def listen(self, host: str, port: int, inherited: int | None = None, edge: Any = None) -> int:
-        """On a duplicate of a descriptor that is inherited: closing it leaves the socket to its owner."""
-        sock = (
-            socket.socket(fileno=os.dup(inherited))
-            if inherited is not None
-            else open_listening_socket((host, port), BACKLOG)
-        )
-        sock.setblocking(False)
-        if edge is not None:
-            from api_gateway.downstream.admission import Acceptor
-
-            self.listener = Acceptor(sock, self, edge)
-        else:
-            self.listener = ClientListener(sock, lambda: Client(self), self.free)
-        self.sweep()
-        return self.listener.sockets[0].getsockname()[1]
-
-    def sweep(self) -> None:
-        """A peer that sends nothing, or never a whole command, is owed an end to it; of one that has gone
-        nothing more is sent on."""
-        self.sweeping = asyncio.get_running_loop().call_later(SWEEP, self.sweep)
-        now = monotonic()
-        for client in ended(self.not_read):
-            self.alone(client, client.leave)
-        for client in list(self.timed if self.drained_at is None else self.clients):
-            if not self.alone(client, partial(client.check, now)):
-                self.timed.pop(client, None)
-
-    def alone(self, client: Client, act: Callable[[], Any]) -> Any:
-        """What `act` does to a client; where that fails, it is the end of this one only."""
-        try:
-            return act()
-        except Exception:
-            log.exception("a connection could not be served or ended")
-            client.broken = True
-            client.transport.abort()
-            return None
-
-    def joined(self, client: Client) -> None:
-        """Holds the limit of descriptors. Past it one goes for each that comes: the first of those that only
-        linger, or else one between requests, which may then linger until the next one comes. Where all are at
-        work it is the new one: after its first answer, or unread where there are too many of these, too."""
-        self.clients[client] = None
-        self.idle.add(client)
-        if self.excess() > 0 and self.lingering:
-            self.cut(next(iter(self.lingering)))
-        if self.excess() <= 0:
-            return
-        gone = self.evict(client)
-        if self.excess() > min(OVER_MOST, 1 + self.most * OVER_PART):
-            self.cut(client)
-        elif not gone:
-            client.close_when_done()
-
-    def excess(self) -> int:
-        """How many are too many. An end takes effect a turn later: those that have theirs do not count."""
-        return len(self.clients) - len(self.ending) - self.most
-
-    def evict(self, but: Client) -> bool:
-        """Whether one between requests goes: if possible with nothing unread, else once that is answered."""
-        works = None
-        for _ in range(TRIES):
-            client = self.idle.first(max(1.0, self.most * FRESH_PART))
-            if client is None or client is but:
-                break
-            self.idle.drop(client)  # its next answer brings it back
-            if client.works():
-                continue
-            if not self.alone(client, client.unread):
-                self.alone(client, client.close_when_done)
-                return True
-            works = works or client
-        if works is not None:
-            self.alone(works, works.close_when_done)
-        return works is not None
-
-    def free(self) -> bool:
-        """The system has no descriptor left for one that comes: those that have theirs keep it, but for one
-        that lingers. Whether there was one."""
-        if self.lingering:
-            self.cut(next(iter(self.lingering)))
-            return True
-        return False
-
-    def end_fresh(self) -> bool:
-        """Whether there was one at rest which has asked once or never: it is ended at once. For want of a
-        descriptor none could be opened to a host, discovery or the counter, which serve all."""
-        for client in list(islice(self.idle.fresh, TRIES)):
-            self.idle.drop(client)  # its next answer brings it back
-            if not client.works() and self.alone(client, client.unread) is False:
-                self.cut(client)
-                return True
-        return False
-
-    def lingers(self, client: Client) -> None:
-        """Those that linger hold a part of the descriptors only, but for a drain, which ends all at once."""
-        self.lingering[client] = None
-        if self.drained_at is None and len(self.lingering) > max(1.0, self.most * LINGER_PART):
-            self.cut(next(iter(self.lingering)))
-
-    def cut(self, client: Client) -> None:
-        self.lingering.pop(client, None)
-        self.ending[client] = None
-        client.transport.abort()
-
-    def resting(self) -> list[Client]:
-        """Those that may be closed, the one that rests longest first."""
-        since = monotonic() - REST
-        return sorted((c for c in self.clients if c.rests(since)), key=lambda c: c.active)
-
-    def make_room(self) -> None:
-        """After the limit has shrunk: as many go as are too many, of those that rest."""
-        for client in self.resting()[: max(0, len(self.clients) - self.most)]:
-            client.close_when_done()
-
-    def left(self, client: Client) -> None:
-        for known in (self.clients, self.timed, self.not_read, self.lingering, self.ending):
-            known.pop(client, None)
-        self.idle.drop(client)
-        if not self.clients and self.on_empty:
-            self.on_empty()
-
-    def drain(self, on: bool) -> None:
-        """On: each connection closes once all it asked has been answered, a new one after its first."""
-        self.drained_at = monotonic() if on else None
-        for client in list(self.clients):
-            client.last = False
-            self.alone(client, client.throttle)
-            self.alone(client, client.flush)
-
-    async def take_last(self, within: float) -> None:
-        """Until what has come to the listener is taken: its close would reset what waits there."""
-        poll, end = select.poll(), monotonic() + within
-        poll.register(self.listener.sockets[0].fileno(), select.POLLIN)
-        while (poll.poll(0) or self.listener.coming) and monotonic() < end:
-            await asyncio.sleep(0)
-
-    def finish(self, within: float = math.inf) -> None:
-        """No new connections, and an end to those that there are, all `within` so many seconds: what comes in
-        the second half of these stays unread, and is better off elsewhere."""
-        self.last_read = min(self.last_read, READ_PART * within)
-        if self.listener:
-            self.listener.close()
-        if self.drained_at is None:
-            self.drain(True)
-
-    def stop_reading(self) -> None:
-        """Nothing that comes from here on is read, on any connection; what was read already is taken now."""
-        for client in list(self.clients):
-            client.last = True
-            self.alone(client, client.throttle)
-            self.alone(client, client.take_waiting)
-
-    def close(self) -> None:
-        """Whatever is still open ends here."""
-        if self.sweeping:
-            self.sweeping.cancel()
-        for client in list(self.clients):
-            client.closing = True
-            client.transport.close()
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -158,7 +158,7 @@
 
 def edge_of(told: Any) -> Any:
     """Imported where there is one only."""
-    from api_gateway.downstream.admission import read_edge
+    from api_gateway.downstream.admission_settings import read_edge
 
     return read_edge(told)
 
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -28,7 +28,7 @@
 from api_gateway.control import config_schema as keys
 from api_gateway.control import server as control
 from api_gateway.control.config_changes import STEPS, History, digest, read_history, version
-from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream import client_server
 
 EXTRA = SETTINGS["services"][0] | {"name": "extra"}
 # On a machine that is busy with other things nothing is taken for late; and no quota is met.
@@ -415,7 +415,7 @@
 
 @on_loop
 async def test_connections_that_rest_make_room_for_smaller_limits(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "REST", 0.0)
+    monkeypatch.setattr(client_server, "REST", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peers = [await node.connect() for _ in range(45)]
         for n, (reader, writer) in enumerate(peers):
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -8,6 +8,7 @@
 
 from api_gateway.control import server as control
 from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream import client_server
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
@@ -155,7 +156,7 @@
 async def test_a_connection_in_use_is_not_read_for_ever_in_a_drain_and_active_takes_it_back(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(clients, "LAST_READ", 0.05)
+    monkeypatch.setattr(client_server, "LAST_READ", 0.05)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"first"))
@@ -176,7 +177,7 @@
 
 @on_loop
 async def test_a_connection_without_a_command_ends_in_a_drain(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "LAST_READ", 0.05)
+    monkeypatch.setattr(client_server, "LAST_READ", 0.05)
     monkeypatch.setattr(clients, "FIRST_WITHIN", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.call("POST /standby")
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -12,7 +12,7 @@
 from api_gateway.discovery import client as discovery
 from api_gateway.discovery.client import Backoff
 from api_gateway.discovery.replicas import Replicas
-from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream import client_server
 
 
 @on_loop
@@ -251,13 +251,13 @@
 @on_loop
 async def test_clients_are_let_in_when_what_the_agent_has_is_known(tmp_path, monkeypatch):
     """It counts as told from a process's first moment, and the known list may be old."""
-    listen, lists = clients.ClientServer.listen, []
+    listen, lists = client_server.ClientServer.listen, []
 
     async def listening(self, *args):
         lists.append(sorted(self.handler.hosts.pools))
         return await listen(self, *args)
 
-    monkeypatch.setattr(clients.ClientServer, "listen", listening)
+    monkeypatch.setattr(client_server.ClientServer, "listen", listening)
     async with StubHost() as one, StubHost() as two:
         node = Node(one, two, path=tmp_path)
         started = StubDiscovery.__aenter__
--- a/tests/downstream/test_admission.py
+++ b/tests/downstream/test_admission.py
@@ -7,8 +7,9 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, until
 
-from api_gateway.downstream import admission
-from api_gateway.downstream.admission import Edge, Gate, read_edge
+from api_gateway.downstream import admission, peer_monitoring, rate_limits
+from api_gateway.downstream.admission_settings import Edge, read_edge
+from api_gateway.downstream.rate_limits import Gate
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
@@ -63,7 +64,7 @@
 
 
 def test_sources_are_forgotten_but_for_those_that_hold_connections(monkeypatch):
-    monkeypatch.setattr(admission, "MOST_SOURCES", 100)
+    monkeypatch.setattr(rate_limits, "MOST_SOURCES", 100)
     g = gate(per_source=2)
     for n in range(20):
         assert g.ask(0.0, f"10.9.0.{n}") == ""
@@ -277,14 +278,14 @@
 
 
 def test_a_full_backlog_shows():
-    before = admission.overflows()
+    before = peer_monitoring.overflows()
     with socket.create_server(("127.0.0.1", 0), backlog=2) as listener:
-        assert admission.backlog(listener) == (0, 2)
+        assert peer_monitoring.backlog(listener) == (0, 2)
         peers = [socket.socket() for _ in range(12)]
         for peer in peers:
             peer.setblocking(False)
             peer.connect_ex(listener.getsockname())
-        assert admission.backlog(listener) == (3, 2)  # one more than it says, in Linux
-        assert admission.overflows() > before
+        assert peer_monitoring.backlog(listener) == (3, 2)  # one more than it says, in Linux
+        assert peer_monitoring.overflows() > before
         for peer in peers:
             peer.close()
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -11,6 +11,7 @@
 from netkit import SERVED, SETTINGS, VALUE, Node, StubHost, bear, command, on_loop, read_reply, terms, until
 
 from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream import client_server
 from api_gateway.gateway import shutdown
 from api_gateway.policy import load_shedding as shedding
 from api_gateway.policy import retries as attempts
@@ -358,7 +359,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.looking.cancel()
         node.node.clients.most = 1
-        peer, joined = Peer(node.port), clients.ClientServer.joined
+        peer, joined = Peer(node.port), client_server.ClientServer.joined
         await until(lambda: node.node.clients.clients)
         (first,) = node.node.clients.clients
 
@@ -369,7 +370,7 @@
                     pass
             joined(server, client)
 
-        monkeypatch.setattr(clients.ClientServer, "joined", joining)
+        monkeypatch.setattr(client_server.ClientServer, "joined", joining)
         assert await node.ask(command(b"r2")) == SERVED
         assert await peer.read() == SERVED
 
@@ -506,8 +507,10 @@
 
 @on_loop
 async def test_where_all_are_at_work_few_come_past_the_limit(tmp_path, monkeypatch):
-    joined, come = clients.ClientServer.joined, []
-    monkeypatch.setattr(clients.ClientServer, "joined", lambda *args: (joined(*args), come.append(args)))
+    joined, come = client_server.ClientServer.joined, []
+    monkeypatch.setattr(
+        client_server.ClientServer, "joined", lambda *args: (joined(*args), come.append(args))
+    )
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.looking.cancel()
         server, peers = node.node.clients, []
--- a/tests/downstream/test_fair_queueing.py
+++ b/tests/downstream/test_fair_queueing.py
@@ -8,9 +8,11 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, until
 
-from api_gateway.downstream import admission
 from api_gateway.downstream import client_connection as clients
-from api_gateway.downstream.admission import LOT, QUANTUM, Origin, Ring, cost
+from api_gateway.downstream import client_server, fair_queueing
+from api_gateway.downstream.admission_settings import read_edge
+from api_gateway.downstream.fair_queueing import LOT, QUANTUM, Origin, Ring, cost
+from api_gateway.downstream.rate_limits import Gate
 
 DEAREST = 5.0
 
@@ -155,8 +157,8 @@
     "address, weight", [("10.2.0.9", 4.0), ("10.3.0.1", 0.5), ("192.0.2.1", 1.0), ("fe80::1%eth0", 1.0)]
 )
 def test_a_source_has_the_weight_of_the_first_network_that_fits(address, weight):
-    edge = admission.read_edge({"weights": {"10.2.0.0/16": 4, "10.0.0.0/8": 0.5}})
-    assert admission.Gate(edge, 0.0).weight(address) == weight
+    edge = read_edge({"weights": {"10.2.0.0/16": 4, "10.0.0.0/8": 0.5}})
+    assert Gate(edge, 0.0).weight(address) == weight
 
 
 EDGE = {"edge": {}}
@@ -216,7 +218,7 @@
 @pytest.mark.parametrize("call", ["POST /standby", None])
 @on_loop
 async def test_commands_that_wait_for_their_turn_outlast_a_drain(call, scratch, monkeypatch):
-    monkeypatch.setattr(admission, "LOT", 1.0)
+    monkeypatch.setattr(fair_queueing, "LOT", 1.0)
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
         reader, writer = await node.connect()
         writer.write(HOG[:20000])
@@ -234,7 +236,7 @@
 
 @on_loop
 async def test_a_connection_has_no_more_in_work_than_its_bound(scratch, monkeypatch):
-    for module in (admission, clients):
+    for module in (fair_queueing, clients):
         monkeypatch.setattr(module, "MOST_PENDING", 8)
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
         seen, take = [], node.node.take
@@ -296,10 +298,10 @@
 async def test_pipelines_fit_themselves_to_what_hosts_have_room_for(halves, monkeypatch):
     """Additive increase, multiplicative decrease: few are refused, and the room is used."""
     if not halves:  # planted: what the module says of pressure is not heard
-        monkeypatch.setattr(admission.FairClient, "pressed", lambda self: None)
+        monkeypatch.setattr(fair_queueing.FairClient, "pressed", lambda self: None)
     handler = Full(room=20)
-    server = clients.ClientServer(handler, 100)
-    port = await server.listen("127.0.0.1", 0, edge=admission.read_edge({}))
+    server = client_server.ClientServer(handler, 100)
+    port = await server.listen("127.0.0.1", 0, edge=read_edge({}))
     pairs = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2)]
     for _, writer in pairs:
         writer.write(HOG * 5)
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -8,7 +8,8 @@
 
 from api_gateway.base.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
 from api_gateway.downstream import client_connection as clients
-from api_gateway.downstream.client_connection import Budget
+from api_gateway.downstream import client_server
+from api_gateway.downstream.body_budget import Budget
 
 BIG = bytes(range(256)) * 4096  # 1 MiB
 WRITE = terms(c="write", k="77")
@@ -238,7 +239,7 @@
 
 @on_loop
 async def test_in_a_drain_a_body_that_is_still_coming_is_not_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "LAST_READ", 0.05)
+    monkeypatch.setattr(client_server, "LAST_READ", 0.05)
     monkeypatch.setattr(clients, "FIRST_WITHIN", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -12,7 +12,7 @@
 from netkit import SERVED, SETTINGS, VALUE, Node, StubHost, command, has_settled, on_loop, terms, until
 
 from api_gateway import interface as api
-from api_gateway.downstream import admission
+from api_gateway.downstream import fair_queueing
 from api_gateway.experiments.scale import latency, page, stamped, timed
 from api_gateway.experiments.scale.latency import PLAN, Asked, Load, by_part, disturbed, joined
 from api_gateway.gateway import node as gateway
@@ -209,7 +209,7 @@
 
 @on_loop
 async def test_a_turn_that_comes_late(clock, monkeypatch, tmp_path):
-    slow(monkeypatch, clock, admission.Turns, "turn")
+    slow(monkeypatch, clock, fair_queueing.Turns, "turn")
     with stamped.watching() as stamps:
         async with StubHost() as host, Node(host, path=tmp_path, more={"edge": {}}) as gw:
             assert await gw.ask(command()) == SERVED
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -594,9 +594,9 @@
     _, book = page.page(many, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
     assert order.index("membership.core.MOST_MEMBERS") < order.index("budgets.terms.MOST_BUDGETS")
-    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("downstream.admission.MOST_SOURCES")
+    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("downstream.rate_limits.MOST_SOURCES")
     ratios = {row.limit.expr: ratio.value for _, row, ratio in page.over_limit(book)}
-    assert ratios["downstream.admission.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
+    assert ratios["downstream.rate_limits.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
     _, book = page.page(TARGET, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
     assert order.index("budgets.terms.MOST_BUDGETS") < order.index("membership.core.MOST_MEMBERS")
@@ -681,7 +681,7 @@
 NO_BOUND_ON_A_FLEET = {
     "counter_client.MOST_LINE",
     "downstream.client_connection.MOST_PENDING",
-    "downstream.client_connection.OVER_MOST",
+    "downstream.client_server.OVER_MOST",
     "base.resp.MOST_PARTS",
     "base.resp.MOST_LINE",
     "base.resp.MOST_LARGE",
--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -401,7 +401,7 @@
     """With a second address and membership the loop was away for most of a start, the clients' listener
     open: requests that came were read past their time. What views need is there with that key only."""
     code = (
-        "import sys, api_gateway.downstream.client_connection as clients\n"
+        "import sys, api_gateway.downstream.client_server as clients\n"
         "from api_gateway.gateway.__main__ import main\n"
         "async def listen(*_): print(*(f'api_gateway.{m}' in sys.modules for m in "
         "('control.server', 'membership.service', 'discovery.subsets', 'base.subsets')));"
