--- a/api_gateway/downstream/__init__.py
+++ b/api_gateway/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""The side of the gateway that clients connect to."""
--- a/api_gateway/downstream/admission_settings.py
+++ b/api_gateway/downstream/admission_settings.py
@@ -10,24 +10,35 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Edge:
-    """The limits; 0: none."""
+class AdmissionSettings:
+    """Limits on new connections; the fields are named as the keys of the object `edge`. 0: no limit."""
 
-    per_source: int = 0  # connections that one source holds at once
-    new_per_source: float = 0.0  # a second; as many may come at once, one at least
-    new: float = 0.0  # a second, of all sources
-    prefix4: int = 32  # bits of an address that make a source
+    # Connections that one source may have open.
+    per_source: int = 0
+    # New connections a second of one source; as many may come at once, one at least.
+    new_per_source: float = 0.0
+    # New connections a second of all sources.
+    new: float = 0.0
+    # Bits of an address that make a source.
+    prefix4: int = 32
     prefix6: int = 64
-    fronts: tuple[Network, ...] = ()  # sources behind which many clients come: no limit by source for them
-    connects: int = 0  # to one host at once, shared by the attempts that wait for one; none where it is 0
-    connects_all: int = 0  # to all hosts at once, with connects
-    turns: bool = True  # whether commands are taken in turns
-    weights: tuple[tuple[Network, float], ...] = ()  # of sources in turns, the first that fits; else 1
-    half_closed: bool = False  # whether one that ends its sending still gets its answers: else it has gone
-    vanished: float = 60.0  # s without a sign of life after which a peer's machine is gone; 0: never
+    # Networks of proxies behind which many clients come: no limit by source for them.
+    fronts: tuple[Network, ...] = ()
+    # Connection attempts to one endpoint at once, shared by the attempts that wait; none are bounded with 0.
+    connects: int = 0
+    # Connection attempts to all endpoints at once, with `connects`.
+    connects_all: int = 0
+    # Whether commands are handled in turns, see fair_queueing.
+    turns: bool = True
+    # Weights of sources in fair queueing, of the first network that contains an address; otherwise 1.
+    weights: tuple[tuple[Network, float], ...] = ()
+    # Whether a client that shuts its sending side still gets its replies; if not, it counts as gone.
+    half_closed: bool = False
+    # Seconds without a sign of life after which a peer's machine counts as gone; 0: never.
+    vanished: float = 60.0
 
 
-KEYS: dict[str, Any] = {
+NUMBER_TYPES: dict[str, Any] = {  # for isinstance, which takes unions too
     "per_source": int,
     "new_per_source": int | float,
     "new": int | float,
@@ -37,42 +48,59 @@
     "connects": int,
     "connects_all": int,
 }
-MOST = {"prefix4": 32, "prefix6": 128, "vanished": 3600}
-
-
-def read_edge(told: Any) -> Edge:
-    """Raises ValueError that names the key, its value and what is allowed."""
-    if not isinstance(told, dict):
-        raise ValueError(f"edge is {told!r}, not an object")
-    for name, value in told.items():
-        if name in ("fronts", "weights"):
-            continue
-        if name in ("turns", "half_closed"):
-            if not isinstance(value, bool):
-                raise ValueError(f"edge.{name} is {value!r}, not true or false")
-            continue
-        if name not in KEYS:
-            raise ValueError(f"edge.{name}: no such key")
-        most = MOST.get(name, 1e6)
-        if isinstance(value, bool) or not isinstance(value, KEYS[name]) or not 0 <= value <= most:
-            raise ValueError(f"edge.{name} is {value!r}, not a number from 0 to {most:.0f}")
-    if told.get("half_closed") and not told.get("turns", True):
+BOOLEAN_KEYS = ("turns", "half_closed")
+NETWORK_KEYS = ("fronts", "weights")
+UPPER_BOUNDS = {"prefix4": 32, "prefix6": 128, "vanished": 3600}
+DEFAULT_UPPER_BOUND = 1e6
+
+
+def read_edge(raw: Any) -> AdmissionSettings:
+    """Parse the value of the key `edge`, any JSON.
+
+    Raises:
+        ValueError: If it is malformed; names the key, its value and what is allowed.
+    """
+    if not isinstance(raw, dict):
+        raise ValueError(f"edge is {raw!r}, not an object")
+    for name, value in raw.items():
+        if name not in NETWORK_KEYS:
+            check_scalar(name, value)
+    if raw.get("half_closed") and not raw.get("turns", True):
         raise ValueError("edge.half_closed is true, which needs turns")
-    fronts = told.get("fronts", [])
-    if not isinstance(fronts, list) or not all(isinstance(text, str) for text in fronts):
-        raise ValueError(f"edge.fronts is {fronts!r}, not a list of networks such as 10.0.0.0/8")
+    fronts = parse_fronts(raw.get("fronts", []))
+    weights = parse_weights(raw.get("weights", {}))
+    return AdmissionSettings(**{**raw, "fronts": fronts, "weights": weights})
+
+
+def check_scalar(name: str, value: Any) -> None:
+    """Check a key with a number or a boolean; raises ValueError."""
+    if name in BOOLEAN_KEYS:
+        if not isinstance(value, bool):
+            raise ValueError(f"edge.{name} is {value!r}, not true or false")
+        return
+    if name not in NUMBER_TYPES:
+        raise ValueError(f"edge.{name}: no such key")
+    bound = UPPER_BOUNDS.get(name, DEFAULT_UPPER_BOUND)
+    if isinstance(value, bool) or not isinstance(value, NUMBER_TYPES[name]) or not 0 <= value <= bound:
+        raise ValueError(f"edge.{name} is {value!r}, not a number from 0 to {bound:.0f}")
+
+
+def parse_fronts(raw: Any) -> tuple[Network, ...]:
+    """Parse `fronts`, a list of networks; raises ValueError."""
+    if not isinstance(raw, list) or not all(isinstance(text, str) for text in raw):
+        raise ValueError(f"edge.fronts is {raw!r}, not a list of networks such as 10.0.0.0/8")
     try:
-        networks = tuple(ipaddress.ip_network(text) for text in fronts)
+        return tuple(ipaddress.ip_network(text) for text in raw)
     except ValueError as err:
         raise ValueError(f"edge.fronts: {err}") from err
-    return Edge(**{**told, "fronts": networks, "weights": read_weights(told.get("weights", {}))})
 
 
-def read_weights(told: Any) -> tuple[tuple[Network, float], ...]:
-    if not isinstance(told, dict):
-        raise ValueError(f"edge.weights is {told!r}, not an object such as {{'10.0.0.0/8': 4}}")
+def parse_weights(raw: Any) -> tuple[tuple[Network, float], ...]:
+    """Parse `weights`, an object of weights by network, in its order; raises ValueError."""
+    if not isinstance(raw, dict):
+        raise ValueError(f"edge.weights is {raw!r}, not an object such as {{'10.0.0.0/8': 4}}")
     weights = []
-    for text, weight in told.items():
+    for text, weight in raw.items():
         if isinstance(weight, bool) or not isinstance(weight, int | float) or not 0.1 <= weight <= 100:
             raise ValueError(f"edge.weights.{text} is {weight!r}, not a number from 0.1 to 100")
         try:
--- a/api_gateway/downstream/body_budget.py
+++ b/api_gateway/downstream/body_budget.py
@@ -1,4 +1,4 @@
-"""Large request bodies: one that is being received, and the memory for all of them."""
+"""Large request bodies: one that is being received, and the memory budget that all of them share."""
 
 from __future__ import annotations
 
@@ -8,47 +8,64 @@
 from api_gateway.base.resp import MOST_LARGE
 
 if TYPE_CHECKING:
-    from api_gateway.downstream.client_connection import Client
+    from api_gateway.downstream.client_connection import ClientConnection
 
 
-class Body:
-    """A large body that comes in pieces. Its place in the budget is taken before any of them."""
+class IncomingBody:
+    """A large body that arrives in pieces, in a buffer of its announced length.
 
-    __slots__ = ("data", "size")
+    Its bytes are reserved in the BodyBudget before the first piece is read.
+    """
+
+    __slots__ = ("data", "received_bytes")
 
     def __init__(self, length: int) -> None:
-        self.data, self.size = bytearray(length), 0
+        """Allocate the buffer for a body of `length` bytes."""
+        self.data = bytearray(length)
+        self.received_bytes = 0
+
+    def append(self, piece: bytes) -> None:
+        """Store the next piece; the line end that follows the complete body is dropped."""
+        if self.received_bytes < len(self.data):
+            self.data[self.received_bytes : self.received_bytes + len(piece)] = piece
+            self.received_bytes += len(piece)
 
-    def add(self, piece: bytes) -> None:
-        if self.size < len(self.data):  # and not the end behind it
-            self.data[self.size : self.size + len(piece)] = piece
-            self.size += len(piece)
 
+class BodyBudget:
+    """Bytes of large bodies over all client connections.
 
-class Budget:
-    """Bytes of large bodies over all clients. Who finds no room waits; the first of them gets in first."""
+    A connection that finds no capacity waits, unread, in the order of arrival. Whoever holds a reservation
+    gives it back with `give`: the connection while the body is arriving, the request's owner afterwards.
+    """
 
     def __init__(self) -> None:
-        self.most = MOST_LARGE
-        self.used = 0
-        self.waiting: deque[tuple[int, Client]] = deque()
+        """Create an empty budget with the capacity for one body of the largest size."""
+        self.most = MOST_LARGE  # capacity in bytes
+        self.used = 0  # bytes that are reserved
+        self.waiting: deque[tuple[int, ClientConnection]] = deque()
 
-    def take(self, length: int, client: Client) -> None:
-        self.waiting.append((length, client))
-        self.admit()
+    def reserve(self, length: int, connection: ClientConnection) -> None:
+        """Reserve `length` bytes for a connection, which is called back as soon as they are available."""
+        self.waiting.append((length, connection))
+        self.admit_waiting()
 
     def give(self, length: int) -> None:
+        """Release `length` reserved bytes and admit connections that wait for them."""
         self.used -= length
-        self.admit()
+        self.admit_waiting()
+
+    def admit_waiting(self) -> None:
+        """Admit waiting connections in order, as far as the capacity goes.
 
-    def admit(self) -> None:
-        """One body at least always has its place, however small the budget has become."""
+        A single body is always admitted, even if the budget has become smaller than it: otherwise it would
+        wait forever. Connections that were closed meanwhile are dropped.
+        """
         while self.waiting:
-            length, client = self.waiting[0]
-            gone = client.transport.is_closing()
-            if not gone and self.used and self.used + length > self.most:
+            length, connection = self.waiting[0]
+            is_closed = connection.transport.is_closing()
+            if not is_closed and self.used and self.used + length > self.most:
                 return
             self.waiting.popleft()
-            if not gone:
+            if not is_closed:
                 self.used += length
-                client.admitted(length)
+                connection.on_body_reserved(length)
--- a/api_gateway/downstream/client_server.py
+++ b/api_gateway/downstream/client_server.py
@@ -1,4 +1,4 @@
-"""All connections of clients: accepting, their limit, their timers, drain and shutdown."""
+"""All connections of clients: accepting, their limit, their timeouts, drain and shutdown."""
 
 from __future__ import annotations
 
@@ -13,203 +13,301 @@
 from functools import partial
 from itertools import islice
 from time import monotonic
-from typing import Any
+from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
 from api_gateway.base.accepting import open_listening_socket
-from api_gateway.downstream.body_budget import Budget
-from api_gateway.downstream.client_connection import Client, ended
-from api_gateway.downstream.idle_connections import Idle
+from api_gateway.downstream.body_budget import BodyBudget
+from api_gateway.downstream.client_connection import ClientConnection
+from api_gateway.downstream.client_socket import find_disconnected
+from api_gateway.downstream.idle_connections import IdleConnections
 from api_gateway.downstream.listener import ClientListener
+from api_gateway.downstream.pending_reply import Slot
 
-BACKLOG = 1024
-SWEEP = 0.1  # s between looks for those that took longer, or that went while they were not read
-LINGER_PART = 0.25  # part of the connections that may do so at once; past it the first of them is closed
-FRESH_PART = 0.25  # part of the connections that those between requests keep which asked once or never
-OVER_PART = 0.05  # part past the limit for new ones that are served once where all others are at work
-OVER_MOST = 16  # of these; with one turn's new connections within the descriptors that are spare
-TRIES = 8  # connections between requests that are looked at for one that may go
-REST = 2.0  # s without a request after which a connection may be closed
-LAST_READ = 1.6  # s into a drain from which nothing more is read: at 4 s only older requests are open
-READ_PART = 0.55  # part of a shorter time for a drain from which nothing more is read
+if TYPE_CHECKING:
+    from api_gateway.downstream.admission import AdmissionListener
+    from api_gateway.downstream.admission_settings import AdmissionSettings
+
+# Connections that the kernel queues until they are accepted.
+LISTEN_BACKLOG = 1024
+# Between two checks of the timeouts, and for clients that went while they were not read.
+CHECK_INTERVAL_S = 0.1
+# Of the capacity: connections that may linger at once; past it the oldest of them is aborted.
+LINGERING_FRACTION = 0.25
+# Of the capacity: idle connections with one command or none; past it they are closed before others.
+FRESH_IDLE_FRACTION = 0.25
+# Of the capacity: connections past it that are served once where all others are busy.
+OVERFLOW_FRACTION = 0.05
+# Of these connections; with one turn's new connections they stay within the spare descriptors.
+MAX_OVERFLOW_CONNECTIONS = 16
+# Idle connections that are considered when one must be closed; bounds the cost of a new connection.
+EVICTION_CANDIDATES = 8
+# Without a request, until a connection may be closed.
+MIN_IDLE_S = 2.0
+# Of a drain, after which nothing more is read: 4 s into it only older requests may be open.
+DRAIN_READ_S = 1.6
+# Of a shorter time for a drain, after which nothing more is read.
+DRAIN_READ_FRACTION = 0.55
 
 log = logging.getLogger(__name__)
 
+Result = TypeVar("Result")
+
+
+class CommandHandler(Protocol):
+    """What serves the commands of all connections."""
+
+    def command(self, slot: Slot, command: Any, /) -> None:
+        """Serve a RESP value of any shape: complete `slot` now, or set its token and complete it later."""
+        ...
+
+    def gone(self, slot: Slot, /) -> None:
+        """Cancel the command of `slot`: its client has gone and nothing more can be written."""
+        ...
+
 
 class ClientServer:
-    """`handler` has command(slot, command) and gone(slot)."""
-
-    def __init__(self, handler: Any, most: int) -> None:
-        self.handler, self.most = handler, most
-        self.clients: dict[Client, None] = {}  # in order of their coming
-        self.timed: dict[Client, None] = {}  # those of which something is due within a time
-        self.not_read: dict[Client, None] = {}  # those that are not read now: the loop hears of no end
-        self.idle = Idle()
-        self.lingering: OrderedDict[Client, None] = OrderedDict()  # the first that began to is the first
-        self.ending: dict[Client, None] = {}  # those that were cut, until the loop says so
-        self.listener: Any = None  # a ClientListener, or an Acceptor
-        self.on_empty: Callable[[], None] | None = None
-        self.sweeping: asyncio.TimerHandle | None = None
-        self.drained_at: float | None = None  # since when clients are sent away
-        self.last_read = LAST_READ  # s into a drain
-        self.budget = Budget()
-
-    async def listen(self, host: str, port: int, inherited: int | None = None, edge: Any = None) -> int:
-        """On a duplicate of a descriptor that is inherited: closing it leaves the socket to its owner."""
+    """Owns the client connections: accepts them, keeps to their limit, checks timeouts, drains and closes."""
+
+    def __init__(self, handler: CommandHandler, most: int) -> None:
+        """Create a server that does not listen yet.
+
+        Args:
+            handler: Serves the commands.
+            most: Connections that may be open at once.
+        """
+        self.handler = handler
+        self.most = most
+        self.listener: Any = None  # a ClientListener or an AdmissionListener, once it listens
+        self.budget = BodyBudget()
+        # Connections; all in order of arrival, the dicts serve as ordered sets.
+        self.clients: dict[ClientConnection, None] = {}
+        self.timed_connections: dict[ClientConnection, None] = {}  # those with a timeout running
+        # Those that are not read now: the event loop does not see that their clients have gone.
+        self.paused_connections: dict[ClientConnection, None] = {}
+        self.idle = IdleConnections()
+        self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()  # the oldest first
+        self.aborted_connections: dict[ClientConnection, None] = {}  # until the event loop confirms the end
+        self.check_timer: asyncio.TimerHandle | None = None
+        self.drain_started_at: float | None = None  # None: no drain
+        self.drain_read_s = DRAIN_READ_S
+
+    # Listening
+
+    async def listen(
+        self, host: str, port: int, inherited: int | None = None, edge: AdmissionSettings | None = None
+    ) -> int:
+        """Listen for clients and start the checks of timeouts.
+
+        Args:
+            host: The address to listen at.
+            port: Its port; 0 for any.
+            inherited: A listening descriptor to use instead. A duplicate of it is used, so that closing
+                leaves the socket to its owner.
+            edge: Limits on new connections; None for none, which leaves admission un-imported.
+
+        Returns:
+            The port.
+
+        Raises:
+            OSError: If the address can't be listened at.
+        """
         sock = (
             socket.socket(fileno=os.dup(inherited))
             if inherited is not None
-            else open_listening_socket((host, port), BACKLOG)
+            else open_listening_socket((host, port), LISTEN_BACKLOG)
         )
         sock.setblocking(False)
         if edge is not None:
-            from api_gateway.downstream.admission import Acceptor
+            from api_gateway.downstream.admission import AdmissionListener
 
-            self.listener = Acceptor(sock, self, edge)
+            self.listener = AdmissionListener(sock, self, edge)
         else:
-            self.listener = ClientListener(sock, lambda: Client(self), self.free)
+            self.listener = ClientListener(sock, lambda: ClientConnection(self), self.free)
         self.sweep()
-        return self.listener.sockets[0].getsockname()[1]
+        bound_port: int = self.listener.sockets[0].getsockname()[1]
+        return bound_port
+
+    async def take_last(self, within: float) -> None:
+        """Accept what waits in the backlog, for `within` seconds at most: closing would reset it."""
+        listener: ClientListener | AdmissionListener = self.listener
+        end = monotonic() + within
+        poll = select.poll()
+        poll.register(listener.sockets[0].fileno(), select.POLLIN)
+        while (poll.poll(0) or listener.coming) and monotonic() < end:
+            await asyncio.sleep(0)
+
+    # Timeouts
 
     def sweep(self) -> None:
-        """A peer that sends nothing, or never a whole command, is owed an end to it; of one that has gone
-        nothing more is sent on."""
-        self.sweeping = asyncio.get_running_loop().call_later(SWEEP, self.sweep)
+        """Check timeouts and disconnected clients now, and again every CHECK_INTERVAL_S."""
+        self.check_timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.sweep)
         now = monotonic()
-        for client in ended(self.not_read):
-            self.alone(client, client.leave)
-        for client in list(self.timed if self.drained_at is None else self.clients):
-            if not self.alone(client, partial(client.check, now)):
-                self.timed.pop(client, None)
-
-    def alone(self, client: Client, act: Callable[[], Any]) -> Any:
-        """What `act` does to a client; where that fails, it is the end of this one only."""
+        for connection in find_disconnected(self.paused_connections):
+            self.run_isolated(connection, connection.on_peer_closed)
+        # A drain has a time for each connection.
+        checked = self.timed_connections if self.drain_started_at is None else self.clients
+        for connection in list(checked):
+            if not self.run_isolated(connection, partial(connection.check_timeouts, now)):
+                self.timed_connections.pop(connection, None)
+
+    def run_isolated(self, connection: ClientConnection, action: Callable[[], Result]) -> Result | None:
+        """Run an action on one connection; if it raises, abort this connection only.
+
+        Returns:
+            What the action returns, or None if it raised.
+        """
         try:
-            return act()
+            return action()
         except Exception:
             log.exception("a connection could not be served or ended")
-            client.broken = True
-            client.transport.abort()
+            connection.broken = True
+            connection.transport.abort()
             return None
 
-    def joined(self, client: Client) -> None:
-        """Holds the limit of descriptors. Past it one goes for each that comes: the first of those that only
-        linger, or else one between requests, which may then linger until the next one comes. Where all are at
-        work it is the new one: after its first answer, or unread where there are too many of these, too."""
-        self.clients[client] = None
-        self.idle.add(client)
-        if self.excess() > 0 and self.lingering:
-            self.cut(next(iter(self.lingering)))
-        if self.excess() <= 0:
+    # The limit on connections
+
+    def add_connection(self, connection: ClientConnection) -> None:
+        """Register a new connection and keep to the limit.
+
+        Past the limit one connection goes for each new one: the oldest that only lingers, or else an idle
+        one, which may then linger until the next one arrives. Where all are busy it is the new one, after its
+        first reply; it is aborted unread where there are too many of these, too.
+        """
+        self.clients[connection] = None
+        self.idle.add(connection)
+        if self.excess_connections() > 0 and self.lingering:
+            self.abort(next(iter(self.lingering)))
+        if self.excess_connections() <= 0:
             return
-        gone = self.evict(client)
-        if self.excess() > min(OVER_MOST, 1 + self.most * OVER_PART):
-            self.cut(client)
-        elif not gone:
-            client.close_when_done()
-
-    def excess(self) -> int:
-        """How many are too many. An end takes effect a turn later: those that have theirs do not count."""
-        return len(self.clients) - len(self.ending) - self.most
-
-    def evict(self, but: Client) -> bool:
-        """Whether one between requests goes: if possible with nothing unread, else once that is answered."""
-        works = None
-        for _ in range(TRIES):
-            client = self.idle.first(max(1.0, self.most * FRESH_PART))
-            if client is None or client is but:
+        is_evicted = self.evict_idle(connection)
+        if self.excess_connections() > min(MAX_OVERFLOW_CONNECTIONS, 1 + self.most * OVERFLOW_FRACTION):
+            self.abort(connection)
+        elif not is_evicted:
+            connection.close_when_done()
+
+    def remove_connection(self, connection: ClientConnection) -> None:
+        """Forget a connection that has ended."""
+        self.clients.pop(connection, None)
+        self.timed_connections.pop(connection, None)
+        self.paused_connections.pop(connection, None)
+        self.lingering.pop(connection, None)
+        self.aborted_connections.pop(connection, None)
+        self.idle.discard(connection)
+
+    def excess_connections(self) -> int:
+        """Return how many are past the limit; an abort takes effect a turn later but counts at once."""
+        return len(self.clients) - len(self.aborted_connections) - self.most
+
+    def evict_idle(self, newcomer: ClientConnection) -> bool:
+        """Close an idle connection other than `newcomer`, if possible one with nothing unread.
+
+        Returns:
+            Whether there was one. With bytes unread it closes once these are answered.
+        """
+        with_unread_bytes = None
+        for _ in range(EVICTION_CANDIDATES):
+            connection = self.idle.next_to_close(max(1.0, self.most * FRESH_IDLE_FRACTION))
+            if connection is None or connection is newcomer:
                 break
-            self.idle.drop(client)  # its next answer brings it back
-            if client.works():
+            self.idle.discard(connection)  # its next reply brings it back
+            if connection.is_busy():
                 continue
-            if not self.alone(client, client.unread):
-                self.alone(client, client.close_when_done)
+            if not self.run_isolated(connection, connection.has_unread_bytes):
+                self.run_isolated(connection, connection.close_when_done)
                 return True
-            works = works or client
-        if works is not None:
-            self.alone(works, works.close_when_done)
-        return works is not None
+            with_unread_bytes = with_unread_bytes or connection
+        if with_unread_bytes is not None:
+            self.run_isolated(with_unread_bytes, with_unread_bytes.close_when_done)
+        return with_unread_bytes is not None
 
     def free(self) -> bool:
-        """The system has no descriptor left for one that comes: those that have theirs keep it, but for one
-        that lingers. Whether there was one."""
+        """Abort the oldest lingering connection, for want of a descriptor for a new one.
+
+        Other connections keep theirs: they may carry requests, and a new one can wait.
+
+        Returns:
+            Whether there was one.
+        """
         if self.lingering:
-            self.cut(next(iter(self.lingering)))
+            self.abort(next(iter(self.lingering)))
             return True
         return False
 
     def end_fresh(self) -> bool:
-        """Whether there was one at rest which has asked once or never: it is ended at once. For want of a
-        descriptor none could be opened to a host, discovery or the counter, which serve all."""
-        for client in list(islice(self.idle.fresh, TRIES)):
-            self.idle.drop(client)  # its next answer brings it back
-            if not client.works() and self.alone(client, client.unread) is False:
-                self.cut(client)
+        """Abort an idle connection that has sent one command or none, with nothing unread.
+
+        Without a free descriptor no connection to an endpoint, discovery or the counter could be opened,
+        which serve all clients.
+
+        Returns:
+            Whether there was one.
+        """
+        for connection in list(islice(self.idle.fresh, EVICTION_CANDIDATES)):
+            self.idle.discard(connection)  # its next reply brings it back
+            if connection.is_busy():
+                continue
+            if self.run_isolated(connection, connection.has_unread_bytes) is False:
+                self.abort(connection)
                 return True
         return False
 
-    def lingers(self, client: Client) -> None:
-        """Those that linger hold a part of the descriptors only, but for a drain, which ends all at once."""
-        self.lingering[client] = None
-        if self.drained_at is None and len(self.lingering) > max(1.0, self.most * LINGER_PART):
-            self.cut(next(iter(self.lingering)))
+    def on_linger(self, connection: ClientConnection) -> None:
+        """Note that a connection lingers, and abort the oldest past the limit; a drain ends all at once."""
+        self.lingering[connection] = None
+        if self.drain_started_at is None and len(self.lingering) > max(1.0, self.most * LINGERING_FRACTION):
+            self.abort(next(iter(self.lingering)))
 
-    def cut(self, client: Client) -> None:
-        self.lingering.pop(client, None)
-        self.ending[client] = None
-        client.transport.abort()
+    def abort(self, connection: ClientConnection) -> None:
+        """Abort a connection; its place is free at once."""
+        self.lingering.pop(connection, None)
+        self.aborted_connections[connection] = None
+        connection.transport.abort()
 
-    def resting(self) -> list[Client]:
-        """Those that may be closed, the one that rests longest first."""
-        since = monotonic() - REST
-        return sorted((c for c in self.clients if c.rests(since)), key=lambda c: c.active)
+    def resting(self) -> list[ClientConnection]:
+        """Return those idle for MIN_IDLE_S, which may be closed; the one idle longest comes first."""
+        since = monotonic() - MIN_IDLE_S
+        idle = [connection for connection in self.clients if connection.is_idle(since)]
+        return sorted(idle, key=lambda connection: connection.last_command_at)
 
     def make_room(self) -> None:
-        """After the limit has shrunk: as many go as are too many, of those that rest."""
-        for client in self.resting()[: max(0, len(self.clients) - self.most)]:
-            client.close_when_done()
+        """Close as many idle connections as are past the limit, after it has shrunk."""
+        for connection in self.resting()[: max(0, len(self.clients) - self.most)]:
+            connection.close_when_done()
 
-    def left(self, client: Client) -> None:
-        for known in (self.clients, self.timed, self.not_read, self.lingering, self.ending):
-            known.pop(client, None)
-        self.idle.drop(client)
-        if not self.clients and self.on_empty:
-            self.on_empty()
+    # Drain and shutdown
 
     def drain(self, on: bool) -> None:
-        """On: each connection closes once all it asked has been answered, a new one after its first."""
-        self.drained_at = monotonic() if on else None
-        for client in list(self.clients):
-            client.last = False
-            self.alone(client, client.throttle)
-            self.alone(client, client.flush)
-
-    async def take_last(self, within: float) -> None:
-        """Until what has come to the listener is taken: its close would reset what waits there."""
-        poll, end = select.poll(), monotonic() + within
-        poll.register(self.listener.sockets[0].fileno(), select.POLLIN)
-        while (poll.poll(0) or self.listener.coming) and monotonic() < end:
-            await asyncio.sleep(0)
+        """Start or end a drain: each connection closes after its last reply, a new one after its first."""
+        self.drain_started_at = monotonic() if on else None
+        for connection in list(self.clients):
+            connection.reading_stopped = False
+            self.run_isolated(connection, connection.update_reading)
+            self.run_isolated(connection, connection.flush)
 
     def finish(self, within: float = math.inf) -> None:
-        """No new connections, and an end to those that there are, all `within` so many seconds: what comes in
-        the second half of these stays unread, and is better off elsewhere."""
-        self.last_read = min(self.last_read, READ_PART * within)
+        """Accept no more connections and drain those that are open.
+
+        Args:
+            within: Seconds until all will be closed. What arrives in about the second half of these stays
+                unread: its client is better off elsewhere.
+        """
+        self.drain_read_s = min(self.drain_read_s, DRAIN_READ_FRACTION * within)
         if self.listener:
             self.listener.close()
-        if self.drained_at is None:
+        if self.drain_started_at is None:
             self.drain(True)
 
     def stop_reading(self) -> None:
-        """Nothing that comes from here on is read, on any connection; what was read already is taken now."""
-        for client in list(self.clients):
-            client.last = True
-            self.alone(client, client.throttle)
-            self.alone(client, client.take_waiting)
+        """Read nothing more on any connection; what was read already is handled now."""
+        for connection in list(self.clients):
+            connection.reading_stopped = True
+            self.run_isolated(connection, connection.update_reading)
+            self.run_isolated(connection, connection.read_queued_commands)
 
     def close(self) -> None:
-        """Whatever is still open ends here."""
-        if self.sweeping:
-            self.sweeping.cancel()
-        for client in list(self.clients):
-            client.closing = True
-            client.transport.close()
+        """Stop the checks and close whatever is still open."""
+        if self.check_timer:
+            self.check_timer.cancel()
+        for connection in list(self.clients):
+            connection.closing = True
+            connection.transport.close()
--- a/api_gateway/downstream/peer_monitoring.py
+++ b/api_gateway/downstream/peer_monitoring.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of connections: peers that vanished, and the backlog of a listening socket."""
+"""What the kernel knows of connections: peers whose machine is gone, and full backlogs."""
 
 from __future__ import annotations
 
@@ -6,41 +6,57 @@
 import struct
 from pathlib import Path
 
+# Probes of an idle connection that stay unanswered before the kernel ends it.
+KEEPALIVE_PROBES = 3
+# Of struct tcp_info (Linux, include/uapi/linux/tcp.h): its length and where tcpi_unacked begins, in bytes.
+TCP_INFO_BYTES = 104
+TCP_INFO_UNACKED_OFFSET = 24
 
-def watch_peer(sock: socket.socket, seconds: float) -> None:
-    """A machine that vanished says nothing: the kernel asks it (SO_KEEPALIVE, for connections at rest) and
-    looks whether it takes what was sent (TCP_USER_TIMEOUT), and ends the connection after about so long."""
-    if not seconds or sock.family not in (socket.AF_INET, socket.AF_INET6):
+
+def detect_dead_peer(sock: socket.socket, timeout_s: float) -> None:
+    """Have the kernel end a connection whose peer's machine has gone without a word.
+
+    It probes idle connections (SO_KEEPALIVE), and checks whether what was sent is acknowledged
+    (TCP_USER_TIMEOUT).
+
+    Args:
+        sock: The connection; nothing is done to one that is not TCP.
+        timeout_s: Seconds after which it ends, about; 0: never.
+    """
+    if not timeout_s or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
-    probes = 3
-    every = max(1, int(seconds / (probes + 1)))
+    probe_interval_s = max(1, int(timeout_s / (KEEPALIVE_PROBES + 1)))
     for option, value in (
-        (socket.TCP_KEEPIDLE, every),
-        (socket.TCP_KEEPINTVL, every),
-        (socket.TCP_KEEPCNT, probes),
-        (socket.TCP_USER_TIMEOUT, int(seconds * 1000)),
+        (socket.TCP_KEEPIDLE, probe_interval_s),
+        (socket.TCP_KEEPINTVL, probe_interval_s),
+        (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+        (socket.TCP_USER_TIMEOUT, int(timeout_s * 1000)),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
 
 
-def backlog(sock: socket.socket) -> tuple[int, int]:
-    """Connections that wait to be accepted, and how many may: of a socket that listens, TCP_INFO tells these
-    as unacked and sacked segments (Linux, net/ipv4/tcp.c, tcp_get_info)."""
+def backlog_usage(sock: socket.socket) -> tuple[int, int]:
+    """Return how many connections wait to be accepted on a listening socket, and how many may.
+
+    For a socket that listens, TCP_INFO gives these as unacked and sacked segments (Linux, net/ipv4/tcp.c,
+    tcp_get_info). Both are 0 for a closed socket.
+    """
     if sock.fileno() < 0:
         return 0, 0
-    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
-    return struct.unpack_from("II", info, 24)
+    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
+    waiting, capacity = struct.unpack_from("II", info, TCP_INFO_UNACKED_OFFSET)
+    return waiting, capacity
 
 
-def overflows() -> int:
-    """Connections that this machine lost because a backlog was full, whichever socket's it was."""
+def count_listen_overflows() -> int:
+    """Return how many connections this machine lost to full backlogs, whichever sockets' they were."""
     try:
-        heads, values = [
+        names, values = [
             line.split()
             for line in Path("/proc/net/netstat").read_text().splitlines()
             if line.startswith("TcpExt:")
         ]
     except (OSError, ValueError):
         return 0
-    return int(dict(zip(heads, values, strict=True)).get("ListenOverflows", 0))
+    return int(dict(zip(names, values, strict=True)).get("ListenOverflows", 0))
--- a/api_gateway/downstream/rate_limits.py
+++ b/api_gateway/downstream/rate_limits.py
@@ -1,4 +1,4 @@
-"""Which new connections are taken: limits by source and by rate, with no I/O and no clock."""
+"""Which new connections are admitted: limits by source and by rate, with no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -7,87 +7,131 @@
 from dataclasses import dataclass
 from functools import lru_cache
 
-from api_gateway.downstream.admission_settings import Edge
+from api_gateway.downstream.admission_settings import AdmissionSettings
 
-MOST_SOURCES = 4096  # that are remembered; past that the ones that rest longest are forgotten
+# Sources that are remembered; past that the ones without a connection are forgotten, the oldest first.
+MAX_SOURCES = 4096
 
 
 @dataclass(slots=True)
-class Source:
-    held: int = 0  # connections
-    tokens: float = 0.0
-    at: float = 0.0  # when the tokens were counted
+class SourceState:
+    """What is known of one source."""
 
+    open_connections: int = 0
+    tokens: float = 0.0  # new connections that it may open now
+    refilled_at: float = 0.0  # when the tokens were counted
 
-class Bucket:
-    """New connections a second, for all; as many as come in one second may come at once."""
+
+class TokenBucket:
+    """The rate of new connections of all sources; as many as in one second may be admitted at once."""
 
     def __init__(self, rate: float, now: float) -> None:
-        self.rate, self.tokens, self.at = rate, max(1.0, rate), now
+        """Create a full bucket.
+
+        Args:
+            rate: Connections a second; 0: no limit.
+            now: The monotonic time.
+        """
+        self.rate = rate
+        self.tokens = max(1.0, rate)
+        self.refilled_at = now
 
     def wait(self, now: float) -> float:
-        """Seconds until there is room for one."""
+        """Return the seconds until one connection may be admitted."""
         if not self.rate:
             return 0.0
-        self.tokens = min(max(1.0, self.rate), self.tokens + (now - self.at) * self.rate)
-        self.at = now
+        refill = (now - self.refilled_at) * self.rate
+        self.tokens = min(max(1.0, self.rate), self.tokens + refill)
+        self.refilled_at = now
         return max(0.0, (1.0 - self.tokens) / self.rate)
 
+    def take(self) -> None:
+        """Count a connection that was admitted."""
+        self.tokens -= 1.0 if self.rate else 0.0
+
 
-class Gate:
-    """What it says of a connection that came: "" where it is taken, else why not."""
+class ConnectionLimiter:
+    """Decides whether a new connection is admitted, and counts the connections of each source."""
 
-    def __init__(self, edge: Edge, now: float) -> None:
-        self.edge, self.all = edge, Bucket(edge.new, now)
-        self.sources: OrderedDict[str, Source] = OrderedDict()  # the one that came last is last
-        self.name = lru_cache(MOST_SOURCES)(self.source_of)  # reading an address costs more than all the rest
+    def __init__(self, settings: AdmissionSettings, now: float) -> None:
+        """Create a limiter without connections at the monotonic time `now`."""
+        self.settings = settings
+        self.total_rate = TokenBucket(settings.new, now)
+        self.sources: OrderedDict[str, SourceState] = OrderedDict()  # the last one that connected is last
+        # Parsing an address costs more than all the rest.
+        self.source_name = lru_cache(MAX_SOURCES)(self.parse_source_name)
+        # By what became of the connections; the keys are those of the status.
         self.counts = {"taken": 0, "per_source": 0, "new_per_source": 0, "pauses": 0}
 
-    def source_of(self, address: str) -> str | None:
-        """The source that an address belongs to; None: a front."""
+    def parse_source_name(self, address: str) -> str | None:
+        """Return the name of the source that an address belongs to, or None for a front."""
         try:
             ip = ipaddress.ip_address(address.split("%")[0])
         except ValueError:
             return address
-        if any(ip in front for front in self.edge.fronts):
+        if any(ip in front for front in self.settings.fronts):
             return None
-        bits = self.edge.prefix4 if ip.version == 4 else self.edge.prefix6
-        return str(ipaddress.ip_network((ip, bits), strict=False))
+        prefix_bits = self.settings.prefix4 if ip.version == 4 else self.settings.prefix6
+        return str(ipaddress.ip_network((ip, prefix_bits), strict=False))
 
     def weight(self, address: str) -> float:
-        if not self.edge.weights:
+        """Return the weight of an address in fair queueing: of the first network that contains it, or 1."""
+        if not self.settings.weights:
             return 1.0
         ip = ipaddress.ip_address(address.split("%")[0])
-        return next((weight for net, weight in self.edge.weights if ip in net), 1.0)
-
-    def source(self, now: float, name: str) -> Source:
-        found = self.sources.pop(name, None) or Source(tokens=max(1.0, self.edge.new_per_source), at=now)
-        self.sources[name] = found
-        if len(self.sources) > MOST_SOURCES:  # of those that hold nothing the one that came first
-            idle = next((n for n, s in self.sources.items() if not s.held and n != name), None)
-            if idle is not None:
-                del self.sources[idle]
-        return found
-
-    def ask(self, now: float, address: str) -> str:
-        name, why = self.name(address), ""
-        if name is not None:
-            source, rate = self.source(now, name), self.edge.new_per_source
-            source.tokens = min(max(1.0, rate), source.tokens + (now - source.at) * rate)
-            source.at = now
-            if self.edge.per_source and source.held >= self.edge.per_source:
-                why = "per_source"
-            elif rate and source.tokens < 1.0:
-                why = "new_per_source"
-            else:
-                source.tokens -= 1.0 if rate else 0.0
-                source.held += 1
-        if not why:
-            self.all.tokens -= 1.0 if self.all.rate else 0.0
-        self.counts[why or "taken"] += 1
-        return why
-
-    def left(self, address: str) -> None:
-        name = self.name(address)
+        return next((weight for network, weight in self.settings.weights if ip in network), 1.0)
+
+    def touch_source(self, now: float, name: str) -> SourceState:
+        """Return the state of a source, new if it is not known, and make it the one that connected last."""
+        state = self.sources.pop(name, None)
+        if state is None:
+            state = SourceState(tokens=max(1.0, self.settings.new_per_source), refilled_at=now)
+        self.sources[name] = state
+        if len(self.sources) > MAX_SOURCES:
+            self._forget_oldest_unused(name)
+        return state
+
+    def _forget_oldest_unused(self, kept: str) -> None:
+        """Forget the oldest source without a connection, but for `kept`."""
+        unused = next(
+            (name for name, state in self.sources.items() if not state.open_connections and name != kept),
+            None,
+        )
+        if unused is not None:
+            del self.sources[unused]
+
+    def admit(self, now: float, address: str) -> str:
+        """Decide on a new connection and count it.
+
+        Args:
+            now: The monotonic time.
+            address: The client's address.
+
+        Returns:
+            "" if it is admitted, which its end must `release`; else the limit that rejects it.
+        """
+        name = self.source_name(address)
+        rejected_by = "" if name is None else self._admit_to_source(self.touch_source(now, name), now)
+        if not rejected_by:
+            self.total_rate.take()
+        self.counts[rejected_by or "taken"] += 1
+        return rejected_by
+
+    def _admit_to_source(self, state: SourceState, now: float) -> str:
+        """Count a new connection of a source; returns the limit that rejects it, or ""."""
+        rate = self.settings.new_per_source
+        state.tokens = min(max(1.0, rate), state.tokens + (now - state.refilled_at) * rate)
+        state.refilled_at = now
+        if self.settings.per_source and state.open_connections >= self.settings.per_source:
+            return "per_source"
+        if rate and state.tokens < 1.0:
+            return "new_per_source"
+        state.tokens -= 1.0 if rate else 0.0
+        state.open_connections += 1
+        return ""
+
+    def release(self, address: str) -> None:
+        """Count the end of an admitted connection."""
+        name = self.source_name(address)
         if name is not None and name in self.sources:
-            self.sources[name].held -= 1
+            self.sources[name].open_connections -= 1
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -623,10 +623,14 @@
     (
         "of it work: sockets and framing",
         "part_sockets_p99_ms",
-        "`downstream.client_connection.Client`, `upstream.pool.Connection`",
+        "`downstream.client_connection.ClientConnection`, `upstream.pool.Connection`",
     ),
     ("of it waiting: until a loop turns to it", "part_loop_p99_ms", "`gateway.node.GatewayNode`"),
-    ("of it waiting: for its turn among clients", "part_turn_p99_ms", "`downstream.fair_queueing.Turns`"),
+    (
+        "of it waiting: for its turn among clients",
+        "part_turn_p99_ms",
+        "`downstream.fair_queueing.CommandScheduler`",
+    ),
     (
         "of it waiting: for a lease of its quota",
         "part_lease_p99_ms",
--- a/api_gateway/experiments/scale/stamped.py
+++ b/api_gateway/experiments/scale/stamped.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from api_gateway import interface as api
-from api_gateway.downstream.client_connection import Client
+from api_gateway.downstream.client_connection import ClientConnection as Client
 from api_gateway.gateway import __main__ as program
 from api_gateway.gateway.node import GatewayNode
 from api_gateway.upstream.connect_limits import SharedPool
--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -96,7 +96,7 @@
             book["requests_in_a_burst"],
             "a burst",
             None,
-            "`downstream.client_connection.Client`",
+            "`downstream.client_connection.ClientConnection`",
         ),
         Row(
             "messages out: attempts",
@@ -122,8 +122,8 @@
             book["customers_a_gateway"].named("customers_a_gateway", "sources"),
             book.of("tenants", "sources"),
             "each tenant asks here",
-            book.code("downstream.rate_limits", "MOST_SOURCES", "sources"),
-            "`downstream.rate_limits.MOST_SOURCES`",
+            book.code("downstream.rate_limits", "MAX_SOURCES", "sources"),
+            "`downstream.rate_limits.MAX_SOURCES`",
             past="those that rest longest are forgotten; their limits by rate begin anew",
         ),
         Row(
@@ -162,7 +162,7 @@
             book["rss_mb_burst"],
             "a burst",
             None,
-            "`downstream.body_budget.Budget`",
+            "`downstream.body_budget.BodyBudget`",
         ),
     ]
 
--- a/api_gateway/gateway/node.py
+++ b/api_gateway/gateway/node.py
@@ -26,8 +26,8 @@
 from api_gateway.control.host_overrides import Bans, UnknownHost
 from api_gateway.counter_client import Counter
 from api_gateway.discovery.client import Discovery
-from api_gateway.downstream.client_connection import Slot
 from api_gateway.downstream.client_server import ClientServer
+from api_gateway.downstream.pending_reply import Slot
 from api_gateway.gateway.config import Config
 from api_gateway.gateway.instances import Lives
 from api_gateway.gateway.requests import RESERVED, BadRequest, InFlightRequest, bulk, read_request
--- a/api_gateway/gateway/requests.py
+++ b/api_gateway/gateway/requests.py
@@ -6,7 +6,7 @@
 import re
 
 from api_gateway import interface as api
-from api_gateway.downstream.client_connection import Slot
+from api_gateway.downstream.pending_reply import Slot
 from api_gateway.upstream.pool import Attempt
 
 RESERVED = 0.03  # s before the client gives up by which the module is to be done
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -415,7 +415,7 @@
 
 @on_loop
 async def test_connections_that_rest_make_room_for_smaller_limits(tmp_path, monkeypatch):
-    monkeypatch.setattr(client_server, "REST", 0.0)
+    monkeypatch.setattr(client_server, "MIN_IDLE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peers = [await node.connect() for _ in range(45)]
         for n, (reader, writer) in enumerate(peers):
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -156,14 +156,14 @@
 async def test_a_connection_in_use_is_not_read_for_ever_in_a_drain_and_active_takes_it_back(
     tmp_path, monkeypatch
 ):
-    monkeypatch.setattr(client_server, "LAST_READ", 0.05)
+    monkeypatch.setattr(client_server, "DRAIN_READ_S", 0.05)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
         await node.call("POST /standby")
         client = next(iter(node.node.clients.clients))
-        await until(lambda: client.last)
+        await until(lambda: client.reading_stopped)
         writer.write(command(b"second"))
         assert (await node.call("POST /active"))[0] == 200
         while (got := await host.arrived.get()) is None or got[2] != b"second":
@@ -177,8 +177,8 @@
 
 @on_loop
 async def test_a_connection_without_a_command_ends_in_a_drain(tmp_path, monkeypatch):
-    monkeypatch.setattr(client_server, "LAST_READ", 0.05)
-    monkeypatch.setattr(clients, "FIRST_WITHIN", 0.05)
+    monkeypatch.setattr(client_server, "DRAIN_READ_S", 0.05)
+    monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.call("POST /standby")
         reader, writer = await node.connect()
@@ -205,7 +205,7 @@
         client = next(iter(node.node.clients.clients))
         client.transport.pause_reading()
         writer.write(command())
-        await until(client.unread)
+        await until(client.has_unread_bytes)
         node.node.drain(True)
         client.transport.resume_reading()
         assert await reader.read() == SERVED
--- a/tests/downstream/test_admission.py
+++ b/tests/downstream/test_admission.py
@@ -8,35 +8,39 @@
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, until
 
 from api_gateway.downstream import admission, peer_monitoring, rate_limits
-from api_gateway.downstream.admission_settings import Edge, read_edge
-from api_gateway.downstream.rate_limits import Gate
+from api_gateway.downstream.admission_settings import AdmissionSettings, read_edge
+from api_gateway.downstream.rate_limits import ConnectionLimiter
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
-def gate(**kw):
-    return Gate(read_edge(kw), 0.0)
+def limiter_of(**kw):
+    return ConnectionLimiter(read_edge(kw), 0.0)
 
 
 def test_without_limits_all_are_taken():
-    g = gate()
-    assert [g.ask(0.0, f"10.0.0.{n % 5}") for n in range(1000)] == [""] * 1000
+    limiter = limiter_of()
+    assert [limiter.admit(0.0, f"10.0.0.{n % 5}") for n in range(1000)] == [""] * 1000
 
 
 def test_a_source_holds_so_many_and_gets_places_back():
-    g = gate(per_source=3)
-    assert [g.ask(0.0, "10.0.0.1") for _ in range(5)] == ["", "", "", "per_source", "per_source"]
-    assert g.ask(0.0, "10.0.0.2") == ""  # another one is not held up by it
-    g.left("10.0.0.1")
-    assert g.ask(0.0, "10.0.0.1") == "" and g.ask(0.0, "10.0.0.1") == "per_source"
-    assert g.counts == {"taken": 5, "per_source": 3, "new_per_source": 0, "pauses": 0}
+    limiter = limiter_of(per_source=3)
+    assert [limiter.admit(0.0, "10.0.0.1") for _ in range(5)] == ["", "", "", "per_source", "per_source"]
+    assert limiter.admit(0.0, "10.0.0.2") == ""  # another one is not held up by it
+    limiter.release("10.0.0.1")
+    assert limiter.admit(0.0, "10.0.0.1") == "" and limiter.admit(0.0, "10.0.0.1") == "per_source"
+    assert limiter.counts == {"taken": 5, "per_source": 3, "new_per_source": 0, "pauses": 0}
 
 
 def test_a_source_opens_so_many_a_second():
-    g = gate(new_per_source=2)
-    assert [g.ask(0.0, "10.0.0.1") for _ in range(3)] == ["", "", "new_per_source"]
-    assert [g.ask(0.6, "10.0.0.1") for _ in range(2)] == ["", "new_per_source"]
-    assert [g.ask(9.0, "10.0.0.1") for _ in range(3)] == ["", "", "new_per_source"]  # saved up for a second
+    limiter = limiter_of(new_per_source=2)
+    assert [limiter.admit(0.0, "10.0.0.1") for _ in range(3)] == ["", "", "new_per_source"]
+    assert [limiter.admit(0.6, "10.0.0.1") for _ in range(2)] == ["", "new_per_source"]
+    assert [limiter.admit(9.0, "10.0.0.1") for _ in range(3)] == [
+        "",
+        "",
+        "new_per_source",
+    ]  # saved up for a second
 
 
 @pytest.mark.parametrize(
@@ -50,32 +54,32 @@
     ],
 )
 def test_addresses_of_one_prefix_are_one_source(one, other, same):
-    g = gate(per_source=1)
-    assert g.ask(0.0, one) == "" and (g.ask(0.0, other) == "per_source") == same
-    wide = gate(per_source=1, prefix4=24, prefix6=32)
-    assert wide.ask(0.0, one) == "" and wide.ask(0.0, other) == "per_source"
+    limiter = limiter_of(per_source=1)
+    assert limiter.admit(0.0, one) == "" and (limiter.admit(0.0, other) == "per_source") == same
+    wide = limiter_of(per_source=1, prefix4=24, prefix6=32)
+    assert wide.admit(0.0, one) == "" and wide.admit(0.0, other) == "per_source"
 
 
 def test_a_front_has_no_limit_by_source():
-    g = gate(per_source=1, new_per_source=1, fronts=["10.1.0.0/16"])
-    assert [g.ask(0.0, "10.1.2.3") for _ in range(500)] == [""] * 500 and not g.sources
-    g.left("10.1.2.3")
-    assert [g.ask(0.0, "10.2.0.1") for _ in range(2)] == ["", "per_source"]
+    limiter = limiter_of(per_source=1, new_per_source=1, fronts=["10.1.0.0/16"])
+    assert [limiter.admit(0.0, "10.1.2.3") for _ in range(500)] == [""] * 500 and not limiter.sources
+    limiter.release("10.1.2.3")
+    assert [limiter.admit(0.0, "10.2.0.1") for _ in range(2)] == ["", "per_source"]
 
 
 def test_sources_are_forgotten_but_for_those_that_hold_connections(monkeypatch):
-    monkeypatch.setattr(rate_limits, "MOST_SOURCES", 100)
-    g = gate(per_source=2)
+    monkeypatch.setattr(rate_limits, "MAX_SOURCES", 100)
+    limiter = limiter_of(per_source=2)
     for n in range(20):
-        assert g.ask(0.0, f"10.9.0.{n}") == ""
+        assert limiter.admit(0.0, f"10.9.0.{n}") == ""
     for n in range(5000):
         address = f"10.{n // 65536}.{n // 256 % 256}.{n % 256}"
-        assert g.ask(0.0, address) == ""
-        g.left(address)
-    assert len(g.sources) == 100 and sum(s.held for s in g.sources.values()) == 20
+        assert limiter.admit(0.0, address) == ""
+        limiter.release(address)
+    assert len(limiter.sources) == 100 and sum(s.open_connections for s in limiter.sources.values()) == 20
     for n in range(20):
-        g.left(f"10.9.0.{n}")
-    assert sum(s.held for s in g.sources.values()) == 0
+        limiter.release(f"10.9.0.{n}")
+    assert sum(s.open_connections for s in limiter.sources.values()) == 0
 
 
 @pytest.mark.parametrize(
@@ -117,14 +121,14 @@
             writer.write(command(b"k%d" % n))
             assert await read_reply(reader) == SERVED
         reader, writer = await node.connect()
-        assert await reader.read() == admission.REFUSED
+        assert await reader.read() == admission.REJECTION
         writer.close()
         other = await asyncio.open_connection("127.0.0.1", node.port, local_addr=("127.0.0.9", 0))
         other[1].write(command(b"other"))
         assert await read_reply(other[0]) == SERVED
         other[1].close()
         kept[0][1].close()
-        await until(lambda: node.node.clients.listener.gate.sources["127.0.0.1/32"].held == 2)
+        await until(lambda: node.node.clients.listener.limiter.sources["127.0.0.1/32"].open_connections == 2)
         assert await node.ask(command(b"again")) == SERVED
         counts = (await node.call("GET /status"))[1]["edge"]
         assert (counts["taken"], counts["per_source"], counts["pauses"]) == (5, 1, 0)
@@ -140,7 +144,7 @@
                     writer.write(PING[:7])
                 writer.transport.abort()
         await until(lambda: not node.node.clients.clients and not node.node.clients.listener.coming)
-        await until(lambda: node.node.clients.listener.gate.sources["127.0.0.1/32"].held == 0)
+        await until(lambda: node.node.clients.listener.limiter.sources["127.0.0.1/32"].open_connections == 0)
         assert await node.ask(command()) == SERVED
 
 
@@ -156,7 +160,7 @@
 
 @on_loop
 async def test_where_descriptors_end_accepting_pauses_and_goes_on(tmp_path, monkeypatch, caplog):
-    monkeypatch.setattr(admission, "PAUSE", 0.05)
+    monkeypatch.setattr(admission, "SHORTAGE_PAUSE_S", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path, more=edge()) as node:
 
         class Empty:
@@ -176,7 +180,7 @@
         listener = node.node.clients.listener
         empty = listener.sockets[0] = Empty(listener.sockets[0])
         assert await node.ask(command()) == SERVED
-        assert caplog.text.count("no connection can be taken") == 3 and listener.gate.counts["pauses"] == 3
+        assert caplog.text.count("no connection can be taken") == 3 and listener.limiter.counts["pauses"] == 3
         assert empty.tries <= 8  # it does not spin
 
 
@@ -184,14 +188,14 @@
 async def test_requests_in_work_keep_their_turns_in_a_rush(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path, more=edge()) as node:
         listener, turns, socks = node.node.clients.listener, [], []
-        take, turn = listener.take, listener.turn
+        on_accept, accept_batch = listener.on_accept, listener.accept_batch
 
         def counted(*args):
             turns[-1] += 1
-            take(*args)
+            on_accept(*args)
 
-        listener.take = counted
-        listener.turn = lambda: (turns.append(0), turn())
+        listener.on_accept = counted
+        listener.accept_batch = lambda: (turns.append(0), accept_batch())
         listener.loop.remove_reader(listener.sockets[0].fileno())
         listener.resume()
         for _ in range(100):  # all of them wait before the loop gets a turn
@@ -207,9 +211,9 @@
 @on_loop
 async def test_without_the_key_the_loop_accepts_by_itself(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert not isinstance(node.node.clients.listener, admission.Acceptor)
+        assert not isinstance(node.node.clients.listener, admission.AdmissionListener)
         assert "edge" not in (await node.call("GET /status"))[1]
-        assert Edge() == read_edge({})
+        assert AdmissionSettings() == read_edge({})
 
 
 @on_loop
@@ -221,12 +225,14 @@
             writer.write(PING)
             await read_reply(reader)
         peers[0][1].write(PING[:5])
-        await until(lambda: len(server.timed) == 1)
-        assert len(server.clients) == 30 and next(iter(server.timed)).awaited is not None
+        await until(lambda: len(server.timed_connections) == 1)
+        assert (
+            len(server.clients) == 30 and next(iter(server.timed_connections)).command_due_since is not None
+        )
         peers[0][1].write(PING[5:] + PING[:1])  # the last byte of one and the first of another, and so on
         assert await read_reply(peers[0][0]) == b"+PONG\r\n"
         server.sweep()
-        assert [client.awaited is not None for client in server.timed] == [True]
+        assert [client.command_due_since is not None for client in server.timed_connections] == [True]
 
 
 @pytest.mark.parametrize("more, answered", [(edge(half_closed=True), True), (edge(), False), (None, False)])
@@ -252,11 +258,14 @@
 async def test_a_connection_that_cannot_be_set_up_leaves_no_place_taken(scratch, monkeypatch):
     async with StubHost() as host, Node(host, path=scratch, more=edge(per_source=1)) as node:
         with monkeypatch.context() as broken:
-            broken.setattr(admission, "watch_peer", lambda *_: (_ for _ in ()).throw(OSError("reset")))
+            broken.setattr(admission, "detect_dead_peer", lambda *_: (_ for _ in ()).throw(OSError("reset")))
             reader, _ = await node.connect()
             assert await reader.read() == b""
-        gate, turns = node.node.clients.listener.gate, node.node.clients.listener.turns
-        assert not any(source.held for source in gate.sources.values()) and not turns.origins
+        listener = node.node.clients.listener
+        limiter, scheduler = listener.limiter, listener.scheduler
+        assert (
+            not any(source.open_connections for source in limiter.sources.values()) and not scheduler.sources
+        )
         assert await node.ask(command()) == SERVED
 
 
@@ -278,14 +287,14 @@
 
 
 def test_a_full_backlog_shows():
-    before = peer_monitoring.overflows()
+    before = peer_monitoring.count_listen_overflows()
     with socket.create_server(("127.0.0.1", 0), backlog=2) as listener:
-        assert peer_monitoring.backlog(listener) == (0, 2)
+        assert peer_monitoring.backlog_usage(listener) == (0, 2)
         peers = [socket.socket() for _ in range(12)]
         for peer in peers:
             peer.setblocking(False)
             peer.connect_ex(listener.getsockname())
-        assert peer_monitoring.backlog(listener) == (3, 2)  # one more than it says, in Linux
-        assert peer_monitoring.overflows() > before
+        assert peer_monitoring.backlog_usage(listener) == (3, 2)  # one more than it says, in Linux
+        assert peer_monitoring.count_listen_overflows() > before
         for peer in peers:
             peer.close()
--- a/tests/downstream/test_bad_client_storms.py
+++ b/tests/downstream/test_bad_client_storms.py
@@ -8,7 +8,7 @@
 import pytest
 from netkit import Node, StubHost, command, on_loop, read_reply, until
 
-from api_gateway.downstream.client_connection import HEAD_WITHIN
+from api_gateway.downstream.client_connection import COMMAND_TIMEOUT_S
 
 PEERS = 150
 RESET = b"\x01\0\0\0\0\0\0\0"  # SO_LINGER on, 0 s: closing sends RST
@@ -25,7 +25,7 @@
     before its time is up: a byte that stands unread at the close would reset what was sent."""
     ended, began = asyncio.create_task(reader.read()), monotonic()
     for byte in PING[:-1]:
-        if monotonic() - began < HEAD_WITHIN / 2:
+        if monotonic() - began < COMMAND_TIMEOUT_S / 2:
             writer.write(bytes([byte]))
             await asyncio.wait([ended], timeout=0.3)
     assert (await asyncio.wait_for(ended, 3.0)).startswith(b"-ERR")
@@ -106,13 +106,13 @@
         assert {answer[:1] for answer in answers} <= {b"$", b"-"}
         await until(lambda: len(server.clients) == 1 and set(node.node.in_flight) <= {b"l%d" % len(answers)})
         await until(lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(node.node.hosts.conns) * 2)
-        assert len(server.timed) <= 1 and not server.budget.used and not server.budget.waiting
+        assert len(server.timed_connections) <= 1 and not server.budget.used and not server.budget.waiting
         if more:
             listener = server.listener
             await until(lambda: not listener.coming)  # a task is done a turn before it takes itself off
-            assert sum(source.held for source in listener.gate.sources.values()) == 1
-            assert sum(origin.held for origin in listener.turns.origins.values()) == 1
-            await until(lambda: listener.turns.waiting() == 0)
+            assert sum(source.open_connections for source in listener.limiter.sources.values()) == 1
+            assert sum(source.connection_count for source in listener.scheduler.sources.values()) == 1
+            await until(lambda: listener.scheduler.waiting() == 0)
 
 
 @on_loop
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -131,7 +131,7 @@
 )
 @on_loop
 async def test_a_peer_without_a_whole_command_is_not_kept(part, tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "HEAD_WITHIN", 0.3)
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(part)
@@ -147,7 +147,7 @@
             writer.write(command(name))
             assert await read_reply(reader) == SERVED
             for client in list(node.node.clients.clients):
-                client.check(time.monotonic() + 1000)
+                client.check_timeouts(time.monotonic() + 1000)
 
 
 @on_loop
@@ -176,15 +176,15 @@
 def stall_before(why, node, monkeypatch):
     """How a gateway comes to read no more of a client whose requests wait."""
     if why == "pipeline":
-        monkeypatch.setattr(clients, "MOST_PENDING", 2)
+        monkeypatch.setattr(clients, "MAX_PENDING_COMMANDS", 2)
     elif why == "body":
         node.node.clients.budget.used = node.node.clients.budget.most = 1
 
 
 def stall_after(why, node, monkeypatch):
     if why == "drain":
-        node.node.clients.last_read = 0.0
-        monkeypatch.setattr(clients, "FIRST_WITHIN", 0.0)
+        node.node.clients.drain_read_s = 0.0
+        monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.0)
         node.node.clients.drain(True)
     elif why == "answers":
         (client,) = node.node.clients.clients
@@ -274,7 +274,7 @@
         StubHost(b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (size, b"v" * size)) as host,
         Node(host, path=tmp_path) as node,
     ):
-        peer, look, crossed = Peer(node.port, 4096), clients.Client.unread, []
+        peer, look, crossed = Peer(node.port, 4096), clients.ClientConnection.has_unread_bytes, []
 
         def looking(client):
             found = look(client)
@@ -285,7 +285,7 @@
                     pass
             return found
 
-        monkeypatch.setattr(clients.Client, "unread", looking)
+        monkeypatch.setattr(clients.ClientConnection, "has_unread_bytes", looking)
         peer.send(command(b"r1"))
         await until(lambda: node.node.in_flight or host.commands)
         node.node.clients.drain(True)
@@ -298,11 +298,11 @@
 
 @on_loop
 async def test_a_client_that_does_not_end_its_side_is_not_kept(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "LINGER", 0.1)
+    monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.1)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peer = Peer(node.port)
         peer.send(command(b"r1"))
-        await until(lambda: any(c.rests(time.monotonic()) for c in node.node.clients.clients))
+        await until(lambda: any(c.is_idle(time.monotonic()) for c in node.node.clients.clients))
         node.node.clients.drain(True)
         peer.send(command(b"after"))
         await until(lambda: not node.node.clients.clients)
@@ -332,21 +332,21 @@
         for n, peer in enumerate(peers):
             peer.send(command(b"r%d" % n))
         clients_of = node.node.clients.clients
-        await until(lambda: len(clients_of) == 10 and all(c.rests(time.monotonic()) for c in clients_of))
+        await until(lambda: len(clients_of) == 10 and all(c.is_idle(time.monotonic()) for c in clients_of))
         for client in list(node.node.clients.clients):
             client.close_when_done()
         server = node.node.clients
         server.most = 10
         for client in list(server.clients)[:5]:
-            server.joined(type(client)(server))
+            server.add_connection(type(client)(server))
         assert sum(client.transport.is_closing() for client in list(server.clients)[:10]) == 5
         for client in list(server.clients)[10:]:
-            server.left(client)
+            server.remove_connection(client)
 
 
 @on_loop
 async def test_a_peer_that_never_asked_does_not_linger(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "LINGER", 1000.0)
+    monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 1000.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peer = Peer(node.port)
         peer.send(b"nonsense\r\n")
@@ -359,7 +359,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.looking.cancel()
         node.node.clients.most = 1
-        peer, joined = Peer(node.port), client_server.ClientServer.joined
+        peer, joined = Peer(node.port), client_server.ClientServer.add_connection
         await until(lambda: node.node.clients.clients)
         (first,) = node.node.clients.clients
 
@@ -370,7 +370,7 @@
                     pass
             joined(server, client)
 
-        monkeypatch.setattr(client_server.ClientServer, "joined", joining)
+        monkeypatch.setattr(client_server.ClientServer, "add_connection", joining)
         assert await node.ask(command(b"r2")) == SERVED
         assert await peer.read() == SERVED
 
@@ -422,7 +422,7 @@
     """All is over 0.4 s after the longest deadline: what came late would be failed there, unread it is tried
     elsewhere."""
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(clients, "FIRST_WITHIN", 0.0)
+    monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.0)
     short = {**SETTINGS, "services": [s | {"deadline": 900_000_000} for s in SETTINGS["services"]]}
     async with StubHost(None) as host, Node(host, path=tmp_path, settings=short) as node:
         peer = Peer(node.port)
@@ -430,7 +430,7 @@
         assert (await host.arrived.get())[2] == b"hangs"
         ending = asyncio.create_task(node.node.stop())
         (client,) = node.node.clients.clients
-        await until(lambda: client.last)
+        await until(lambda: client.reading_stopped)
         assert node.node.in_flight  # and not only because all is over
         peer.send(command(b"late"))
         assert await peer.read() == b"-ERR failed\r\n"
@@ -458,10 +458,10 @@
 @on_loop
 async def test_what_fails_at_the_end_of_one_connection_reaches_no_other(tmp_path, monkeypatch):
     """Neither the one that comes in its place, nor those whose time is up in the same look."""
-    monkeypatch.setattr(clients, "HEAD_WITHIN", 0.3)
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.looking.cancel()
-        peers, look = [await node.connect() for _ in range(3)], clients.Client.unread
+        peers, look = [await node.connect() for _ in range(3)], clients.ClientConnection.has_unread_bytes
         await until(lambda: len(node.node.clients.clients) == 3)
         spoilt = next(iter(node.node.clients.clients))
 
@@ -470,11 +470,11 @@
                 raise OSError("spoilt")
             return look(client)
 
-        for name in ("unread", "check_taken"):
+        for name in ("has_unread_bytes", "_check_write_progress"):
             monkeypatch.setattr(
-                clients.Client,
+                clients.ClientConnection,
                 name,
-                broken if name == "unread" else lambda c, now: broken(c) if c is spoilt else None,
+                broken if name == "has_unread_bytes" else lambda c, now: broken(c) if c is spoilt else None,
             )
         node.node.clients.most = 3
         assert await node.ask(command()) == SERVED
@@ -491,7 +491,7 @@
             peers = [Peer(node.port) for _ in range(40)]
             for peer in peers:
                 peer.send(PING)
-            await until(lambda: len(server.clients) == 40 and all(c.asked for c in server.clients))
+            await until(lambda: len(server.clients) == 40 and all(c.command_count for c in server.clients))
             server.most = 40
             if drain:
                 node.node.clients.drain(True)
@@ -507,9 +507,9 @@
 
 @on_loop
 async def test_where_all_are_at_work_few_come_past_the_limit(tmp_path, monkeypatch):
-    joined, come = client_server.ClientServer.joined, []
+    joined, come = client_server.ClientServer.add_connection, []
     monkeypatch.setattr(
-        client_server.ClientServer, "joined", lambda *args: (joined(*args), come.append(args))
+        client_server.ClientServer, "add_connection", lambda *args: (joined(*args), come.append(args))
     )
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.looking.cancel()
@@ -547,7 +547,7 @@
         peers = [Peer(node.port) for _ in range(100)]
         for peer in peers:
             peer.send(PING)
-        await until(lambda: len(server.clients) == 100 and all(c.asked for c in server.clients))
+        await until(lambda: len(server.clients) == 100 and all(c.command_count for c in server.clients))
         server.clients, server.most = Counted(server.clients), 100
         for _ in range(20):
             assert await node.ask(PING) == b"+PONG\r\n"
--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -119,7 +119,7 @@
             assert pool.idle == [conn] and not pool.settling  # unused, so it serves the next
         assert cause == "connect" or (work.finished and work.sends == 2)
         assert await sent_on(node, one, two) == [b"r1"]
-        assert not node.node.clients.not_read
+        assert not node.node.clients.paused_connections
         peer.sock.close()
 
 
--- a/tests/downstream/test_fair_queueing.py
+++ b/tests/downstream/test_fair_queueing.py
@@ -11,8 +11,8 @@
 from api_gateway.downstream import client_connection as clients
 from api_gateway.downstream import client_server, fair_queueing
 from api_gateway.downstream.admission_settings import read_edge
-from api_gateway.downstream.fair_queueing import LOT, QUANTUM, Origin, Ring, cost
-from api_gateway.downstream.rate_limits import Gate
+from api_gateway.downstream.fair_queueing import BATCH_COST, QUANTUM, FairQueue, SourceQueue, command_cost
+from api_gateway.downstream.rate_limits import ConnectionLimiter
 
 DEAREST = 5.0
 
@@ -34,36 +34,36 @@
         return spent, bool(self.commands)
 
 
-class Favours(Ring):
+class Favours(FairQueue):
     """Planted: whoever has its turn keeps it."""
 
     def serve(self, most):
-        for member in (*self.fresh, *self.round):
+        for member in (*self.new_members, *self.served_members):
             member.credit = 1e9
         return super().serve(most)
 
 
-class Unpaid(Ring):
+class Unpaid(FairQueue):
     """Planted: what was taken too much is forgotten."""
 
     def serve(self, most):
-        for member in (*self.fresh, *self.round):
+        for member in (*self.new_members, *self.served_members):
             member.credit = max(member.credit, 0.1)
         return super().serve(most)
 
 
-class AlwaysNew(Ring):
+class AlwaysNew(FairQueue):
     """Planted: one whose commands were all taken is new again with its next one."""
 
     def serve(self, most):
         told = super().serve(most)
-        for member in [m for m in self.round if not m.commands]:
-            self.round.remove(member)
+        for member in [m for m in self.served_members if not m.commands]:
+            self.served_members.remove(member)
             member.queued = False
         return told
 
 
-def play(seed, make=Ring):
+def play(seed, make=FairQueue):
     """Deep pipelines of several weights beside single commands, in one flat ring or under sources."""
     rng = random.Random(seed)
     outer, nested = make(), rng.random() < 0.5
@@ -73,10 +73,10 @@
     rings = {}
     for member, weight in zip(deep, weights, strict=True):
         if nested:
-            origin = Origin(weight)
-            origin.ring = make()
-            origin.serve = origin.ring.serve
-            rings[member] = origin
+            source = SourceQueue(weight)
+            source.queue = make()
+            source.serve = source.queue.serve
+            rings[member] = source
     made, since, turns = 0, {}, 0
     asked = {member: [] for member in deep + light}
 
@@ -86,13 +86,13 @@
         asked[member].append(made)
         member.commands.append((made, price))
         if member in rings:
-            rings[member].ring.add(member)
+            rings[member].queue.add(member)
             outer.add(rings[member])
         else:
             outer.add(member)
 
     # What one round takes at most, each member overdrawing by a dear command.
-    round_most = sum(QUANTUM * w + DEAREST for w in weights) + 5 * (QUANTUM + DEAREST) + LOT + DEAREST
+    round_most = sum(QUANTUM * w + DEAREST for w in weights) + 5 * (QUANTUM + DEAREST) + BATCH_COST + DEAREST
     for _ in range(400):
         turns += 1
         for member in deep:
@@ -102,7 +102,7 @@
             if rng.random() < 0.1 and not member.commands:
                 add(member, 1.0)
                 since[member] = sum(m.spent for m in deep + light)
-        outer.serve(LOT)
+        outer.serve(BATCH_COST)
         for member in light:
             if not member.commands:
                 since.pop(member, None)
@@ -111,7 +111,7 @@
             assert now - at <= round_most, "a newcomer waits for more than a round"
         shares = [member.spent / weight for member, weight in zip(deep, weights, strict=True)]
         # A turn of the lightest is QUANTUM / 2 of cost, so a dear command is some turns of it.
-        assert max(shares) - min(shares) <= 2 * QUANTUM + 2 * (DEAREST + LOT) / min(weights), "unfair"
+        assert max(shares) - min(shares) <= 2 * QUANTUM + 2 * (DEAREST + BATCH_COST) / min(weights), "unfair"
     for member in deep + light:
         assert member.taken == asked[member][: len(member.taken)], "out of order"
     assert all(member.spent > 0 for member in deep)
@@ -130,7 +130,7 @@
             play(seed, bug)
 
 
-@pytest.mark.parametrize("make, passed_over", [(Ring, False), (AlwaysNew, True)])
+@pytest.mark.parametrize("make, passed_over", [(FairQueue, False), (AlwaysNew, True)])
 def test_single_commands_that_never_end_do_not_starve_a_pipeline(make, passed_over):
     ring, deep, light = make(), Waiting(), [Waiting() for _ in range(10)]
     deep.commands.extend((n, 1.0) for n in range(1000))
@@ -141,8 +141,8 @@
             if not member.commands:
                 member.commands.append((0, 1.0))
                 ring.add(member)
-        ring.serve(LOT)
-    assert (deep.spent < 100 * LOT / 11 / 2) == passed_over
+        ring.serve(BATCH_COST)
+    assert (deep.spent < 100 * BATCH_COST / 11 / 2) == passed_over
 
 
 @pytest.mark.parametrize(
@@ -150,7 +150,7 @@
     [([b"PING"], 1.0), ([b"x" * 1024, b"y" * 1024], 3.0), (7, 1.0), ([bytearray(4 << 20)], 65.0)],
 )
 def test_a_command_costs_by_its_bytes_too(told, price):
-    assert round(cost(told), 1) == price
+    assert round(command_cost(told), 1) == price
 
 
 @pytest.mark.parametrize(
@@ -158,7 +158,7 @@
 )
 def test_a_source_has_the_weight_of_the_first_network_that_fits(address, weight):
     edge = read_edge({"weights": {"10.2.0.0/16": 4, "10.0.0.0/8": 0.5}})
-    assert Gate(edge, 0.0).weight(address) == weight
+    assert ConnectionLimiter(edge, 0.0).weight(address) == weight
 
 
 EDGE = {"edge": {}}
@@ -188,7 +188,7 @@
 async def test_a_light_client_does_not_wait_behind_pipelines(more, soon, scratch):
     async with StubHost() as host, Node(host, path=scratch, more=more) as node:
         taken, answers = await pipelines_beside(node, 3)
-        assert (taken.index(b"light") <= 6 * LOT) == soon
+        assert (taken.index(b"light") <= 6 * BATCH_COST) == soon
         assert len(answers) == 1201 and {answer[:1] for answer in answers} <= {b"$", b"-"}
         for letter in b"abc":
             own = [id for id in taken if id[0] == letter]
@@ -198,7 +198,7 @@
 @on_loop
 async def test_a_pipeline_that_ends_while_it_waits_leaves_nothing(scratch):
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
-        turns = node.node.clients.listener.turns
+        scheduler = node.node.clients.listener.scheduler
         for how in ("close", "reset"):
             for _ in range(5):
                 _, writer = await node.connect()
@@ -209,8 +209,8 @@
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 writer.transport.abort()
             await until(lambda: not node.node.in_flight and not node.node.clients.clients)
-            await until(lambda: not len(turns.ring))
-            assert not turns.origins and not turns.due and not node.node.held
+            await until(lambda: not len(scheduler.queue))
+            assert not scheduler.sources and not scheduler.is_scheduled and not node.node.held
             told = (await node.call("GET /status"))[1]["edge"]
             assert told["turns"] == 0 and told["windows"] == [32, 32]
 
@@ -218,7 +218,7 @@
 @pytest.mark.parametrize("call", ["POST /standby", None])
 @on_loop
 async def test_commands_that_wait_for_their_turn_outlast_a_drain(call, scratch, monkeypatch):
-    monkeypatch.setattr(fair_queueing, "LOT", 1.0)
+    monkeypatch.setattr(fair_queueing, "BATCH_COST", 1.0)
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
         reader, writer = await node.connect()
         writer.write(HOG[:20000])
@@ -237,10 +237,13 @@
 @on_loop
 async def test_a_connection_has_no_more_in_work_than_its_bound(scratch, monkeypatch):
     for module in (fair_queueing, clients):
-        monkeypatch.setattr(module, "MOST_PENDING", 8)
+        monkeypatch.setattr(module, "MAX_PENDING_COMMANDS", 8)
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
         seen, take = [], node.node.take
-        node.node.take = lambda slot, parts: (seen.append(len(slot.client.pending)), take(slot, parts))
+        node.node.take = lambda slot, parts: (
+            seen.append(len(slot.client.pending_replies)),
+            take(slot, parts),
+        )
         reader, writer = await node.connect()
         writer.write(HOG)
         assert {(await read_reply(reader))[:1] for _ in range(400)} <= {b"$", b"-"}
@@ -261,7 +264,7 @@
             slot.reply(b"-BUSY\r\n")
             return
         self.work.append(slot)
-        self.most = max(self.most, len(slot.client.pending))
+        self.most = max(self.most, len(slot.client.pending_replies))
 
     def gone(self, slot):
         pass
@@ -298,7 +301,7 @@
 async def test_pipelines_fit_themselves_to_what_hosts_have_room_for(halves, monkeypatch):
     """Additive increase, multiplicative decrease: few are refused, and the room is used."""
     if not halves:  # planted: what the module says of pressure is not heard
-        monkeypatch.setattr(fair_queueing.FairClient, "pressed", lambda self: None)
+        monkeypatch.setattr(fair_queueing.FairClientConnection, "pressed", lambda self: None)
     handler = Full(room=20)
     server = client_server.ClientServer(handler, 100)
     port = await server.listen("127.0.0.1", 0, edge=read_edge({}))
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -9,7 +9,7 @@
 from api_gateway.base.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
 from api_gateway.downstream import client_connection as clients
 from api_gateway.downstream import client_server
-from api_gateway.downstream.body_budget import Budget
+from api_gateway.downstream.body_budget import BodyBudget
 
 BIG = bytes(range(256)) * 4096  # 1 MiB
 WRITE = terms(c="write", k="77")
@@ -140,7 +140,7 @@
 
 @on_loop
 async def test_a_large_body_that_comes_slowly_is_sent_whole_and_again_after_a_failure(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "HEAD_WITHIN", 0.3)
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.3)
     answers = [b"-BUSY\r\n", value(b"value")]
     async with (
         StubHost(lambda: answers.pop(0)) as one,
@@ -160,7 +160,7 @@
 
 @on_loop
 async def test_a_body_that_stops_ends_its_connection_and_gives_its_place_back(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "PIECE_WITHIN", 0.3)
+    monkeypatch.setattr(clients, "BODY_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(upload()[:5000])
@@ -171,7 +171,7 @@
 
 @on_loop
 async def test_a_body_that_is_only_announced_holds_no_place(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "PIECE_WITHIN", 0.3)
+    monkeypatch.setattr(clients, "BODY_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.looking.cancel()
         node.node.clients.budget.most = len(BIG)
@@ -224,13 +224,13 @@
         def is_closing(self):
             return self.got < 0
 
-        def admitted(self, length):
+        def on_body_reserved(self, length):
             self.got = length
 
-    budget, (one, two, three, four) = Budget(), [Stub() for _ in range(4)]
+    budget, (one, two, three, four) = BodyBudget(), [Stub() for _ in range(4)]
     budget.most = 10
     for stub, length in ((one, 20), (two, 6), (three, 5), (four, 3)):
-        budget.take(length, stub)
+        budget.reserve(length, stub)
     assert [s.got for s in (one, two, three, four)] == [20, 0, 0, 0]
     three.got = -1  # it left
     budget.give(20)
@@ -239,8 +239,8 @@
 
 @on_loop
 async def test_in_a_drain_a_body_that_is_still_coming_is_not_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(client_server, "LAST_READ", 0.05)
-    monkeypatch.setattr(clients, "FIRST_WITHIN", 0.05)
+    monkeypatch.setattr(client_server, "DRAIN_READ_S", 0.05)
+    monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"r1") + upload()[:90000])
@@ -254,7 +254,7 @@
 
 @on_loop
 async def test_a_client_that_takes_nothing_more_is_given_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "TAKEN_WITHIN", 0.3)
+    monkeypatch.setattr(clients, "WRITE_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost(value(BIG * 4)) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.transport.pause_reading()
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -209,7 +209,7 @@
 
 @on_loop
 async def test_a_turn_that_comes_late(clock, monkeypatch, tmp_path):
-    slow(monkeypatch, clock, fair_queueing.Turns, "turn")
+    slow(monkeypatch, clock, fair_queueing.CommandScheduler, "run_batch")
     with stamped.watching() as stamps:
         async with StubHost() as host, Node(host, path=tmp_path, more={"edge": {}}) as gw:
             assert await gw.ask(command()) == SERVED
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -589,14 +589,14 @@
 
 def test_the_order_follows_the_target(folder, tmp_path, monkeypatch):
     """Of rows that break the same, the ratio decides; a worse break goes before any ratio."""
-    fixed(monkeypatch, MOST_MEMBERS=2000, MOST_BUDGETS=100, MOST_SOURCES=4096)
+    fixed(monkeypatch, MOST_MEMBERS=2000, MOST_BUDGETS=100, MAX_SOURCES=4096)
     many = other_target(tmp_path / "many.toml", {"tenants": 10_000_000, "budgets": 101})
     _, book = page.page(many, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
     assert order.index("membership.core.MOST_MEMBERS") < order.index("budgets.terms.MOST_BUDGETS")
-    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("downstream.rate_limits.MOST_SOURCES")
+    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("downstream.rate_limits.MAX_SOURCES")
     ratios = {row.limit.expr: ratio.value for _, row, ratio in page.over_limit(book)}
-    assert ratios["downstream.rate_limits.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
+    assert ratios["downstream.rate_limits.MAX_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
     _, book = page.page(TARGET, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
     assert order.index("budgets.terms.MOST_BUDGETS") < order.index("membership.core.MOST_MEMBERS")
@@ -680,14 +680,15 @@
 # caller, times, weights, or what a configuration sets.
 NO_BOUND_ON_A_FLEET = {
     "counter_client.MOST_LINE",
-    "downstream.client_connection.MOST_PENDING",
-    "downstream.client_server.OVER_MOST",
+    "downstream.client_connection.MAX_PENDING_COMMANDS",
+    "downstream.client_server.MAX_OVERFLOW_CONNECTIONS",
+    "downstream.listener.MAX_CLOSED_PER_TURN",
     "base.resp.MOST_PARTS",
     "base.resp.MOST_LINE",
     "base.resp.MOST_LARGE",
     "base.resp.MOST_DIGITS",
     "gateway.node.MOST_HELD",
-    "downstream.client_connection.MOST_COMMAND",
+    "downstream.client_connection.MAX_COMMAND_BYTES",
     "upstream.pool.MOST_REPLY",
     "control.server.MOST_CALLERS",
     "control.server.MOST_ENDING",
@@ -749,7 +750,7 @@
                     found |= {
                         f"{module}.{name}"
                         for name in names[1].split(", ")
-                        if name.startswith("MOST_") or name.endswith("_MOST") or name == "WATCHERS"
+                        if name.startswith(("MOST_", "MAX_")) or name.endswith("_MOST") or name == "WATCHERS"
                     }
     listed = {row.limit.expr for row in every_row() if row.limit is not None and row.limit.kind == cells.CODE}
     assert found - listed - NO_BOUND_ON_A_FLEET == set()
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -100,7 +100,7 @@
         await host.arrived.get()
         text = command(b"late")
         late.sendall(text[:30])
-        await until(lambda: any(client.partial for client in node.node.clients.clients))
+        await until(lambda: any(client.partial_command_bytes for client in node.node.clients.clients))
         abandon = node.node.abandon
 
         def abandoned(work):
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -4,7 +4,7 @@
 import threading
 from dataclasses import replace
 
-from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream import pending_reply
 from api_gateway.gateway import node as gateway
 from api_gateway.policy import endpoints as fleet
 from api_gateway.policy import quota_leases as quota_layer
@@ -13,7 +13,7 @@
 
 def lost():
     """One answer in fifty is never written."""
-    reply, count = clients.Slot.reply, 0
+    reply, count = pending_reply.Slot.reply, 0
 
     def forgetful(self, answer):
         nonlocal count
@@ -21,7 +21,7 @@
         if count % 50 or answer.startswith(b"+"):
             reply(self, answer)
 
-    clients.Slot.reply = forgetful
+    pending_reply.Slot.reply = forgetful
 
 
 def duplicate():
