--- a/api_gateway/base/resp.py
+++ b/api_gateway/base/resp.py
@@ -1,8 +1,8 @@
 """RESP2 from the network: hiredis, behind a check of what each value announces.
 
-hiredis makes a list as long as an array's head says before any part of it has come: `*1000000000` costs 8 GB
-of address space, which no memory limit notices, and each garbage collection then walks it for seconds. Nor
-does it look at the two bytes behind a string: it steps over them, whatever they are.
+hiredis makes a list as long as an array's head says before any part of it has arrived: `*1000000000` costs
+8 GB of address space, which no memory limit notices, and each garbage collection then walks it for seconds.
+Nor does it check the two bytes behind a string: it steps over them, whatever they are.
 """
 
 from __future__ import annotations
@@ -12,163 +12,237 @@
 
 import hiredis
 
-MOST_PARTS = 64  # of one array: commands have 5 and answers 3
-MOST_LINE = 4096  # bytes of a head, a number, a simple string or an error
-SMALL = 64 * 1024  # bytes of a string above which it is passed on in pieces
-MOST_LARGE = 4 * 1024 * 1024  # bytes that a value holds by the protocol
-NO_REPLY: Any = object()  # hiredis: more bytes are needed (None and False are values)
-PLACE = b"$0\r\n\r\n"  # stands for a large string in what hiredis gives
+# Parts of one array: commands have 5 and replies 3.
+MAX_ARRAY_PARTS = 64
+# Bytes of a head, a number, a simple string or an error.
+MAX_LINE_BYTES = 4096
+# Bytes of a string above which it is passed on in pieces.
+SMALL = 64 * 1024
+# Bytes that a value may have by the protocol.
+MOST_LARGE = 4 * 1024 * 1024
+# What `gets` returns when more bytes are needed; None and False are values. Of any type, as these.
+NO_REPLY: Any = object()
+# Given to hiredis in the place of a large string.
+LARGE_STRING_PLACEHOLDER = b"$0\r\n\r\n"
+# Ends each line and each string.
 END = b"\r\n"
-SHORT = {b"$%d" % n: n + 2 for n in range(512)} | {b"$-1": 0}  # what follows the heads that come most
-ZERO, MOST_DIGITS = 48, 9  # the byte that no number of more digits begins with; far more than any has
+# The heads that are most frequent, and how many bytes follow each: the string and its END.
+FREQUENT_HEADS = {b"$%d" % length: length + 2 for length in range(512)} | {b"$-1": 0}
+# The digit "0" as a byte: it begins no number of more than one digit.
+ZERO_DIGIT = 48
+# Digits of a count; far more than any count here has.
+MAX_COUNT_DIGITS = 9
 
 
 class Reader:
-    """gets() gives what came whole, then raises hiredis.ProtocolError where the stream is no RESP2 or
-    announces an array or a string (above `most` bytes) that nobody here sends. Nothing that hiredis could
-    take for the end of a string reaches it before it is known to be one.
-
-    Part `large[1]` of an array of `large[0]` parts may hold up to MOST_LARGE bytes. Once such a one is
-    announced, `begun` is its length and nothing more is read until pass_on() says where its pieces go."""
-
-    def __init__(self, most: int, large: tuple[int, int] = (0, -1)) -> None:
-        self.most, self.large, self.reader = most, large, hiredis.Reader(notEnoughData=NO_REPLY)
+    """Reads RESP2 values from a stream that comes in pieces.
+
+    Nothing that hiredis could take for the end of a string reaches it before it is known to be one.
+
+    One part of an array may be a large string. Once it is announced, `begun` is its length, and what follows
+    is buffered until `pass_on` says where its pieces go. In the value that `gets` returns then, it is empty.
+
+    Attributes:
+        gets: Returns the next complete value, or NO_REPLY. After the last complete one it raises
+            hiredis.ProtocolError, if the stream is not RESP2 or announces what is not allowed here.
+        begun: Length in bytes of a large string that waits for `pass_on`; 0: none.
+        buffered: What has arrived of that string, and behind it.
+    """
+
+    def __init__(self, max_string_bytes: int, large_part: tuple[int, int] = (0, -1)) -> None:
+        """Create a reader at the beginning of a stream.
+
+        Args:
+            max_string_bytes: Bytes of a string that is not large.
+            large_part: Of how many parts an array is that may have a large string of up to MOST_LARGE bytes,
+                and which part of it, counted from 0. By default there is none.
+        """
+        part_count, part_index = large_part
+        self.max_string_bytes = max_string_bytes
+        self.large_array_parts = part_count
+        self.parts_behind_large = part_count - part_index - 1
+        self.reader = hiredis.Reader(notEnoughData=NO_REPLY)
         self.gets: Callable[[], Any] = self.reader.gets
         self.broken = False  # the stream cannot go on
-        self.line, self.skip = b"", 0  # a line that is not whole yet; bytes to come of a bulk string
-        self.parts = self.due = 0  # of the array that is read: how many, and how many were not announced yet
-        self.due_behind = large[0] - large[1] - 1  # parts behind the large one
-        self.begun, self.left = 0, 0  # length of a large string that waits; bytes to come of one that is read
-        self.held, self.end = b"", b""  # what stands behind the head of one that waits; the last two bytes
+        self.partial_line = b""  # a line that is not complete yet
+        self.bytes_to_skip = 0  # still to arrive of a string that is not large
+        # The array that is read: its parts (-1: not a plain one), and how many were not announced yet.
+        self.array_parts = 0
+        self.parts_due = 0
+        # The large string.
+        self.begun = 0
+        self.buffered = b""
+        self.large_bytes_left = 0  # still to arrive of one that is passed on, END included
+        self.large_end = b""  # what has arrived of its END
         self.sink: Callable[[bytes], None] | None = None
 
     def feed(self, data: bytes) -> None:
-        if self.begun or self.broken:
-            if self.begun:
-                self.held += data
-            return
-        if self.left:
-            data = self.piece(data)
-        if self.line:
-            data = self.line + data
-        at, size = self.skip, len(data)
-        if at and not ends(data, at):
-            self.fail(b"")
+        """Take the next bytes of the stream."""
+        if self.begun or self.broken or self.large_bytes_left or self.partial_line:
+            if self.begun or self.broken:
+                self.buffered += data if self.begun else b""
+                return
+            data = self._resume(data)
+        at = self.bytes_to_skip
+        size = len(data)
+        if at and not may_end_at(data, at):
+            self._fail(b"")
             return
         while at < size and (end := data.find(END, at)) >= 0:
             line = data[at:end]
-            length = SHORT.get(line)
-            if length is not None and length <= self.most:
-                self.due -= 1
+            length = FREQUENT_HEADS.get(line)
+            if length is not None and length <= self.max_string_bytes:
+                self.parts_due -= 1
             else:
-                length = self.follows(line)
-                if length is None:
-                    self.fail(data[:at])
-                    return
-                if length > SMALL + 2 and self.at_large():
-                    self.reader.feed(data[:at])
-                    self.begun, self.held, self.line, self.skip = length - 2, data[end + 2 :], b"", 0
+                length = self._following_bytes(line)
+                if length is None or length > SMALL + 2 and self.is_large_part():
+                    self._stop_at(data, at, end, length)
                     return
-            head, at = at, end + 2 + length
-            if length and not data.startswith(END, at - 2) and not ends(data, at):
-                self.fail(data[:head])
+            head = at
+            at = end + 2 + length
+            if length and not data.startswith(END, at - 2) and not may_end_at(data, at):
+                self._fail(data[:head])
                 return
-        self.skip, self.line = max(0, at - size), data[at:]
-        if len(self.line) > MOST_LINE + 1:  # its CR may have come
-            self.fail(data[:at])
+        self.bytes_to_skip = max(0, at - size)
+        self.partial_line = data[at:]
+        if len(self.partial_line) > MAX_LINE_BYTES + 1:  # its CR may have arrived
+            self._fail(data[:at])
         else:
             self.reader.feed(data[:at])
 
-    def fail(self, sound: bytes) -> None:
-        """Nothing more is read; what came whole before, with `sound`, still comes out."""
-        self.reader.feed(sound)
-        self.broken, self.line, self.skip, self.gets = True, b"", 0, self.last
+    def pass_on(self, sink: Callable[[bytes], None]) -> None:
+        """Pass the large string that has begun to `sink` as it arrives.
+
+        The last call has END, behind the string; no piece of the string itself equals it.
+        """
+        self.sink = sink
+        self.large_bytes_left = self.begun + 2
+        self.begun = 0
+        self.large_end = b""
+        data = self.buffered
+        self.buffered = b""
+        self.feed(data)
+
+    def is_large_part(self) -> bool:
+        """Return whether the part that was announced last may be a large string."""
+        return self.parts_due == self.parts_behind_large and self.array_parts == self.large_array_parts
+
+    def is_in_large_part(self) -> bool:
+        """Return whether a part that may be a large string was announced and is not complete."""
+        return self.is_large_part() and (
+            self.bytes_to_skip > 0 or self.large_bytes_left > 0 or self.begun > 0
+        )
+
+    def has_data(self) -> bool:
+        """Return whether a value has begun and is not complete, or the stream cannot go on."""
+        return (
+            self.broken
+            or bool(self.partial_line)
+            or self.bytes_to_skip > 0
+            or self.begun > 0
+            or self.large_bytes_left > 0
+            or self.reader.has_data()
+        )
 
-    def last(self) -> Any:
+    def _resume(self, data: bytes) -> bytes:
+        """Pass on what belongs to the large string; returns the rest, behind the line that had begun."""
+        if self.large_bytes_left:
+            data = self._pass_piece(data)
+        return self.partial_line + data if self.partial_line else data
+
+    def _stop_at(self, data: bytes, at: int, end: int, length: int | None) -> None:
+        """Stop at the head `data[at:end]`: it announces a large string, or without `length` is malformed."""
+        if length is None:
+            self._fail(data[:at])
+            return
+        self.reader.feed(data[:at])
+        self.begun = length - 2
+        self.buffered = data[end + 2 :]
+        self.partial_line = b""
+        self.bytes_to_skip = 0
+
+    def _fail(self, valid: bytes) -> None:
+        """Read nothing more; the values that are complete with `valid` still come out."""
+        self.reader.feed(valid)
+        self.broken = True
+        self.partial_line = b""
+        self.bytes_to_skip = 0
+        self.gets = self._gets_last
+
+    def _gets_last(self) -> Any:
+        """Return the next value of a broken stream; after the last one raise hiredis.ProtocolError."""
         value = self.reader.gets()
         if value is NO_REPLY:
             raise hiredis.ProtocolError("the stream cannot go on")
         return value
 
-    def follows(self, line: bytes) -> int | None:
-        """Bytes of a bulk string behind this line; None where the stream cannot go on."""
+    def _following_bytes(self, line: bytes) -> int | None:
+        """Return how many bytes of a string follow this line, or None where the stream cannot go on."""
         kind = line[:1]
-        if kind == b"$" or kind == b"*":
-            count = read_count(line[1:])
-            if count is None:
+        if kind == b"*":
+            return self._following_array_head(line)
+        self.parts_due -= 1
+        if kind == b"$":
+            length = parse_count(line[1:])
+            if length is None:
                 return None
-            if kind == b"*":
-                if self.due <= 0:
-                    self.parts = self.due = count
-                else:  # it nests; one that does all the same holds nothing large
-                    self.parts, self.due = -1, self.due - 1 + max(0, count)
-                return 0 if count <= MOST_PARTS else None
-            self.due -= 1
-            if count > self.most and not (count <= MOST_LARGE and self.at_large()):
+            if length > self.max_string_bytes and not (length <= MOST_LARGE and self.is_large_part()):
                 return None
-            return count + 2 if count >= 0 else 0
-        self.due -= 1
-        return 0 if kind in (b"+", b"-", b":") and len(line) <= MOST_LINE else None
-
-    def at_large(self) -> bool:
-        """Whether the part that was announced last may be a large one."""
-        return self.due == self.due_behind and self.parts == self.large[0]
-
-    def pass_on(self, sink: Callable[[bytes], None]) -> None:
-        """The large string that has begun goes to `sink` as it comes, its END last."""
-        self.sink, self.left, self.begun, self.end = sink, self.begun + 2, 0, b""
-        data, self.held = self.held, b""
-        self.feed(data)
-
-    def piece(self, data: bytes) -> bytes:
-        """Passes on what belongs to the large string; what stands behind it."""
+            return length + 2 if length >= 0 else 0
+        return 0 if kind in (b"+", b"-", b":") and len(line) <= MAX_LINE_BYTES else None
+
+    def _following_array_head(self, line: bytes) -> int | None:
+        """Note the parts of an array; returns 0, or None where the stream cannot go on."""
+        count = parse_count(line[1:])
+        if count is None:
+            return None
+        if self.parts_due <= 0:
+            self.array_parts = count
+            self.parts_due = count
+        else:  # it nests: that is no plain array, and holds nothing large
+            self.array_parts = -1
+            self.parts_due += max(0, count) - 1
+        return 0 if count <= MAX_ARRAY_PARTS else None
+
+    def _pass_piece(self, data: bytes) -> bytes:
+        """Pass on what belongs to the large string; returns what stands behind it."""
         assert self.sink is not None
-        taken = data[: self.left] if len(data) > self.left else data
-        self.left -= len(taken)
-        if self.left >= 2:
-            self.give(taken)
+        taken = data[: self.large_bytes_left] if len(data) > self.large_bytes_left else data
+        self.large_bytes_left -= len(taken)
+        if self.large_bytes_left >= 2:
+            self._emit(taken)
             return b""
-        value = len(taken) - (2 - self.left) + len(self.end)  # bytes of the string itself in this piece
-        self.end += taken[value:] if value > 0 else taken
-        if value > 0:
-            self.give(taken[:value])
-        if not END.startswith(self.end):
-            self.fail(b"")
+        # How many bytes of this piece belong to the string itself.
+        string_bytes = len(taken) - (2 - self.large_bytes_left) + len(self.large_end)
+        self.large_end += taken[string_bytes:] if string_bytes > 0 else taken
+        if string_bytes > 0:
+            self._emit(taken[:string_bytes])
+        if not END.startswith(self.large_end):
+            self._fail(b"")
             return b""
-        if self.left:
+        if self.large_bytes_left:
             return b""
         self.sink(END)
-        self.reader.feed(PLACE)
+        self.reader.feed(LARGE_STRING_PLACEHOLDER)
         return data[len(taken) :]
 
-    def give(self, string: bytes) -> None:
-        """To the sink, which knows the end of the string by END: no piece of the string itself is that."""
+    def _emit(self, string: bytes) -> None:
+        """Pass a piece to the sink; in two if it equals END, which tells the sink the end of the string."""
         assert self.sink is not None
         for piece in (string[:1], string[1:]) if string == END else (string,):
             self.sink(piece)
 
-    def in_last(self) -> bool:
-        """Whether the last part of an array that may hold a large one has been announced and is not whole."""
-        return self.at_large() and (self.skip > 0 or self.left > 0 or self.begun > 0)
-
-    def has_data(self) -> bool:
-        return (
-            self.broken
-            or bool(self.line)
-            or self.skip > 0
-            or self.begun > 0
-            or self.left > 0
-            or self.reader.has_data()
-        )
 
-
-def read_count(digits: bytes) -> int | None:
-    """The number of a head: -1, or decimal digits and nothing else; None where it is none."""
-    if digits.isdigit() and (digits[0] != ZERO or len(digits) == 1) and len(digits) <= MOST_DIGITS:
+def parse_count(digits: bytes) -> int | None:
+    """Return the number of a head: -1, or decimal digits and nothing else; None where it is none."""
+    if digits.isdigit() and (digits[0] != ZERO_DIGIT or len(digits) == 1) and len(digits) <= MAX_COUNT_DIGITS:
         return int(digits)
     return -1 if digits == b"-1" else None
 
 
-def ends(data: bytes, at: int) -> bool:
-    """Whether the bytes before `at` are END, as far as they are in `data`: its CR may have come before it."""
+def may_end_at(data: bytes, at: int) -> bool:
+    """Return whether the bytes before `at` are END, as far as they are in `data`.
+
+    If `at` is 1, its CR may have arrived before `data`.
+    """
     return END.startswith(data[at - 2 : at]) if at > 1 else data[:1] in (b"\n", b"")
--- a/api_gateway/downstream/client_connection.py
+++ b/api_gateway/downstream/client_connection.py
@@ -169,7 +169,7 @@
     def _check_partial_command(self) -> None:
         """Ask for what the rest of a command needs, once all complete ones are handled."""
         # A body that was only announced reserves nothing: announcing is free for an attacker.
-        if self.reader.held and not self.awaits_body_budget:
+        if self.reader.buffered and not self.awaits_body_budget:
             self.awaits_body_budget = True
             self.server.budget.reserve(self.reader.begun, self)
         # A command without end must not fill the memory.
@@ -272,7 +272,7 @@
             return self.writing_paused
         if self.reading_paused or self.awaits_turn:
             return True
-        if self.reader.in_last():
+        if self.reader.is_in_large_part():
             is_late = now - self.heard > BODY_PROGRESS_TIMEOUT_S
         else:
             is_late = now - self.command_due_since > COMMAND_TIMEOUT_S
--- a/tests/base/test_resp.py
+++ b/tests/base/test_resp.py
@@ -3,7 +3,7 @@
 import hiredis
 import pytest
 
-from api_gateway.base.resp import END, MOST_PARTS, NO_REPLY, Reader
+from api_gateway.base.resp import END, MAX_ARRAY_PARTS, NO_REPLY, Reader
 
 STREAM = b"*2\r\n$4\r\n*9\r\n\r\n$-1\r\n:7\r\n+yes\r\n$0\r\n\r\n*-1\r\n*1\r\n*1\r\n$3\r\na\r\n\r\n"
 VALUES = [[b"*9\r\n", None], 7, b"yes", b"", None, [[b"a\r\n"]]]
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize(
     "bad",
     [
-        b"*%d\r\n" % (MOST_PARTS + 1),
+        b"*%d\r\n" % (MAX_ARRAY_PARTS + 1),
         b"*1\r\n*1000000000\r\n",
         b"$101\r\n",
         b"?\r\n",
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -138,7 +138,7 @@
     def value(self, place):
         end = self.stream.find(b"\r\n", self.at)
         line = self.stream[self.at : end if end >= 0 else None]
-        if len(line) > resp.MOST_LINE + (end < 0):
+        if len(line) > resp.MAX_LINE_BYTES + (end < 0):
             raise Bad
         if end < 0:
             raise More
@@ -154,7 +154,7 @@
             large = place == self.large and not self.nested
             return self.string(self.number(text, -1, LARGE if large else MOST), large)
         if kind == b"*":
-            count = self.number(text, -1, resp.MOST_PARTS)
+            count = self.number(text, -1, resp.MAX_ARRAY_PARTS)
             self.nested = place is not None  # nothing behind an inner one is large, even if that is empty
             inner = [(count, n) if place is None else (-1, -1) for n in range(count)]
             return None if count < 0 else [self.value(one) for one in inner]
