--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -29,7 +29,7 @@
 from api_gateway.control import server as control
 from api_gateway.control.config_history import ConfigHistory, content_digest, decode_history, make_version
 from api_gateway.control.config_preparation import STEPS
-from api_gateway.downstream import client_connection as clients
+from api_gateway.downstream import client_server
 
 EXTRA = SETTINGS["services"][0] | {"name": "extra"}
 # On a machine that is busy with other things nothing is taken for late; and no quota is met.
@@ -419,7 +419,7 @@
 
 @on_loop
 async def test_connections_that_rest_make_room_for_smaller_limits(tmp_path, monkeypatch):
-    monkeypatch.setattr(clients, "REST", 0.0)
+    monkeypatch.setattr(client_server, "MIN_IDLE_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peers = [await node.connect() for _ in range(45)]
         for n, (reader, writer) in enumerate(peers):
