--- a/api_gateway/discovery/client.py
+++ b/api_gateway/discovery/client.py
@@ -1,394 +1,348 @@
-"""Discovery: a watch for changes of the list of hosts, and the whole list where there is none to change.
+"""Client of discovery: watches for changes of the endpoint list, and fetches the full list where it has none.
 
-One service may answer all gateways, and what starts or fails for all of them at one moment would ask it at
-one moment for good. So each waits for a time drawn by chance, the longer the more of them there are, and asks
-for what has changed since its last list: that costs the service less than the whole one.
+One service may answer all gateways. What starts or fails for all of them at one moment would make them call
+at one moment for good, so delays are drawn at random (see `polling`), and a call asks for the changes since
+the last list, which costs the service less than the full list.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import math
 import random
 from collections.abc import Callable
 from contextlib import suppress
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from time import monotonic
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import Address, Listing, read_list
 from api_gateway.base.ratelimit import LimitedLog
-from api_gateway.discovery.fetcher import Broken, Fetcher, host_of
-
-WAIT = 5.0  # s that discovery may hold a watch open
-LATE = (1.0, 1.7)  # s past that in which a silent watch is given up, drawn: all fall silent at one moment
-ANSWER = 5.0  # s for the whole list, after which the call is given up: it waits its turn there
-TOLD = 6.0  # s after which a change counts as told, from when discovery had it and could be reached
-ROOM = 0.5  # s of these for the answer
-AGENT_WAIT, AGENT_LATE, AGENT_ANSWER, AGENT_PAUSE = 0.25, (0.1, 0.2), 0.4, 0.1  # parts of the drain's grace
-GRACE_LEAST, GRACE_MOST = 0.5, 8.0  # s; bounds of the grace that they are parts of
-AT_ONCE = 1.0  # s in which one call at most follows a failure at once
-TURN = 0.02  # s between looks whether a list has been read
-EARLY = 0.05  # s before the next call after a watch that ended early with nothing: far under the 200 ms
-LEAVING_MOST = 1024  # hosts told to leave that are remembered
-BACKOFF_LEAST, BACKOFF_MOST = 0.05, 1.0  # s; bounds of the pause after a failure, for up to FEW gateways
-FEW = 2  # gateways; with more of them pauses are longer in proportion, as far as TOLD allows
-START_EACH = 0.1  # s that the first call of each gateway but a few is given, where all begin together
-START_FEW = 5  # gateways that ask at once
-
-log = logging.getLogger(__name__)
+from api_gateway.discovery.drain_memory import DrainMemory
+from api_gateway.discovery.fetcher import BrokenConnectionError, Fetcher, format_host
+from api_gateway.discovery.polling import FULL_LIST_TIMEOUT_S, Params, PollSchedule
 
+if TYPE_CHECKING:  # only with the key `view`
+    from api_gateway.discovery.subsets import Viewing
 
 PATH = "/v1/endpoints"
-Params = dict[str, int | str]
-
-
-def url(address: Address) -> str:
-    return f"http://{host_of(address)}{PATH}"
-
-
-@dataclass(frozen=True, slots=True)
-class Timeouts:
-    """How long calls wait, in s. No silence is waited out for longer than what it hides may stay unknown:
-    what a silent watch missed counts as told 6 s after it fell silent, or 2 s after its wait if later. And
-    discovery may be back the moment after a call that fails was made: the next one comes `told` s after it at
-    the latest, however long the first one took, so while calls fail none waits."""
-
-    wait: float = WAIT
-    late: tuple[float, float] = LATE
-    answer: float = ANSWER
-    again: float = 0.0  # the wait of watches while calls fail
-    pause: float = BACKOFF_MOST  # the longest after a failure, for few gateways
-    told: float = TOLD - ROOM
-
+SUBSET_POLL_INTERVAL_S = 0.02  # between checks whether a list has been read to its end
+EMPTY_WATCH_DELAY_S = 0.05  # after a watch that ended early without news; far under the 200 ms of a new watch
 
-def agent_timeouts(grace: float) -> Timeouts:
-    """Of an agent on this machine, which answers at once and at no cost. What it has counts as told at once,
-    also when it comes back from a silence, and a drain's grace runs from then: no silence takes more than
-    half of it, with the pause after it."""
-    unit = max(GRACE_LEAST, min(GRACE_MOST, grace))
-    least, most = (part * unit for part in AGENT_LATE)
-    return Timeouts(
-        AGENT_WAIT * unit,
-        (least, most),
-        AGENT_ANSWER * unit,
-        0.0,
-        min(BACKOFF_MOST, AGENT_PAUSE * unit),
-        math.inf,
-    )
-
-
-class Backoff:
-    """Waits before calls: full jitter, below a bound that doubles with each failure, and `within` the time in
-    which the next call is due."""
+log = logging.getLogger(__name__)
 
-    def __init__(self, gateways: int, rng: random.Random, most: float = BACKOFF_MOST) -> None:
-        self.gateways, self.rng, self.fails, self.most = gateways, rng, 0, most
 
-    def start(self) -> float:
-        return self.rng.uniform(0.0, min(TOLD - ROOM, START_EACH * max(0, self.gateways - START_FEW)))
+def format_url(address: Address) -> str:
+    """Return the URL of the endpoint list at an address."""
+    return f"http://{format_host(address)}{PATH}"
 
-    def pause(self, within: float = math.inf) -> float:
-        self.fails += 1
-        crowd = max(1.0, self.gateways / FEW)
-        most = min(self.most, BACKOFF_LEAST * 2.0 ** min(self.fails, 16))
-        longest = min(crowd * most, within)
-        return self.rng.uniform(min(crowd * min(BACKOFF_LEAST, most), longest / 2), longest)
 
+def format_query(params: Params) -> str:
+    """Return parameters as the query of a URL."""
+    return "&".join(f"{name}={value}" for name, value in params.items())
 
-async def ask(fetcher: Fetcher, address: Address, params: Params, limit: float) -> Listing:
-    return read_list(await fetcher.get(address, f"{PATH}?{query(params)}" if params else PATH, limit))
 
+async def fetch_list(fetcher: Fetcher, address: Address, params: Params, limit: float) -> Listing:
+    """Fetch a list or its changes within `limit` seconds.
 
-def query(params: Params) -> str:
-    return "&".join(f"{name}={value}" for name, value in params.items())
+    Raises:
+        ValueError: The answer is no endpoint list.
+        FetchError, OSError: The call failed.
+    """
+    return read_list(await fetcher.get(address, f"{PATH}?{format_query(params)}" if params else PATH, limit))
 
 
 class Discovery:
-    """`told` gets each list, `failed` hears of each call that failed. `version` is that of the last list, or
-    None where there is none to go by. `grace`: the drain's, where what answers is an agent on this machine,
-    for this gateway alone; None where one service answers all. `viewing`: a views.Viewing, where this gateway
-    uses a part of the hosts.
+    """Keeps the endpoint list of one gateway up to date.
 
-    One call is in work at a time, so lists are taken in the order in which they were asked for."""
+    One call is in flight at a time, so lists take effect in the order in which they were requested.
+    `version` is that of the last list, or None where no watch can go on from one.
+    """
 
     def __init__(
         self,
         address: Address,
         version: int | None,
-        told: Callable[[Listing], None],
-        failed: Callable[[], None],
+        on_list: Callable[[Listing], None],
+        on_failure: Callable[[], None],
         gateways: int = 1,
         seed: int = 0,
         grace: float | None = None,
-        viewing: Any = None,
+        viewing: Viewing | None = None,
     ) -> None:
-        self.address, self.viewing = address, viewing
-        # With a view, too, what is known serves while the first call waits its turn; none goes on from it.
-        self.waits, self.version = bool(viewing) and version is not None, None if viewing else version
-        self.told, self.failed = told, failed
-        self.rng = random.Random(seed)
-        self.timeouts = Timeouts() if grace is None else agent_timeouts(grace)
-        self.backoff = Backoff(gateways if grace is None else 1, self.rng, self.timeouts.pause)
-        self.local_failure = False  # the last call failed as it does not for all gateways at one moment
-        self.spoilt = False  # what it brought could not be read
-        self.unknown = 0.0  # since when there may be changes that the last call, which failed, did not tell
-        self.last_immediate = -AT_ONCE  # when a call last followed a failure at once
-        self.odd, self.back = LimitedLog(log), LimitedLog(log)
+        """Initialise the discovery.
+
+        Args:
+            address: Where discovery listens.
+            version: Version of the list that is known from before; None: there is none.
+            on_list: Gets each list that takes effect.
+            on_failure: Called after each call that failed.
+            gateways: Gateways that call the same service.
+            seed: Of the random delays.
+            grace: Grace period of a drain in seconds, where an agent on this machine answers this gateway
+                alone; None where one service answers all.
+            viewing: The subset of the endpoints that this gateway uses; None: it uses all.
+        """
+        self.address = address
+        self.viewing = viewing
+        # With a subset, too, the known list serves while the first call is delayed; no watch goes on from it.
+        self.delays_first_call = viewing is not None and version is not None
+        self.version = None if viewing else version
+        self.on_list = on_list
+        self.on_failure = on_failure
+        self.schedule = PollSchedule(gateways, random.Random(seed), grace)
+        self.backoff = self.schedule.backoff
+        self.failure_log = LimitedLog(log)
+        self.recovery_log = LimitedLog(log)
         self.fetcher = Fetcher()
-        self.shifting: asyncio.Handle | None = None
-        self.watching: asyncio.Task[None] | None = None
-        self.heard: float | None = None  # when the last answer came
-        self.answered = asyncio.Event()  # the first of them
-        self.last = 0  # version of the last list, also where that was another address's
-        self.leaving: dict[str, float] = {}  # hosts that lists told to leave, and their starts
+        self.subset_change: asyncio.Handle | None = None  # the turn in which a changed subset takes effect
+        self.watch_task: asyncio.Task[None] | None = None
+        self.last_answer_at: float | None = None  # monotonic
+        self.first_answer = asyncio.Event()
+        self.drains = DrainMemory()
 
     def retune(self, grace: float) -> None:
-        """The drain's grace where an agent answers."""
-        self.timeouts = agent_timeouts(grace)
-        self.backoff.most = self.timeouts.pause
+        """Take over another grace period of a drain, in seconds, where an agent answers."""
+        self.schedule.set_grace(grace)
 
     @property
     def url(self) -> str:
-        return url(self.address)
-
-    async def get(self, params: Params, limit: float) -> bool:
-        """Whether it brought anything new."""
-        asked, last = self.address, self.version
-        listing = await self.call(self.fetcher, asked, params, limit, self.early)
-        if asked == self.address:  # else it moved meanwhile, and its versions are others
-            if params and listing.hosts.mode == "delta" and listing.hosts.version < (last or 0):
-                raise ValueError(f"changes up to version {listing.hosts.version}, where {last} was known")
-            self.check(listing)
+        """URL of the endpoint list."""
+        return format_url(self.address)
+
+    def age(self) -> float | None:
+        """Return the seconds since the last answer; None: there was none."""
+        return None if self.last_answer_at is None else monotonic() - self.last_answer_at
+
+    def told_of(self) -> dict[str, Any]:
+        """Return what operators see of the list, as JSON."""
+        age = self.age()
+        return {
+            "version": self.version,
+            "age": None if age is None else round(age, 1),
+            "from": self.url,
+            "failures": self.backoff.fails,
+            **({"view": self.viewing.told_of()} if self.viewing else {}),
+        }
+
+    # Calls
+
+    async def poll(self, params: Params, limit: float) -> bool:
+        """Call discovery once and let the answer take effect.
+
+        Args:
+            params: Of the watch; none: the full list is fetched.
+            limit: Time limit in seconds.
+
+        Returns:
+            Whether the answer brought anything new.
+        """
+        address = self.address
+        version = self.version
+        listing = await self._fetch(self.fetcher, address, params, limit, self._on_partial_list)
+        if address == self.address:  # else it moved meanwhile, and versions of the old address mean nothing
+            if params and listing.hosts.mode == "delta" and listing.hosts.version < (version or 0):
+                raise ValueError(f"changes up to version {listing.hosts.version}, where {version} was known")
+            self.validate(listing)
             if self.viewing:
                 await self.viewing.bring(listing)
-            self.take(listing)
-            self.heard = monotonic()
-            self.answered.set()
-        return self.version != last or bool(listing.hosts.endpoints)
+            self.accept_list(listing)
+            self.last_answer_at = monotonic()
+            self.first_answer.set()
+        return self.version != version or bool(listing.hosts.endpoints)
 
-    async def call(
+    async def _fetch(
         self,
         fetcher: Fetcher,
         address: Address,
         params: Params,
         limit: float,
-        early: Callable[[Listing], None] | None = None,
+        on_partial_list: Callable[[Listing], None] | None = None,
     ) -> Listing:
-        """A list as it is told, without effect but for what `early` gets of it."""
+        """Fetch a list without any effect but what `on_partial_list` has."""
         if self.viewing:
-            return await self.viewing.ask(fetcher, address, PATH, query(params), limit, early)
-        return await ask(fetcher, address, params, limit)
-
-    def early(self, listing: Listing) -> None:
-        """What a whole list says beside its hosts, or drains out of it, before the rest of it is read."""
-        self.check(listing)
+            return await self.viewing.ask(
+                fetcher, address, PATH, format_query(params), limit, on_partial_list
+            )
+        return await fetch_list(fetcher, address, params, limit)
+
+    def _on_partial_list(self, listing: Listing) -> None:
+        """Take what precedes the endpoints of a full list, or drains in it, before the rest is read."""
+        self.validate(listing)
         if listing.hosts.endpoints:
-            self.told(replace(listing, hosts=replace(listing.hosts, mode="delta")))
+            self.on_list(replace(listing, hosts=replace(listing.hosts, mode="delta")))
 
-    def check(self, listing: Listing) -> None:
-        """Raises what speaks against a list."""
+    async def contact(self, address: Address) -> Listing:
+        """Fetch the full list at another address, without effect here. Raises what went wrong."""
+        fetcher = Fetcher()
+        try:
+            return await self._fetch(fetcher, address, {}, FULL_LIST_TIMEOUT_S)
+        finally:
+            fetcher.close()
+
+    # Lists that take effect
 
-    def take(self, listing: Listing) -> None:
+    def validate(self, listing: Listing) -> None:
+        """Raise what speaks against taking a list."""
+
+    def accept_list(self, listing: Listing) -> None:
+        """Let a list take effect and pass it on."""
         self.version = listing.hosts.version
         if self.viewing:
-            older = self.is_older(listing)
-            listing = self.viewing.take(listing, lambda host: self.counts(host, older), list(self.leaving))
-        self.note(listing)
-        self.told(self.remember(listing))
-
-    def note(self, listing: Listing) -> None:
-        """A list that counts."""
+            older = self.drains.is_older(listing)
+            listing = self.viewing.take(
+                listing,
+                lambda endpoint: self.drains.correct_endpoint(endpoint, older),
+                list(self.drains.started_at),
+            )
+        self.record_list(listing)
+        self.on_list(self.drains.correct(listing))
+
+    def record_list(self, listing: Listing) -> None:
+        """Note a list that takes effect."""
 
     def begin(self, listing: Listing) -> Listing:
-        """What is known from before, as it counts here."""
-        return self.remember(self.viewing.cut(listing) if self.viewing else listing)
-
-    def is_older(self, listing: Listing) -> bool:
-        return listing.hosts.mode != "delta" and listing.hosts.version <= self.last
-
-    def remember(self, listing: Listing) -> Listing:
-        """The list as it counts here."""
-        told, older = listing.hosts, self.is_older(listing)
-        hosts = tuple(self.counts(host, older) for host in told.endpoints)
-        while len(self.leaving) > LEAVING_MOST:
-            del self.leaving[next(iter(self.leaving))]
-        self.last = told.version
-        return replace(listing, hosts=replace(told, endpoints=hosts))
-
-    def counts(self, host: api.Endpoint, older: bool) -> api.Endpoint:
-        """A host as it counts here. A whole list that is no newer than the last, as another address or a
-        service that lags may tell it, does not bring back one that was told to leave and has not started
-        since."""
-        if host.state != "up":
-            self.leaving.pop(host.id, None)
-            self.leaving[host.id] = host.started_at
-        elif older and host.started_at <= self.leaving.get(host.id, -1.0):
-            return replace(host, state="leaving")
-        else:
-            self.leaving.pop(host.id, None)
-        return host
+        """Return a list that is known from before, as it holds here."""
+        return self.drains.correct(self.viewing.cut(listing) if self.viewing else listing)
+
+    # The subset
 
     def holds(self, host: str) -> bool:
-        """Whether a host may be there that the module is not told of."""
-        return bool(self.viewing) and self.viewing.holds(host)
+        """Return whether an endpoint may exist that is outside the subset."""
+        return self.viewing is not None and self.viewing.holds(host)
 
     def widen(self, size: int) -> None:
-        """The view shall have so many hosts that are up, as far as its bound allows."""
+        """Make the subset `size` available endpoints large, as far as its bounds allow."""
         if self.viewing and self.viewing.resize(size):
-            self.shift()
+            self._on_subset_change(self.viewing)
 
     def place(self, index: int, zone: str) -> None:
-        """Where the view is taken from here on."""
+        """Take the subset for another gateway index and zone from here on."""
         if self.viewing and self.viewing.move(index, zone):
-            self.shift()
+            self._on_subset_change(self.viewing)
 
-    def shift(self) -> None:
-        """The view is another one. It is told in a turn of its own, as the module may be in the middle of
-        one."""
-        if self.viewing.shelf is None:
+    def _on_subset_change(self, viewing: Viewing) -> None:
+        """Schedule a turn for the changed subset, as the decision module may be in the middle of one."""
+        if viewing.shelf is None:
             self.fetch()
-        elif self.shifting is None:
-            self.shifting = asyncio.get_running_loop().call_soon(self.shifted)
-
-    def shifted(self) -> None:
-        self.shifting = None
-        if self.viewing.reading:  # a list that counts once it is whole
-            self.shifting = asyncio.get_running_loop().call_later(TURN, self.shifted)
-        elif self.viewing.shelf is not None:  # else another service told a view meanwhile
-            listing = self.viewing.shift(Listing(api.EndpointList("delta", self.last, ()), {}))
-            self.note(listing)
-            self.told(self.remember(listing))
-
-    def age(self) -> float | None:
-        """Seconds since the last answer; None: there was none."""
-        return None if self.heard is None else monotonic() - self.heard
-
-    def told_of(self) -> dict[str, Any]:
-        """What operators see of the list."""
-        age = self.age()
-        return {
-            "version": self.version,
-            "age": None if age is None else round(age, 1),
-            "from": self.url,
-            "failures": self.backoff.fails,
-            **({"view": self.viewing.told_of()} if self.viewing else {}),
-        }
-
-    def watch_call(self) -> tuple[Params, float]:
-        """A watch from the last list on, and the seconds after which it is broken."""
-        wait = self.timeouts.again if self.backoff.fails else self.timeouts.wait
-        limit = wait + self.rng.uniform(*self.timeouts.late) if wait else self.timeouts.answer
-        return {"index": self.version or 0, "wait": int(wait * 1000)}, limit
+        elif self.subset_change is None:
+            self.subset_change = asyncio.get_running_loop().call_soon(self._apply_subset_change, viewing)
+
+    def _apply_subset_change(self, viewing: Viewing) -> None:
+        self.subset_change = None
+        if viewing.reading:  # a list that takes effect once it is complete
+            loop = asyncio.get_running_loop()
+            self.subset_change = loop.call_later(SUBSET_POLL_INTERVAL_S, self._apply_subset_change, viewing)
+        elif viewing.shelf is not None:  # else another service has sent a subset meanwhile
+            no_changes = Listing(api.EndpointList("delta", self.drains.last_version, ()), {})
+            listing = viewing.shift(no_changes)
+            self.record_list(listing)
+            self.on_list(self.drains.correct(listing))
+
+    # The watch
 
     async def attempt(self, params: Params, limit: float) -> bool:
-        """Whether the call was answered by a list."""
-        began, wait = monotonic(), int(params.get("wait", 0)) / 1000
+        """Call discovery once and note the result.
+
+        Returns:
+            Whether a list answered the call.
+        """
+        started_at = monotonic()
+        wait = int(params.get("wait", 0)) / 1000
         try:
-            fresh = await self.get(params, limit)
+            has_news = await self.poll(params, limit)
         except Exception as err:  # whatever it is, the watch must outlive it
-            unreadable = isinstance(err, ValueError)
-            # When a watch is given up was drawn; what cannot be read was spoilt on its way to this gateway.
-            silent = isinstance(err, TimeoutError) and not self.backoff.fails
-            self.local_failure = silent or unreadable and not self.spoilt
-            self.spoilt = unreadable
-            broke = wait > 0 and isinstance(err, OSError | Broken) and not isinstance(err, TimeoutError)
-            self.unknown = monotonic() if broke else began  # up to its end a watch would have told
-            if unreadable:  # what changed there is in the whole list
-                self.version = None
-            if not self.backoff.fails:
-                self.odd.say(
-                    logging.WARNING,
-                    "discovery: %s %s; the last list stays, asking again with pauses",
-                    type(err).__name__,
-                    err,
-                )
-            self.failed()
+            self._on_call_failed(err, started_at, is_watch=wait > 0)
             return False
         if self.backoff.fails:
-            self.back.say(logging.INFO, "discovery: answers again after %d failures", self.backoff.fails)
-            self.backoff.fails = 0
-        self.spoilt = False
-        if not fresh and monotonic() - began < wait / 2:
-            await asyncio.sleep(EARLY)
+            self.recovery_log.say(logging.INFO, "discovery answers again failures=%d", self.backoff.fails)
+        self.schedule.record_success()
+        if not has_news and monotonic() - started_at < wait / 2:
+            await asyncio.sleep(EMPTY_WATCH_DELAY_S)
         return True
 
-    def immediate(self, now: float) -> bool:
-        """Whether the call after one that failed comes at once. It does where what follows a silence is
-        spoilt, too: the silence has taken up the time."""
-        if not self.local_failure or self.backoff.fails != 2 and now - self.last_immediate < AT_ONCE:
-            return False
-        self.last_immediate = now
-        return True
-
-    def due(self) -> float:
-        """Seconds in which the call after one that failed has to come; half of them after the first failure,
-        as the next may fail, too."""
-        left = max(0.0, self.timeouts.told - (monotonic() - self.unknown))
-        return left if self.backoff.fails else left / 2
-
-    async def run(self, pause: float) -> None:
-        if self.waits or self.version is not None:  # what is known serves meanwhile
-            await asyncio.sleep(pause)
+    def _on_call_failed(self, err: Exception, started_at: float, *, is_watch: bool) -> None:
+        is_unreadable = isinstance(err, ValueError)
+        is_timeout = isinstance(err, TimeoutError)
+        # Up to the moment at which it broke a watch would have brought changes.
+        was_cut = is_watch and isinstance(err, OSError | BrokenConnectionError) and not is_timeout
+        self.schedule.record_failure(
+            unknown_since=monotonic() if was_cut else started_at,
+            is_timeout=is_timeout,
+            is_unreadable=is_unreadable,
+        )
+        if is_unreadable:  # what changed there is in the full list
+            self.version = None
+        if not self.backoff.fails:
+            self.failure_log.say(
+                logging.WARNING,
+                "discovery call failed, the last list stays, retrying with backoff error=%s detail=%s",
+                type(err).__name__,
+                err,
+            )
+        self.on_failure()
+
+    async def run(self, delay: float) -> None:
+        """Watch until cancelled; where a known list serves meanwhile, `delay` seconds from now on."""
+        if self.delays_first_call or self.version is not None:
+            await asyncio.sleep(delay)
         while True:
             if self.version is None:
-                done = await self.attempt({}, self.timeouts.answer)
-            else:  # at once after the last answer: past 200 ms it would be a new watch
-                done = await self.attempt(*self.watch_call())
-            if not done:
-                pause = self.backoff.pause(self.due())
-                if not self.immediate(monotonic()):
-                    await asyncio.sleep(pause)
+                is_answered = await self.attempt({}, self.schedule.timeouts.full_list)
+            else:  # without a delay after the last answer: past 200 ms it would be a new watch
+                is_answered = await self.attempt(*self.schedule.watch_call(self.version))
+            if not is_answered:
+                delay = self.schedule.retry_delay(monotonic())
+                if not self.schedule.take_immediate_retry(monotonic()):
+                    await asyncio.sleep(delay)
 
     def watch(self, on: bool, pause: float | None = None) -> None:
-        if on and self.watching is None:
-            pause = self.backoff.start() if pause is None else pause
-            self.watching = asyncio.get_running_loop().create_task(self.run(pause))
-        elif not on and self.watching is not None:
-            self.watching.cancel()
-            self.watching = None
+        """Start or stop watching.
+
+        Args:
+            on: Whether there shall be a watch.
+            pause: Seconds before its first call; None: drawn at random.
+        """
+        if on and self.watch_task is None:
+            delay = self.backoff.start() if pause is None else pause
+            self.watch_task = asyncio.get_running_loop().create_task(self.run(delay))
+        elif not on and self.watch_task is not None:
+            self.watch_task.cancel()
+            self.watch_task = None
 
     def restart(self) -> None:
-        """The watch begins anew: its call, if one is out, is given up before the next is made."""
-        if self.watching is not None:
+        """Begin a running watch anew: its call in flight is given up before the next is made."""
+        if self.watch_task is not None:
             self.watch(False)
             self.watch(True, 0.0)
 
     def move(self, address: Address, listing: Listing | None = None) -> None:
-        """To another address: a watch begins again there, from the list that was got there already or else
-        with the whole one."""
-        self.address, self.version = address, None
+        """Go on at another address, from the list that was fetched there or else with the full one."""
+        self.address = address
+        self.version = None
         if listing is not None:
-            self.take(listing)
+            self.accept_list(listing)
         self.restart()
 
     def fetch(self) -> None:
-        """The whole list, in place of the call that is out."""
+        """Fetch the full list, in place of the call that is in flight."""
         self.version = None
         self.restart()
 
     async def first(self) -> None:
-        """Until the first answer, for no longer than one that is there takes."""
+        """Wait for the first answer, for no longer than a service that is there takes."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(self.timeouts.late[1]):
-                await self.answered.wait()
-        if self.viewing and self.viewing.reading:  # it is there
+            async with asyncio.timeout(self.schedule.timeouts.overrun_range[1]):
+                await self.first_answer.wait()
+        if self.viewing and self.viewing.reading:  # the answer is arriving
             with suppress(TimeoutError):
-                async with asyncio.timeout(ANSWER):
-                    await self.answered.wait()
-
-    async def contact(self, address: Address) -> Listing:
-        """The whole list as it is told at another address, without effect here. Raises what went wrong."""
-        fetcher = Fetcher()
-        try:
-            return await self.call(fetcher, address, {}, ANSWER)
-        finally:
-            fetcher.close()
+                async with asyncio.timeout(FULL_LIST_TIMEOUT_S):
+                    await self.first_answer.wait()
 
     async def close(self) -> None:
+        """Stop watching and close the connection."""
         self.watch(False)
-        if self.shifting is not None:
-            self.shifting.cancel()
+        if self.subset_change is not None:
+            self.subset_change.cancel()
         self.fetcher.close()
--- a/api_gateway/discovery/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -1,8 +1,9 @@
-"""Discovery from a list service of several replicas, whose outages the last good list outlasts.
+"""Discovery from a list service of several replicas, through whose outages the last good list serves.
 
-One replica is asked at a time, the next one after a failure. A version that goes backwards within an epoch is
-that of a replica that lags, and not taken; another epoch is another life of the service, and its list counts.
-The list is kept under $TMPDIR, so that a process which starts in an outage begins with what the last one had.
+One replica is called at a time, the next one after a failure. A version that goes backwards within an epoch
+is that of a replica that lags, and its list is not taken. Another epoch is another incarnation of the
+service, and its list counts. The list is cached under $TMPDIR, so that a process which starts in an outage
+begins with the list of the process before it.
 """
 
 from __future__ import annotations
@@ -20,145 +21,182 @@
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import STATE, Address, Listing, read_list, write_address
 from api_gateway.control.host_overrides import Kept
-from api_gateway.discovery.client import Discovery, Params
+from api_gateway.discovery.client import Discovery
+from api_gateway.discovery.polling import Params
 
-KEEP_EVERY = 5.0  # s between two times that the list is written
-WORD = {state: word for word, state in STATE.items()}
+CACHE_WRITE_INTERVAL_S = 5.0
+WIRE_STATES = {state: wire_state for wire_state, state in STATE.items()}
 
 log = logging.getLogger(__name__)
 
 
-class Behind(Exception):
-    """A replica that lags: what it tells is older than what is known."""
+class StaleReplicaError(Exception):
+    """A replica lags: its list is older than the known one."""
+
+    def __init__(self, version: int, known_version: int) -> None:
+        """Initialise the stale replica error."""
+        super().__init__(f"version {version}, where {known_version} is known")
+        self.version = version
+        self.known_version = known_version
 
 
 class Replicas(Discovery):
-    """`folder` is where the list is kept; None: nowhere. `clock` times it, in seconds that the process which
-    reads it later can compare."""
+    """Discovery that calls several replicas in turn and caches the list in a file.
+
+    `clock` times the cached list, in seconds that the process which reads it later can compare.
+    """
 
     clock: Callable[[], float] = staticmethod(time.time)
 
     def __init__(
         self, address: Address, others: tuple[Address, ...], folder: Path | None, name: str, *args: Any
     ) -> None:
+        """Initialise the replicas.
+
+        Args:
+            address: The first replica.
+            others: The other replicas.
+            folder: Where the list is cached; None: nowhere.
+            name: Of this process, unique in the folder.
+            args: Further arguments of Discovery.
+        """
         super().__init__(address, *args)
-        self.places, self.at = [address, *others], 0
-        self.epoch, self.newest = "", 0  # of the last list; its version
-        self.list: dict[str, tuple[api.Endpoint, Address | None]] = {}
-        self.kept = Kept(folder / f"{name}-list.json" if folder else None)
-        self.writing: asyncio.TimerHandle | None = None
+        self.replica_addresses = [address, *others]
+        self.replica_index = 0
+        self.epoch = ""  # of the last list
+        self.newest_version = 0  # that of the last list
+        self.endpoints: dict[str, tuple[api.Endpoint, Address | None]] = {}
+        self.cache_file = Kept(folder / f"{name}-list.json" if folder else None)
+        self.cache_timer: asyncio.TimerHandle | None = None
 
     def recall(self) -> Listing | None:
-        """The list that was kept, as if it had just been told; it keeps its age."""
+        """Return the cached list as if it had just come; its age goes on. None: there is none to use."""
         try:
-            text = self.kept.read()
+            text = self.cache_file.read()
             if text is None:
                 return None
-            told = json.loads(text)
-            listing, at, total = read_list(told), float(told["at"]), int(told.get("total", 0))
+            document = json.loads(text)
+            listing = read_list(document)
+            answered_at = float(document["at"])
+            total = int(document.get("total", 0))
         except (OSError, ValueError, KeyError, TypeError, OverflowError, RecursionError) as err:
-            log.error("%s: %s; it is passed over", self.kept.path, err)
+            log.error("cached endpoint list passed over file=%s error=%s", self.cache_file.path, err)
             return None
         if not listing.hosts.endpoints:
             return None
-        self.note(listing)
-        self.heard = time.monotonic() - max(0.0, self.clock() - at)
-        if not self.viewing or self.viewing.resume(told.get("query")):
-            self.version = self.newest
+        self.record_list(listing)
+        self.last_answer_at = time.monotonic() - max(0.0, self.clock() - answered_at)
+        if not self.viewing or self.viewing.resume(document.get("query")):
+            self.version = self.newest_version
         else:
-            self.waits = True  # the view is another one now
+            self.delays_first_call = True  # the subset is another one now
         return replace(listing, hosts=replace(listing.hosts, mode="cached", available_total=total))
 
-    async def get(self, params: Params, limit: float) -> bool:
+    async def poll(self, params: Params, limit: float) -> bool:
+        """Call the current replica once; a watch names the epoch that it goes on from."""
         known = {"epoch": quote(self.epoch, "")} if self.epoch and params else {}
-        return await super().get({**params, **known}, limit)
+        return await super().poll({**params, **known}, limit)
 
     async def attempt(self, params: Params, limit: float) -> bool:
-        done = await super().attempt(params, limit)
-        if not done and len(self.places) > 1:
-            self.at = (self.at + 1) % len(self.places)
-            self.address = self.places[self.at]
-        return done
-
-    def check(self, listing: Listing) -> None:
-        known = bool(self.epoch) and listing.epoch == self.epoch
-        if known and listing.hosts.version < self.newest:
-            raise Behind(f"version {listing.hosts.version}, where {self.newest} is known")
-        if self.epoch and not known and listing.hosts.mode != "full":
+        """Call the current replica once and turn to the next one if that fails."""
+        is_answered = await super().attempt(params, limit)
+        if not is_answered and len(self.replica_addresses) > 1:
+            self.replica_index = (self.replica_index + 1) % len(self.replica_addresses)
+            self.address = self.replica_addresses[self.replica_index]
+        return is_answered
+
+    def validate(self, listing: Listing) -> None:
+        """Raise what speaks against taking a list.
+
+        Raises:
+            StaleReplicaError: The replica lags.
+            ValueError: These are changes of another epoch.
+        """
+        is_same_epoch = bool(self.epoch) and listing.epoch == self.epoch
+        if is_same_epoch and listing.hosts.version < self.newest_version:
+            raise StaleReplicaError(listing.hosts.version, self.newest_version)
+        if self.epoch and not is_same_epoch and listing.hosts.mode != "full":
             raise ValueError("changes of another epoch")
 
-    def take(self, listing: Listing) -> None:
-        self.check(listing)
+    def accept_list(self, listing: Listing) -> None:
+        """Let a list take effect, pass it on and have it cached. Raises what validate() raises."""
+        self.validate(listing)
         if self.epoch and listing.epoch != self.epoch:
             log.warning(
-                "discovery: %s is in epoch %s, not %s any longer: its whole list counts",
+                "discovery epoch changed, the full list counts url=%s epoch=%s last_epoch=%s",
                 self.url,
                 listing.epoch or "none",
                 self.epoch,
             )
-        super().take(listing)
-        if self.writing is None and self.kept.path is not None:
-            self.writing = asyncio.get_running_loop().call_later(KEEP_EVERY, self.keep)
-
-    def note(self, listing: Listing) -> None:
-        self.epoch, self.newest = listing.epoch, listing.hosts.version
+        super().accept_list(listing)
+        if self.cache_timer is None and self.cache_file.path is not None:
+            loop = asyncio.get_running_loop()
+            self.cache_timer = loop.call_later(CACHE_WRITE_INTERVAL_S, self.write_cache)
+
+    def record_list(self, listing: Listing) -> None:
+        """Note the endpoints of a list that takes effect, its epoch and its version."""
+        self.epoch = listing.epoch
+        self.newest_version = listing.hosts.version
         if listing.hosts.mode != "delta":
-            self.list = {}
-        for host in listing.hosts.endpoints:
-            if host.state == "down":
-                self.list.pop(host.id, None)
+            self.endpoints = {}
+        for endpoint in listing.hosts.endpoints:
+            if endpoint.state == "down":
+                self.endpoints.pop(endpoint.id, None)
             else:
-                self.list[host.id] = host, listing.addresses.get(host.id)
-
-    def keep(self) -> None:
-        self.writing = None
-        servers = [
-            {
-                "id": h.id,
-                "zone": h.zone,
-                "kind": h.kind,
-                "cell": h.cell,
-                "state": WORD[h.state],
-                "weight": h.weight,
-                "started_ms": h.started_at * 1000,
-                **({"addr": write_address(address)} if address else {}),
-            }
-            for h, address in self.list.values()
-        ]
-        heard = self.clock() - (self.age() or 0.0)
+                self.endpoints[endpoint.id] = endpoint, listing.addresses.get(endpoint.id)
+
+    def write_cache(self) -> None:
+        """Write the list to its file; a failure is logged and leaves the file as it was."""
+        self.cache_timer = None
+        document = {
+            "at": self.clock() - (self.age() or 0.0),
+            "version": self.newest_version,
+            "epoch": self.epoch,
+            "full": True,
+            "servers": [cached_entry(endpoint, address) for endpoint, address in self.endpoints.values()],
+            **self._cached_subset(),
+        }
         try:
-            with self.kept.locked():
-                self.kept.write(
-                    json.dumps(
-                        {
-                            "at": heard,
-                            "version": self.newest,
-                            "epoch": self.epoch,
-                            "full": True,
-                            "servers": servers,
-                            **self.kind(),
-                        }
-                    )
-                )
+            with self.cache_file.locked():
+                self.cache_file.write(json.dumps(document))
         except OSError as err:
-            log.error("%s: %s; the list is not kept", self.kept.path, err)
+            log.error("endpoint list not cached file=%s error=%s", self.cache_file.path, err)
 
-    def kind(self) -> dict[str, Any]:
-        """What of all hosts the kept list holds; `query` where the service told that by itself."""
+    def _cached_subset(self) -> dict[str, Any]:
+        """Return which part of all endpoints the file holds; `query` where the service chose it."""
         if not self.viewing:
             return {}
         by_service = {"query": self.viewing.view.query()} if self.viewing.known else {}
         return {"total": self.viewing.total, **by_service}
 
     def move(self, address: Address, listing: Listing | None = None) -> None:
-        self.places[0], self.at, self.epoch = address, 0, ""
+        """Go on at another first replica, from the list that was fetched there already or the full one."""
+        self.replica_addresses[0] = address
+        self.replica_index = 0
+        self.epoch = ""
         super().move(address, listing)
 
     def told_of(self) -> dict[str, Any]:
+        """Return what operators see of the list, as JSON."""
         return {**super().told_of(), "epoch": self.epoch}
 
     async def close(self) -> None:
-        if self.writing is not None:
-            self.writing.cancel()
-            self.keep()
+        """Write what is not cached yet, stop watching and close the connection."""
+        if self.cache_timer is not None:
+            self.cache_timer.cancel()
+            self.write_cache()
         await super().close()
+
+
+def cached_entry(endpoint: api.Endpoint, address: Address | None) -> dict[str, Any]:
+    """Return an endpoint in discovery's form, as JSON."""
+    return {
+        "id": endpoint.id,
+        "zone": endpoint.zone,
+        "kind": endpoint.kind,
+        "cell": endpoint.cell,
+        "state": WIRE_STATES[endpoint.state],
+        "weight": endpoint.weight,
+        "started_ms": endpoint.started_at * 1000,
+        **({"addr": write_address(address)} if address else {}),
+    }
--- a/api_gateway/discovery/subsets.py
+++ b/api_gateway/discovery/subsets.py
@@ -19,7 +19,7 @@
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import Address, Entries, Listing, Odd, read_beside, with_hosts
 from api_gateway.base.subsets import SIZE_MOST, Ring, Rings, View, place_of
-from api_gateway.discovery.fetcher import Fetcher, Refused
+from api_gateway.discovery.fetcher import Fetcher, StatusError
 
 SLICE = 50  # entries of a long list that are read in one turn of the loop: some 2 ms
 LOOK = 1000  # records of the shelf that are looked at in one turn: some 1 ms
@@ -253,7 +253,7 @@
         asked = f"{query}&{self.view.query()}" if query else self.view.query()
         try:
             body = await fetcher.fetch(address, f"{path}?{asked}", limit)
-        except Refused as err:
+        except StatusError as err:
             if err.status not in UNKNOWN:
                 raise
             if query:
--- a/api_gateway/experiments/scale/events.py
+++ b/api_gateway/experiments/scale/events.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from api_gateway.base.subsets import View
-from api_gateway.discovery.client import ROOM, TOLD, Backoff
+from api_gateway.discovery.polling import ROOM, TOLD, Backoff
 from api_gateway.registry.config import LEARN, Config
 from api_gateway.registry.core import DRAIN, GATHER, LOOK, Answer, Host, Registry, Stale
 from api_gateway.registry.service import Service
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -865,7 +865,7 @@
         "everything_view_kb_most",
         "at each gateway",
         "registry_ready_s_by_gateways",
-        "`discovery.client.Backoff.start`",
+        "`discovery.polling.Backoff.start`",
         "the list service; fronts, by gateways that are ready later",
     ),
     Event(
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -70,7 +70,7 @@
         "connects": n.hosts.connect_timeout,
         "rests": n.hosts.idle_time,
         "discovery": n.discovery.url,
-        "watch": n.discovery.watching,
+        "watch": n.discovery.watch_task,
         "timeout": n.counter.timeout,
         "counter": [line.address for line in n.counter.lines],
         "clients": n.clients.most,
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -10,7 +10,8 @@
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import read_list
 from api_gateway.discovery import client as discovery
-from api_gateway.discovery.client import Backoff
+from api_gateway.discovery import polling
+from api_gateway.discovery.polling import Backoff
 from api_gateway.discovery.replicas import Replicas
 from api_gateway.downstream import client_connection as clients
 
@@ -92,8 +93,8 @@
 
 @on_loop
 async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch, caplog):
-    monkeypatch.setattr(discovery, "AGENT_WAIT", 0.1)
-    monkeypatch.setattr(discovery, "AGENT_LATE", (0.1, 0.2))
+    monkeypatch.setattr(polling, "AGENT_WATCH_WAIT_FRACTION", 0.1)
+    monkeypatch.setattr(polling, "AGENT_WATCH_OVERRUN_FRACTIONS", (0.1, 0.2))
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.call():
             pass
@@ -148,7 +149,7 @@
     for seed in range(40):
         made = discovery.Discovery(("127.0.0.1", 1), 7, print, print, 200, seed, grace)
         made.backoff.fails = fails
-        yield made, *made.watch_call()
+        yield made, *made.schedule.watch_call(made.version)
 
 
 def test_a_silent_watch_is_opened_anew_before_its_news_counts_as_told():
@@ -170,7 +171,7 @@
     for made, params, limit in drawn(grace, fails=9):
         longest = max(made.backoff.pause() for _ in range(50))
         assert params["wait"] == 0 and limit + longest <= grace / 2 + 1e-9
-        assert made.timeouts.answer <= grace / 2
+        assert made.schedule.timeouts.full_list <= grace / 2
 
 
 @on_loop
@@ -180,7 +181,8 @@
         file = json.loads(node.file.read_text())
         node.file.write_text(json.dumps(file | {"settings": short}))
         node.node.reload()
-        assert node.node.discovery.watch_call()[1] <= 0.4
+        client = node.node.discovery
+        assert client.schedule.watch_call(client.version)[1] <= 0.4
 
 
 @on_loop
@@ -305,7 +307,7 @@
 
         monkey = pytest.MonkeyPatch()
         monkey.setattr(discovery.asyncio, "sleep", sleeping)
-        await until(lambda: slept.count(discovery.EARLY) > 2)
+        await until(lambda: slept.count(discovery.EMPTY_WATCH_DELAY_S) > 2)
         monkey.undo()
 
 
@@ -322,7 +324,7 @@
     allows after which changes count as told: after the first failure that is half of it at most."""
     asked, slept, done = [], [], asyncio.Event()
 
-    async def get(self, params, limit):
+    async def poll(self, params, limit):
         asked.append(params)
         raise error
 
@@ -332,7 +334,7 @@
             done.set()
             await asyncio.Event().wait()
 
-    monkeypatch.setattr(discovery.Discovery, "get", get)
+    monkeypatch.setattr(discovery.Discovery, "poll", poll)
     made = discovery.Discovery(("127.0.0.1", 1), 7, print, lambda: None, 200, 1)
     monkeypatch.setattr(discovery.asyncio, "sleep", sleep)
     task = asyncio.ensure_future(made.run(0.0))
@@ -430,15 +432,15 @@
         other.version, other.servers = 3, [entry(one, "h1")]
         file = json.loads(node.file.read_text())
         node.file.write_text(json.dumps(file | {"discovery": f"127.0.0.1:{other.port}"}))
-        told, taken = discovery.Discovery.take, []
+        told, taken = discovery.Discovery.accept_list, []
 
         def taking(self, listing):
             taken.append([host.id for host in listing.hosts.endpoints])
             told(self, listing)
 
         monkey = pytest.MonkeyPatch()
-        monkey.setattr(discovery.Discovery, "take", taking)
-        ask = discovery.ask
+        monkey.setattr(discovery.Discovery, "accept_list", taking)
+        ask = discovery.fetch_list
 
         async def answered(*args):
             listing = await ask(*args)
@@ -446,7 +448,7 @@
                 node.node.reload()  # between the answer and its being taken
             return listing
 
-        monkey.setattr(discovery, "ask", answered)
+        monkey.setattr(discovery, "fetch_list", answered)
         node.discovery.calls.clear()
         await node.discovery.call()  # a watch that began since
         node.discovery.change([entry(two, "h2")])
@@ -473,7 +475,7 @@
     async def sleep(self, seconds):
         self.now += seconds
 
-    async def get(self, made, params, limit):
+    async def poll(self, made, params, limit):
         self.calls.append(self.now)
         wait = params.get("wait", 0) / 1000
         if self.now < self.away and self.now + wait <= self.away:  # nothing changes until then
@@ -498,7 +500,7 @@
     back = away + rng.choice((0.0, 0.2, 3.0, 8.0, 30.0)) + rng.random()
     outage = Outage(away, back, silent, spoilt, answer, monkeypatch)
     made = kind(("127.0.0.1", 1), 7, print, lambda: None, gateways, seed, **more)
-    made.get = lambda params, limit: outage.get(made, params, limit)
+    made.poll = lambda params, limit: outage.poll(made, params, limit)
     with pytest.raises(Over):
         asyncio.run(made.run(0.0))
     return outage
@@ -514,7 +516,7 @@
     for seed in range(300):
         outage = played(monkeypatch, gateways, seed, silent, spoilt)
         begun = [at for at in outage.calls if at < outage.away]
-        watch = begun[-1] + discovery.WAIT + 2.0 if begun and silent else 0.0
+        watch = begun[-1] + polling.WATCH_WAIT_S + 2.0 if begun and silent else 0.0
         assert outage.told <= max(outage.back + 6.0, watch)
         latest = max(latest, outage.told - outage.back)
     assert gateways < 30 or silent or latest > 4.0  # and they ask no sooner than they have to
@@ -533,7 +535,7 @@
     for seed in range(300):
         outage = played(monkeypatch, 30, seed, silent, spoilt, TwoPlaces)
         begun = [at for at in outage.calls if at < outage.away]
-        watch = begun[-1] + discovery.WAIT + 2.0 if begun and silent else 0.0
+        watch = begun[-1] + polling.WATCH_WAIT_S + 2.0 if begun and silent else 0.0
         assert outage.told <= max(outage.back + 6.0, watch)
 
 
--- a/tests/discovery/test_fetcher.py
+++ b/tests/discovery/test_fetcher.py
@@ -7,7 +7,7 @@
 from netkit import on_loop
 
 from api_gateway.discovery import fetcher as fetch
-from api_gateway.discovery.fetcher import Broken, Fetcher, Refused
+from api_gateway.discovery.fetcher import BrokenConnectionError, Fetcher, StatusError
 
 BODY = json.dumps({"a": 1}).encode()
 WHOLE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(BODY), BODY)
@@ -84,19 +84,19 @@
 @pytest.mark.parametrize(
     "answer, error",
     [
-        (b"", Broken),
-        (WHOLE[:-1], Broken),
-        (WHOLE[:10], Broken),
-        (b"what\r\n\r\n", Broken),
+        (b"", BrokenConnectionError),
+        (WHOLE[:-1], BrokenConnectionError),
+        (WHOLE[:10], BrokenConnectionError),
+        (b"what\r\n\r\n", BrokenConnectionError),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]", ValueError),
-        (b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", Refused),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"1" * 3000, Broken),
-        (b"HTTP/1.1 200 OK\r\n" + b"x: y\r\n" * 50000, Broken),
+        (b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", StatusError),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + b"1" * 3000, BrokenConnectionError),
+        (b"HTTP/1.1 200 OK\r\n" + b"x: y\r\n" * 50000, BrokenConnectionError),
     ],
 )
 @on_loop
 async def test_what_is_no_answer_raises_and_the_next_call_begins_anew(answer, error, monkeypatch):
-    monkeypatch.setattr(fetch, "MOST_BODY", 2000)
+    monkeypatch.setattr(fetch, "MAX_BODY_BYTES", 2000)
     async with Said(answer, WHOLE, ends=True) as said:
         fetcher = Fetcher()
         with pytest.raises(error):
@@ -111,7 +111,7 @@
         fetcher = Fetcher()
         with pytest.raises(TimeoutError):
             await fetcher.get(said.address, "/", 0.1)
-        assert fetcher.resting is None
+        assert fetcher.idle_connection is None
         with pytest.raises(OSError):
             await fetcher.get(("127.0.0.1", 1), "/", 1.0)
 
@@ -139,7 +139,7 @@
     fetcher = Fetcher()
     with pytest.raises(TimeoutError):
         await fetcher.get(server.sockets[0].getsockname(), "/", 0.2)
-    assert fetcher.resting is None
+    assert fetcher.idle_connection is None
     server.close()
 
 
@@ -150,5 +150,5 @@
         fetcher = Fetcher()
         told = await asyncio.gather(*(fetcher.get(said.address, "/", 2.0) for _ in range(5)))
         assert sorted(told) == [0, 1, 2, 3, 4] and said.connections == 5
-        assert fetcher.resting is not None
+        assert fetcher.idle_connection is not None
         fetcher.close()
--- a/tests/discovery/test_replicas.py
+++ b/tests/discovery/test_replicas.py
@@ -12,8 +12,8 @@
 
 from api_gateway.base.endpoint_list import read_list
 from api_gateway.discovery import client as discovery
-from api_gateway.discovery import replicas
-from api_gateway.discovery.replicas import Behind, Replicas
+from api_gateway.discovery import polling, replicas
+from api_gateway.discovery.replicas import Replicas, StaleReplicaError
 
 ASK = {"known": {"version": 0, "full": True, "servers": []}}
 
@@ -41,7 +41,7 @@
             await until(lambda: pools(node) == ["h1"] and one.service.waiting)
             assert not two.service.waiting  # one is asked at a time
         await until(lambda: two.service.waiting)
-        assert "epoch e2" in caplog.text and await node.ask(command()) == SERVED
+        assert "epoch=e2" in caplog.text and await node.ask(command()) == SERVED
         await two.register("h2", addr=f"127.0.0.1:{host.port}")
         await until(lambda: pools(node) == ["h1", "h2"])
         seen = (await node.call("GET /status"))[1]["list"]
@@ -51,7 +51,7 @@
 
 @on_loop
 async def test_of_a_replica_that_lags_nothing_is_taken_until_it_has_caught_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(discovery, "BACKOFF_MOST", 0.1)
+    monkeypatch.setattr(polling, "MAX_BACKOFF_S", 0.1)
     async with StubHost() as host, Serving() as lags:
         address = f"127.0.0.1:{host.port}"
         async with Serving() as one:
@@ -62,7 +62,7 @@
             await node.__aenter__()
             await until(lambda: len(pools(node)) == 3)
         await until(lambda: node.node.discovery.backoff.fails >= 5)
-        assert len(pools(node)) == 3 and node.node.discovery.newest == 44
+        assert len(pools(node)) == 3 and node.node.discovery.newest_version == 44
         for name in ("h2", "h3", "h4"):
             await lags.register(name, addr=address)
         await until(lambda: len(pools(node)) == 4)
@@ -71,7 +71,7 @@
 
 @on_loop
 async def test_a_service_that_starts_again_empty_takes_no_host_away(tmp_path, monkeypatch):
-    monkeypatch.setattr(discovery, "BACKOFF_MOST", 0.1)
+    monkeypatch.setattr(polling, "MAX_BACKOFF_S", 0.1)
     async with StubHost() as host:
         address = f"127.0.0.1:{host.port}"
         async with Serving() as first:
@@ -140,12 +140,12 @@
 
 @on_loop
 async def test_the_kept_list_is_written_now_and_then_and_not_with_each_change(tmp_path, monkeypatch):
-    monkeypatch.setattr(replicas, "KEEP_EVERY", 0.2)
+    monkeypatch.setattr(replicas, "CACHE_WRITE_INTERVAL_S", 0.2)
     async with StubHost() as host, Serving() as service:
         async with Node(path=tmp_path, more=using(service.port, keep=True)) as node:
             written = []
-            write = node.node.discovery.kept.write
-            node.node.discovery.kept.write = lambda text: (written.append(text), write(text))
+            write = node.node.discovery.cache_file.write
+            node.node.discovery.cache_file.write = lambda text: (written.append(text), write(text))
             for n in range(20):
                 await service.register(f"h{n}", addr=f"127.0.0.1:{host.port}")
                 await until(lambda n=n: len(pools(node)) == n + 1)
@@ -167,15 +167,15 @@
 def test_versions_within_an_epoch_and_changes_across_epochs():
     heard = []
     client = Replicas(("127.0.0.1", 1), (), None, "n0", None, heard.append, lambda: None)
-    client.take(listing(5, "a", full=True))
+    client.accept_list(listing(5, "a", full=True))
     for older in (listing(4, "b"), listing(4, "b", full=True)):
-        with pytest.raises(Behind):
-            client.take(older)
+        with pytest.raises(StaleReplicaError):
+            client.accept_list(older)
     with pytest.raises(ValueError, match="another epoch"):
-        client.take(listing(9, "b", epoch="e2"))
-    client.take(listing(6, "b"))
-    client.take(listing(2, "c", full=True, epoch="e2"))
-    assert [t.hosts.version for t in heard] == [5, 6, 2] and list(client.list) == ["c"]
+        client.accept_list(listing(9, "b", epoch="e2"))
+    client.accept_list(listing(6, "b"))
+    client.accept_list(listing(2, "c", full=True, epoch="e2"))
+    assert [t.hosts.version for t in heard] == [5, 6, 2] and list(client.endpoints) == ["c"]
 
 
 @pytest.mark.parametrize(
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -704,8 +704,9 @@
     "base.subsets.WORD_MOST",
     "control.config_changes.MOST_VERSIONS",
     "counter_client.BACKOFF_MOST",
-    "discovery.client.GRACE_MOST",
-    "discovery.client.BACKOFF_MOST",
+    "discovery.polling.MAX_GRACE_S",
+    "discovery.polling.MAX_BACKOFF_S",
+    "discovery.polling.MAX_BACKOFF_DOUBLINGS",
     "control.config_changes.CONFIRM_MOST",
     "policy.customer_accounts.BACKOFF_MOST",
     "policy.request_state.IDLE_MOST",
@@ -749,7 +750,7 @@
                     found |= {
                         f"{module}.{name}"
                         for name in names[1].split(", ")
-                        if name.startswith("MOST_") or name.endswith("_MOST") or name == "WATCHERS"
+                        if name.startswith(("MOST_", "MAX_")) or name.endswith("_MOST") or name == "WATCHERS"
                     }
     listed = {row.limit.expr for row in every_row() if row.limit is not None and row.limit.kind == cells.CODE}
     assert found - listed - NO_BOUND_ON_A_FLEET == set()
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -40,7 +40,7 @@
 
 ROOM = 32  # connections of clients that 128 descriptors leave room for
 TURN = 16  # connections that may come before an end takes effect
-TIMED_OUT = re.compile(r"discovery: TimeoutError .*; the last list stays")
+TIMED_OUT = re.compile(r"discovery call failed, the last list stays, .* error=TimeoutError")
 ROOT = Path(__file__).resolve().parents[2]
 PING, PONG, BUSY = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n", b"-BUSY"
 PROGRAM = [sys.executable, "-B", "-m", "api_gateway.gateway"]
@@ -621,8 +621,8 @@
     made = Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None)
     def told(version):
         endpoint = api.Endpoint("h1", "a", 0, 1.0, "k", "up", 0.0)
-        made.note(Listing(api.EndpointList("full", version, (endpoint,)), {}))
-        made.keep()
+        made.record_list(Listing(api.EndpointList("full", version, (endpoint,)), {}))
+        made.write_cache()
         return Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None).recall().hosts.version
     assert told(1) == 1
     with full():
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -26,7 +26,7 @@
 from api_gateway.control.host_overrides import read_bans
 from api_gateway.counter_client import MOST_LINE, Call
 from api_gateway.counter_client import Line as CounterLine
-from api_gateway.discovery.fetcher import Broken, Fetcher, Line
+from api_gateway.discovery.fetcher import BrokenConnectionError, Fetcher, Line
 from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
 from api_gateway.membership.core import read as read_datagram
 from api_gateway.settings_parser import read_settings
@@ -592,7 +592,7 @@
     line = Line(("127.0.0.1", 1), said, said)
     try:
         return asyncio.run(line.get("/"))
-    except Broken:
+    except BrokenConnectionError:
         return None
 
 
