--- a/api_gateway/base/subsets.py
+++ b/api_gateway/base/subsets.py
@@ -109,7 +109,7 @@
 
     group: str | None
     own: bool
-    hosts: tuple[Any, ...]  # ids, or what Rings.hosts() gives, in the order of the ring
+    hosts: tuple[Any, ...]  # ids, or what Rings.members_of() gives, in the order of the ring
     end: Spot | None  # up to there a change may change the part; None: anywhere on the ring
 
 
@@ -135,7 +135,8 @@
 
 class Rings:
     """All hosts. A change costs two searches and two shifts of a list, whatever the views are. Spots may have
-    another form where start(), place(), name() and hosts() read it."""
+    another form where position_key(), position_of(), id_of() and
+    members_of() read it."""
 
     def __init__(self) -> None:
         self.known: dict[str, Known] = {}
@@ -161,30 +162,30 @@
             ring = self.groups[group][host.zone]
             spots = ring.up if host.up else ring.draining
             del spots[bisect_left(spots, host.spot)]
-            self.tidy(group, host.zone, ring)
+            self.remove_empty_ring(group, host.zone, ring)
 
-    def tidy(self, group: str | None, zone: str, ring: Ring) -> None:
-        """A ring that holds none goes."""
+    def remove_empty_ring(self, group: str | None, zone: str, ring: Ring) -> None:
+        """Remove a ring without hosts."""
         if not ring.up and not ring.draining:
             del self.groups[group][zone]
             if not self.groups[group] and group is not None:
                 del self.groups[group]
 
     @staticmethod
-    def start(place: int) -> Any:
+    def position_key(position: int) -> Any:
         """Before all spots of this place, after all of those before."""
-        return place, ""
+        return position, ""
 
     @staticmethod
-    def place(spot: Any) -> int:
+    def position_of(spot: Any) -> int:
         return spot[0]
 
     @staticmethod
-    def name(spot: Any) -> str:
+    def id_of(spot: Any) -> str:
         return spot[1]
 
     @staticmethod
-    def hosts(spots: list[Any]) -> list[Any]:
+    def members_of(spots: list[Any]) -> list[Any]:
         """As parts() tells them."""
         return list(map(itemgetter(1), spots))
 
@@ -235,7 +236,7 @@
         self.end = 0.0  # length of an arc within which any change matters
 
     def follow(self, lists: list[list[Any]], most: int) -> list[Any]:
-        return follow(lists, self.all.start(self.place), most)
+        return follow(lists, self.all.position_key(self.place), most)
 
     def seek(self, n: int) -> list[Any]:
         """The first n that are up, as far as there are so many, and maybe more. They are sought once, or
@@ -245,7 +246,7 @@
         return self.found
 
     def ahead(self, spot: Any) -> int:
-        return (self.all.place(spot) - self.place) % RING
+        return (self.all.position_of(spot) - self.place) % RING
 
     def length(self, n: int) -> float:
         """Of the arc to the n-th that is up, from 1; inf where there are fewer."""
@@ -258,13 +259,13 @@
         all."""
         found, taken = self.seek(most)[:most], most < self.up  # so that there is an end
         if drains := [ring.draining for ring in self.rings if ring.draining]:
-            ranks = [(self.ahead(spot), self.all.name(spot)) for spot in found]
+            ranks = [(self.ahead(spot), self.all.id_of(spot)) for spot in found]
             for before, spot in enumerate(self.follow(drains, reach)):
-                ahead = bisect_left(ranks, (self.ahead(spot), self.all.name(spot)))
+                ahead = bisect_left(ranks, (self.ahead(spot), self.all.id_of(spot)))
                 if before + ahead >= reach or (taken and ahead >= most):
                     break
                 found.append(spot)
-        return Part(group, own, tuple(self.all.hosts(found)), self.last(most) if taken else None)
+        return Part(group, own, tuple(self.all.members_of(found)), self.last(most) if taken else None)
 
     def last(self, most: int) -> Spot | None:
         """Up to where a change matters, of so many that are up."""
@@ -275,7 +276,7 @@
         if not most:
             return self.place, ""
         spot = self.seek(most)[most - 1]
-        return self.all.place(spot), self.all.name(spot)
+        return self.all.position_of(spot), self.all.id_of(spot)
 
 
 class Split:
--- a/api_gateway/discovery/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -166,7 +166,7 @@
         """Return which part of all endpoints the file holds; `query` where the service chose it."""
         if not self.viewing:
             return {}
-        by_service = {"query": self.viewing.view.query()} if self.viewing.known else {}
+        by_service = {"query": self.viewing.view.query()} if self.viewing.is_chosen_by_service else {}
         return {"total": self.viewing.total, **by_service}
 
     def move(self, address: Address, listing: Listing | None = None) -> None:
--- /dev/null
+++ b/api_gateway/discovery/subset_config.py
@@ -0,0 +1,44 @@
+"""The configuration key `view`: a gateway uses a subset of the endpoints."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+from api_gateway.base.subsets import SIZE_MOST, View
+
+DEFAULT_GROWTH_FACTOR = 8  # times its size to which a subset grows at most, where `most` is not given
+
+
+@dataclass(frozen=True, slots=True)
+class SubsetConfig:
+    """Size and kinds of the subset."""
+
+    size: int  # available endpoints
+    kinds: tuple[str, ...]  # each a group of its own; none: all endpoints as one group
+    max_size: int  # to which the size may grow
+
+
+def read_size(name: str, value: object) -> int:
+    """Return a size. Raises ValueError that names the key and what is allowed."""
+    if type(value) is not int or not 1 <= value <= SIZE_MOST:
+        raise ValueError(f"view.{name} is {value!r}, not a whole number from 1 to {SIZE_MOST}")
+    return value
+
+
+def read_wanted(document: Any) -> SubsetConfig:
+    """Read the value of the key, which may be JSON of any shape.
+
+    Raises:
+        ValueError: It names the key, its value and what is allowed.
+    """
+    if not isinstance(document, dict) or set(document) - {"size", "kinds", "most"}:
+        raise ValueError("view may hold size, kinds and most")
+    size = read_size("size", document.get("size"))
+    kinds = document.get("kinds", [])
+    max_size = read_size("most", document.get("most", min(SIZE_MOST, DEFAULT_GROWTH_FACTOR * size)))
+    if max_size < size:
+        raise ValueError(f"view.most is {max_size}, less than view.size, {size}")
+    if not isinstance(kinds, list) or not all(isinstance(kind, str) and kind for kind in kinds):
+        raise ValueError(f"view.kinds is {kinds!r}, not a list of names")
+    return SubsetConfig(size, View(0, size, "", tuple(kinds)).kinds, max_size)
--- a/api_gateway/experiments/scale/hollow.py
+++ b/api_gateway/experiments/scale/hollow.py
@@ -131,7 +131,8 @@
 def viewing(crowd: Crowd, number: int, zone: str) -> Any:
     if not crowd.view:
         return None
-    from api_gateway.discovery.subsets import Viewing, read_wanted
+    from api_gateway.discovery.subset_config import read_wanted
+    from api_gateway.discovery.subsets import Viewing
 
     return Viewing(read_wanted({"size": crowd.view}), number, zone)
 
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -165,7 +165,7 @@
 
 def view_of(told: Any) -> Any:
     """Imported where there is one only."""
-    from api_gateway.discovery.subsets import read_wanted
+    from api_gateway.discovery.subset_config import read_wanted
 
     return read_wanted(told)
 
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -14,8 +14,11 @@
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import read_list
 from api_gateway.base.subsets import Rings, View
-from api_gateway.discovery import subsets as views
-from api_gateway.discovery.subsets import Shelf, Viewing, Wanted, read_wanted
+from api_gateway.discovery import compact_store
+from api_gateway.discovery.compact_store import CompactEndpointStore
+from api_gateway.discovery.subset_config import SubsetConfig, read_wanted
+from api_gateway.discovery.subset_reader import ENTRIES_PER_TURN
+from api_gateway.discovery.subsets import Viewing
 
 EMPTY = {"version": 0, "full": True, "servers": []}
 
@@ -234,7 +237,7 @@
 
 @on_loop
 async def test_requests_are_served_while_a_long_list_is_read(tmp_path):
-    """No turn of the loop reads more than SLICE entries."""
+    """No turn of the loop reads more than ENTRIES_PER_TURN entries."""
     async with (
         StubHost() as host,
         Lists(hosts(60, host.port)) as lists,
@@ -243,13 +246,13 @@
         await lists.watched()
         viewing, served, turns = node.node.discovery.viewing, [], []
         reader, writer = await node.connect()
-        turn = viewing.turn
+        turn = viewing.yield_turn
 
         async def turning():
             turns.append(viewing.shelf.size())
             await turn()
 
-        viewing.turn = turning
+        viewing.yield_turn = turning
         lists.servers = lists.servers + hosts(10_000, host.port)[60:]
         lists.version += 1
         node.node.discovery.fetch()
@@ -259,9 +262,12 @@
             writer.write(command(b"r%d" % (n := n + 1)))
             assert await read_reply(reader) == SERVED
             served.append(len(turns))
-        assert len(served) > 10 and max(b - a for a, b in zip(turns, turns[1:], strict=False)) <= views.SLICE
+        assert (
+            len(served) > 10
+            and max(b - a for a, b in zip(turns, turns[1:], strict=False)) <= ENTRIES_PER_TURN
+        )
         await until(lambda: pools(node) == viewed(lists.servers, 12))
-        assert len(turns) >= 10_000 // views.SLICE
+        assert len(turns) >= 10_000 // ENTRIES_PER_TURN
 
 
 @on_loop
@@ -308,7 +314,7 @@
         )
         node.node.reload()
         await behind.watched()
-        node.node.discovery.viewing.wanted = Wanted(12, (), 100)
+        node.node.discovery.viewing.config = SubsetConfig(12, (), 100)
         node.node.discovery.widen(100)
         await until(lambda: len(pools(node)) >= 59)
         assert (out["id"] in pools(node)) == used
@@ -318,7 +324,7 @@
 
 
 def laid(shelf, name, **kw):
-    shelf.lay(
+    shelf.store(
         api.Endpoint(
             name,
             kw.pop("zone", "a"),
@@ -336,9 +342,9 @@
 @pytest.mark.parametrize("tied", [False, True])
 def test_what_lies_on_the_shelf_is_found_whatever_its_name_and_hash(kinds, tied, monkeypatch):
     if tied:
-        monkeypatch.setattr(views, "place_of", lambda name: 7)
+        monkeypatch.setattr(compact_store, "place_of", lambda name: 7)
         monkeypatch.setattr("api_gateway.base.subsets.place_of", lambda name: 7)
-    shelf, rings = Shelf(kinds), Rings()
+    shelf, rings = CompactEndpointStore(kinds), Rings()
     for n, name in enumerate(ODD * 2):  # each moves to another zone
         laid(shelf, name, zone="abc"[n % 3], weight=float(n), kind="kl"[n % 2])
         rings.put(name, "kl"[n % 2], "abc"[n % 3], True)
@@ -347,23 +353,23 @@
         host, address = shelf.get(name)
         assert (host.id, host.zone, host.weight, address) == (name, "abc"[n % 3], n, ("::1", 6379))
     for view in (View(n, size, "a", kinds) for n in range(20) for size in (1, 4, 9)):
-        assert {shelf.name(spot) for spot in shelf.members(view)} == rings.members(view)
+        assert {shelf.id_of(spot) for spot in shelf.members(view)} == rings.members(view)
     for name in ODD:
         assert shelf.drop(name) is None and shelf.get(name) is None
-    assert not shelf.size() and not shelf.listed and shelf.groups == {None: {}}
+    assert not shelf.size() and not shelf.kind_by_id and shelf.groups == {None: {}}
 
 
 def test_what_a_whole_list_does_not_name_is_sorted_out_unless_a_change_brings_it_meanwhile():
-    shelf = Shelf(())
+    shelf = CompactEndpointStore(())
     for n in range(9):
         laid(shelf, f"h{n}")
-    shelf.round += 1
+    shelf.list_number += 1
     for n in range(3):
         laid(shelf, f"h{n}")  # as they were
     laid(shelf, "h3", weight=2.0)
-    gone = [name for some in shelf.unnamed(1) for name in some]
+    gone = [name for some in shelf.ids_not_named_since(1) for name in some]
     assert sorted(gone) == [f"h{n}" for n in range(4, 9)]
-    assert sorted(name for some in shelf.named(1) for name in some) == [f"h{n}" for n in range(4)]
+    assert sorted(name for some in shelf.ids_named_by(1) for name in some) == [f"h{n}" for n in range(4)]
     laid(shelf, "h8")
     for name in gone:
         shelf.drop(name, 1)
@@ -373,12 +379,12 @@
 @pytest.mark.parametrize("kinds, most", [((), 130), (("svc-1", "svc-2", "svc-3"), 160)])
 def test_a_host_on_the_shelf_takes_little(kinds, most):
     """Bytes; with objects and tables of hosts it took 301 and 277, and the id beside them."""
-    shelf = Shelf(kinds)
+    shelf = CompactEndpointStore(kinds)
     names = [f"s-{n:08x}" for n in range(4000)]
     tracemalloc.start()
     try:
         for n, name in enumerate(names):
-            shelf.lay(
+            shelf.store(
                 api.Endpoint(name, "abcdef"[n % 6], n % 7, 1.0, f"svc-{n % 3 + 1}", "up", 0.0),
                 (f"10.1.{n // 250}.{n % 250}", 6379),
             )
@@ -409,8 +415,8 @@
 
 
 def test_a_key_as_it_is_meant():
-    assert read_wanted({"size": 9}) == Wanted(9, (), 72)
-    assert read_wanted({"size": 9, "kinds": ["b", "a", "b"], "most": 9}) == Wanted(9, ("a", "b"), 9)
+    assert read_wanted({"size": 9}) == SubsetConfig(9, (), 72)
+    assert read_wanted({"size": 9, "kinds": ["b", "a", "b"], "most": 9}) == SubsetConfig(9, ("a", "b"), 9)
 
 
 # A list service that knows views
@@ -438,7 +444,7 @@
         own = viewed(servers, 20, kinds)
         await until(lambda: pools(node) == own and serving.service.waiting)
         viewing, seen = node.node.discovery.viewing, told(node)
-        assert viewing.known and viewing.shelf is None
+        assert viewing.is_chosen_by_service and viewing.shelf is None
         total = sum(not kinds or entry["kind"] in kinds for entry in servers)
         assert viewing.total == total
         servers = [e | {"state": "draining"} if e["id"] == own[0] else e for e in servers]
@@ -461,7 +467,7 @@
         for asked, size in ((6, 6), (20, 20), (1000, 30), (3, 6)):
             node.node.actions[api.ResizeSubset](api.ResizeSubset(asked))
             await until(lambda size=size: pools(node) == viewed(servers, size) and serving.service.waiting)
-        assert node.node.discovery.viewing.known
+        assert node.node.discovery.viewing.is_chosen_by_service
 
 
 @on_loop
@@ -477,7 +483,7 @@
         node.node.discovery.restart()
         await until(lambda: seen)
         assert seen[0].mode == "full" and sorted(host.id for host in seen[0].endpoints) == pools(node)
-        assert node.node.discovery.viewing.known
+        assert node.node.discovery.viewing.is_chosen_by_service
 
 
 @pytest.mark.parametrize("first", ["views", "none"])
@@ -570,7 +576,7 @@
     """Hosts that come, drain, go, move to other zones and kinds; views that grow and move; whole lists."""
     rng = random.Random(seed)
     kinds = rng.choice([(), ("k0",), ("k0", "k2")])
-    viewing, every, mirror = Viewing(Wanted(9, kinds, 40), 0, "a"), {}, {}
+    viewing, every, mirror = Viewing(SubsetConfig(9, kinds, 40), 0, "a"), {}, {}
 
     def listing(mode, entries):
         text = json.dumps({"version": 1, "full": mode == "full", "servers": list(entries)}).encode()
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -18,7 +18,8 @@
 from api_gateway import interface as api
 from api_gateway.base import subsets as base
 from api_gateway.base.subsets import Rings, View
-from api_gateway.discovery import subsets as net
+from api_gateway.discovery import compact_store
+from api_gateway.discovery.compact_store import CompactEndpointStore
 from api_gateway.policy import endpoints as policy
 from api_gateway.policy.customer_accounts import stable_hash
 from api_gateway.policy.endpoints import GOLDEN
@@ -165,7 +166,9 @@
 
         async with Node(path=tmp_path, more=more) as node:
             viewing, now = node.node.discovery.viewing, services(stub.port)
-            await until(lambda: pools(node) == viewed(now, 12, kinds) and viewing.known == knows)
+            await until(
+                lambda: pools(node) == viewed(now, 12, kinds) and viewing.is_chosen_by_service == knows
+            )
             total = sum(entry["kind"] in kinds for entry in now)
             assert len(pools(node)) == held and viewing.total == total
             assert (await node.ask(command()) == SERVED) == bool(held)
@@ -235,16 +238,16 @@
     def place(name):
         return int(name[1:]) % 2 * 2**62 + 5
 
-    for module in (base, net):
+    for module in (base, compact_store):
         monkeypatch.setattr(module, "place_of", place)
-    r, shelf, rings = filled(40, zones="abc"), net.Shelf(()), Rings()
+    r, shelf, rings = filled(40, zones="abc"), CompactEndpointStore(()), Rings()
     for name, entry in sorted(r.entries.items(), reverse=True):
-        shelf.lay(api.Endpoint(name, entry.host.zone, 0, 1.0, "k", "up", 0.0), None)
+        shelf.store(api.Endpoint(name, entry.host.zone, 0, 1.0, "k", "up", 0.0), None)
         rings.put(name, "k", entry.host.zone, True)
     for n in range(12):
         view = View(n, size, "abc"[n % 3])
         told = {h.id for h in r.view(1.0, None, view).hosts}
-        assert told == rings.members(view) == {shelf.name(spot) for spot in shelf.members(view)}
+        assert told == rings.members(view) == {shelf.id_of(spot) for spot in shelf.members(view)}
         assert len(told) == size
     view, version = View(1, 7, "b"), r.version
     r.view(1.0, None, view)
@@ -363,4 +366,4 @@
         assert not (await node.ask(command())).startswith(b"$")
         rewrite(serving, every)
         await until(lambda: pools(node) == own)
-        assert await node.ask(command(b"r2")) == SERVED and node.node.discovery.viewing.known
+        assert await node.ask(command(b"r2")) == SERVED and node.node.discovery.viewing.is_chosen_by_service
--- a/tests/golden/test_golden_gateway.py
+++ b/tests/golden/test_golden_gateway.py
@@ -706,7 +706,7 @@
         "membership.advertise": member.advertise,
         "view.size": view.size,
         "view.kinds": view.kinds,
-        "view.most": view.most,
+        "view.most": view.max_size,
         "settings.index": s.gateway_index,
         "settings.group_size": s.gateway_count,
         "settings.locality": s.zone,
