--- a/api_gateway/base/endpoint_list.py
+++ b/api_gateway/base/endpoint_list.py
@@ -1,24 +1,23 @@
-"""Lists of hosts in discovery's form, and the addresses in them."""
+"""Endpoint lists in discovery's form, and the addresses in them.
+
+What cannot be read raises ValueError: the answer to an operator's change of the configuration names an error
+by its class, so the class stays.
+"""
 
 from __future__ import annotations
 
-import codecs
-import json
 import logging
 import math
-import re
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable
 from dataclasses import dataclass, replace
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 from api_gateway import interface as api
 
 STATE = {"up": "up", "draining": "leaving", "removed": "down"}
-
-WINDOW = 64 * 1024  # characters of a long list that are decoded at once
-MOST_VALUE = 256 * 1024  # characters that one entry, or a value beside the entries, may take
-ENDS = tuple(" \t\r\n:,]}")  # what may follow a value
-SPACE = re.compile(r"[ \t\r\n]*")
+"""State of an endpoint in the decision module, by that in a list."""
+PORT_LIMIT = 65536
+MS_PER_S = 1000
 
 Address = tuple[str, int]
 
@@ -27,202 +26,168 @@
 log = logging.getLogger(__name__)
 
 
+class AddressedEndpoint(NamedTuple):
+    """An endpoint and where it listens, if a list has said so."""
+
+    endpoint: api.Endpoint
+    address: Address | None
+
+
 def read_address(text: str) -> Address:
+    """Read HOST:PORT. Raises ValueError."""
     host, colon, port = text.rpartition(":")
-    if not (host and colon and port.isascii() and port.isdecimal() and int(port) < 65536):
+    if not (host and colon and port.isascii() and port.isdecimal() and int(port) < PORT_LIMIT):
         raise ValueError(f"{text!r} is not HOST:PORT")
     return host.strip("[]"), int(port)
 
 
 def write_address(address: Address) -> str:
+    """Return an address as read_address() reads it."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """A list as the decision module takes it, and where each host listens."""
+    """An endpoint list as the decision module takes it, and where each endpoint listens."""
 
     hosts: api.EndpointList
-    addresses: dict[str, Address]
-    epoch: str = ""  # the life of the service that told it, where it names one
-    view: bool = False  # whether it is the part of the hosts that was asked for
-    shelf: Any = None  # a net.views.Shelf: all hosts, where the gateway takes its view from them by itself
-
-
-def read_list(told: dict[str, Any], mode: str | None = None) -> Listing:
-    """Raises ValueError if `told` is not a list of hosts in discovery's form. An entry that cannot be read
-    costs that entry of a whole list, where a host that is not named gets nothing; of changes it costs all of
-    them: from their version on that change would never be told again. Of a host that is named twice the last
-    entry counts, as the change that came last."""
-    listing, entries, odd = read_beside(told, mode), dict[str, tuple[api.Endpoint, Address | None]](), Odd()
+    addresses: dict[str, Address]  # by endpoint id
+    epoch: str = ""  # the incarnation of the service that sent it, where it names one
+    is_subset: bool = False  # whether it is the subset that was requested
+
+
+def read_list(document: dict[str, Any], mode: str | None = None) -> Listing:
+    """Read a list in discovery's form.
+
+    An entry that cannot be read costs that entry of a full list, where an endpoint that is not named gets
+    nothing. Of changes it costs all of them: from their version on that change would never come again. Of an
+    endpoint that is named twice the last entry counts, as the change that came last.
+
+    Args:
+        document: The list, as JSON.
+        mode: Of the result; None: as the list says.
+
+    Raises:
+        ValueError: It is none.
+    """
+    listing = read_head(document, mode)
+    unreadable = UnreadableEntries()
     try:
-        servers = read(told["servers"], list)
+        servers = read(document["servers"], list)
     except (KeyError, TypeError) as err:
         raise ValueError(f"not a list of hosts: {type(err).__name__} {err}") from err
+    entries: dict[str, AddressedEndpoint] = {}
     for entry in servers:
-        if (found := odd.read(entry)) is not None:
-            entries[found[0].id] = found
-    odd.weigh(len(entries), listing.hosts.mode)
-    return with_hosts(listing, entries.values())
+        if (found := unreadable.read(entry)) is not None:
+            entries[found.endpoint.id] = found
+    unreadable.check(len(entries), listing.hosts.mode)
+    return with_endpoints(listing, entries.values())
 
 
-def with_hosts(listing: Listing, entries: Iterable[tuple[api.Endpoint, Address | None]]) -> Listing:
+def with_endpoints(listing: Listing, entries: Iterable[AddressedEndpoint]) -> Listing:
+    """Return a list with these endpoints in place of its own."""
     entries = list(entries)
     return replace(
         listing,
-        hosts=replace(listing.hosts, endpoints=tuple(host for host, _ in entries)),
-        addresses={host.id: address for host, address in entries if address is not None},
+        hosts=replace(listing.hosts, endpoints=tuple(entry.endpoint for entry in entries)),
+        addresses={entry.endpoint.id: entry.address for entry in entries if entry.address is not None},
     )
 
 
-def read_beside(told: dict[str, Any], mode: str | None = None) -> Listing:
-    """What a list says beside its hosts."""
+def read_head(document: dict[str, Any], mode: str | None = None) -> Listing:
+    """Read what a list says beside its endpoints.
+
+    Args:
+        document: The list, as JSON, or what has been read of it so far.
+        mode: Of the result; None: as the list says.
+
+    Raises:
+        ValueError: It is none.
+    """
     try:
-        kind = mode or ("full" if read(told["full"], bool) else "delta")
-        version, epoch = read_whole(told["version"]), read(told.get("epoch", ""), str)
-        view = read(told.get("view", False), bool)
-        total = read_whole(told.get("total", 0)) if view else 0
+        list_mode = mode or ("full" if read(document["full"], bool) else "delta")
+        version = read_integer(document["version"])
+        epoch = read(document.get("epoch", ""), str)
+        is_subset = read(document.get("view", False), bool)
+        total = read_integer(document.get("total", 0)) if is_subset else 0
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
         raise ValueError(f"not a list of hosts: {type(err).__name__} {err}") from err
-    return Listing(api.EndpointList(kind, version, (), total), {}, epoch, view)
+    return Listing(api.EndpointList(list_mode, version, (), total), {}, epoch, is_subset)
 
 
-class Odd:
-    """The entries of one list that cannot be read."""
+class UnreadableEntries:
+    """Counts the entries of one list that cannot be read."""
 
     def __init__(self) -> None:
-        self.count, self.last = 0, ""
+        """Initialise without any."""
+        self.count = 0
+        self.last_error = ""
 
-    def read(self, entry: Any) -> tuple[api.Endpoint, Address | None] | None:
+    def read(self, entry: Any) -> AddressedEndpoint | None:
+        """Read an entry, which may be JSON of any shape; None: it is counted here."""
         try:
             return read_entry(entry)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
-            self.count, self.last = self.count + 1, f"{type(err).__name__} {err} in {str(entry)[:200]}"
+            self.count += 1
+            self.last_error = f"{type(err).__name__} {err} in {str(entry)[:200]}"
             return None
 
-    def weigh(self, read: int, mode: str) -> None:
-        """What they cost, beside so many that were read. Raises ValueError where that is all of them."""
-        if self.count and (not read or mode == "delta"):
-            raise ValueError(f"not a list of hosts: {self.last}")
+    def check(self, readable_count: int, mode: str) -> None:
+        """Log how many entries could not be read.
+
+        Args:
+            readable_count: Entries that could be read.
+            mode: Of the list.
+
+        Raises:
+            ValueError: They cost the complete list.
+        """
+        if self.count and (not readable_count or mode == "delta"):
+            raise ValueError(f"not a list of hosts: {self.last_error}")
         if self.count:
             log.warning(
-                "list of hosts: %d of %d entries cannot be read: %s", self.count, read + self.count, self.last
+                "list of hosts: %d of %d entries cannot be read: %s",
+                self.count,
+                readable_count + self.count,
+                self.last_error,
             )
 
 
-def read_entry(told: dict[str, Any]) -> tuple[api.Endpoint, Address | None]:
-    started, place = told.get("started_ms"), told.get("addr")
-    host = api.Endpoint(
-        id=read(told["id"], str),
-        zone=read(told.get("zone", ""), str),
-        cell=read_whole(told.get("cell", 0)),
-        weight=read_number(told.get("weight", 1.0)),
-        kind=read(told.get("kind", ""), str),
-        state=STATE[told["state"]],
-        started_at=0.0 if started is None else read_number(started) / 1000,
+def read_entry(document: dict[str, Any]) -> AddressedEndpoint:
+    """Read an entry. Raises KeyError, TypeError, ValueError, AttributeError or OverflowError."""
+    started_ms = document.get("started_ms")
+    address = document.get("addr")
+    endpoint = api.Endpoint(
+        id=read(document["id"], str),
+        zone=read(document.get("zone", ""), str),
+        cell=read_integer(document.get("cell", 0)),
+        weight=read_number(document.get("weight", 1.0)),
+        kind=read(document.get("kind", ""), str),
+        state=STATE[document["state"]],
+        started_at=0.0 if started_ms is None else read_number(started_ms) / MS_PER_S,
     )
-    if not host.id:
+    if not endpoint.id:
         raise ValueError("an empty id")
-    return host, None if place in (None, "") else read_address(place)
+    return AddressedEndpoint(endpoint, None if address in (None, "") else read_address(address))
 
 
 def read(value: Any, kind: type[T]) -> T:
+    """Return a value of this type. Raises TypeError for another."""
     if not isinstance(value, kind):
         raise TypeError(f"{value!r:.80} is no {kind.__name__}")
     return value
 
 
 def read_number(value: Any) -> float:
-    """A number from 0: neither a word, nor true, nor NaN or Infinity, which Python reads too."""
+    """Return a number from 0 on: neither a text, nor true, nor NaN or Infinity, which Python reads too."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
         raise ValueError(f"{value!r:.80} is no number from 0")
     return float(value)
 
 
-def read_whole(value: Any) -> int:
+def read_integer(value: Any) -> int:
+    """Return an integer from 0 on, which may be written as 1.0. Raises ValueError."""
     if not read_number(value).is_integer():
         raise ValueError(f"{value!r:.80} is not whole")
     return int(value)
-
-
-class Entries:
-    """The entries of a long list one after another, so that no more than one of them is held as objects.
-    `told` has what stands beside them, as far as it has been read: all of it after the last entry. Raises
-    ValueError where the text is no list of hosts."""
-
-    def __init__(self, body: bytes | bytearray) -> None:
-        self.body, self.at, self.told = body, 0, dict[str, Any]()
-        self.decoder, self.scan = codecs.getincrementaldecoder("utf-8")(), json.JSONDecoder().raw_decode
-        self.text, self.place = "", 0
-
-    def more(self) -> bool:
-        """Whether there was more text to decode."""
-        if self.at >= len(self.body):
-            return False
-        piece = self.body[self.at : self.at + WINDOW]
-        self.at += len(piece)
-        decoded = self.decoder.decode(piece, final=self.at >= len(self.body))
-        self.text, self.place = self.text[self.place :] + decoded, 0
-        return True
-
-    def gathers(self) -> bool:
-        """Whether there was more text, for a value that is not whole."""
-        return len(self.text) - self.place <= MOST_VALUE and self.more()
-
-    def peek(self) -> str:
-        """The next character that is no space; nothing at the end."""
-        while True:
-            self.place = SPACE.match(self.text, self.place).end()  # type: ignore[union-attr]
-            if self.place < len(self.text):
-                return self.text[self.place]
-            if not self.more():
-                return ""
-
-    def skip(self, allowed: str) -> str:
-        if not (char := self.peek()) or char not in allowed:
-            raise ValueError(f"not a list of hosts: {char or 'the end'!r} where one of {allowed!r} was due")
-        self.place += 1
-        return char
-
-    def value(self) -> Any:
-        self.peek()
-        while True:
-            try:
-                value, end = self.scan(self.text, self.place)
-                if self.text[end : end + 1] in ENDS or not self.gathers():  # else a number may go on
-                    self.place = end
-                    return value
-            except json.JSONDecodeError:
-                if not self.gathers():
-                    raise
-            except RecursionError as err:
-                raise ValueError("not a list of hosts: nested without end") from err
-
-    def __iter__(self) -> Iterator[Any]:
-        self.skip("{")
-        seen, done = False, self.peek() == "}"
-        while not done:
-            name = self.value()
-            if not isinstance(name, str):
-                raise ValueError("not a list of hosts: a name that is none")
-            self.skip(":")
-            if name != "servers":
-                self.told[name] = self.value()
-            elif seen or self.peek() != "[":
-                raise ValueError("not a list of hosts: servers is no list, or stands twice")
-            else:
-                seen = True
-                yield from self.servers()
-            done = self.skip(",}") == "}"
-        if not seen or self.peek():
-            raise ValueError("not a list of hosts: no servers in it, or more behind it")
-
-    def servers(self) -> Iterator[Any]:
-        self.skip("[")
-        done = self.peek() == "]"
-        if done:
-            self.skip("]")
-        while not done:
-            yield self.value()
-            done = self.skip(",]") == "]"
--- a/api_gateway/discovery/compact_store.py
+++ b/api_gateway/discovery/compact_store.py
@@ -15,7 +15,7 @@
 from sys import intern
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Address
+from api_gateway.base.endpoint_list import Address, AddressedEndpoint
 from api_gateway.base.subsets import Ring, Rings, place_of
 
 RECORDS_PER_TURN = 1000  # scanned in one turn of the event loop: some 1 ms
@@ -24,8 +24,6 @@
 ID_END = b"\0\0"  # nothing else in an id starts with a byte as low, so that ids sort as they are
 ESCAPED_ZERO = b"\0\xff"  # stands for a zero byte in an id
 
-AddressedEndpoint = tuple[api.Endpoint, Address | None]
-
 encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
@@ -214,4 +212,4 @@
 def decode_endpoint(endpoint_id: str, encoded: bytes) -> AddressedEndpoint:
     """Return the endpoint and the address that encode_endpoint() wrote."""
     *fields, address = json.loads(encoded)
-    return api.Endpoint(endpoint_id, *fields), tuple(address) if address else None
+    return AddressedEndpoint(api.Endpoint(endpoint_id, *fields), tuple(address) if address else None)
--- a/api_gateway/discovery/fetcher.py
+++ b/api_gateway/discovery/fetcher.py
@@ -46,6 +46,11 @@
     """An idle connection was closed meanwhile, or brought what was not requested: no answer came."""
 
 
+# The answer to an operator's change of the configuration names an error by its class; that text stays.
+StatusError.__name__ = "Refused"
+BrokenConnectionError.__name__ = "Broken"
+
+
 def format_host(address: Address) -> str:
     """Return an address as a Host header has it."""
     host, port = address
--- a/api_gateway/discovery/subset_reader.py
+++ b/api_gateway/discovery/subset_reader.py
@@ -3,17 +3,31 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable, Iterable
-from dataclasses import replace
+from dataclasses import dataclass
 from typing import Any
 
-from api_gateway.base.endpoint_list import Entries, Listing, Odd, read_beside, with_hosts
-from api_gateway.discovery.compact_store import AddressedEndpoint, CompactEndpointStore
+from api_gateway.base.endpoint_list import (
+    AddressedEndpoint,
+    Listing,
+    UnreadableEntries,
+    read_head,
+    with_endpoints,
+)
+from api_gateway.base.entry_stream import EntryStream
+from api_gateway.discovery.compact_store import CompactEndpointStore
 
 ENTRIES_PER_TURN = 50  # of a long list, read in one turn of the event loop: some 2 ms
 
 OnPartialList = Callable[[Listing], None]
 
 
+@dataclass(frozen=True, slots=True)
+class StoredListing(Listing):
+    """A full list whose endpoints are all in a store and not in the list itself."""
+
+    store: CompactEndpointStore | None = None
+
+
 class SubsetListReader:
     """Reads one list: all endpoints go into a store; changes and a subset that the service chose do not.
 
@@ -41,8 +55,8 @@
             on_partial_list: Gets what precedes the entries of a full list, and then, while it is read, those
                 of the subset that leave. It may raise. None: reading has no effect outside.
         """
-        self.entries = Entries(body)
-        self.unreadable = Odd()
+        self.entries = EntryStream(body)
+        self.unreadable = UnreadableEntries()
         self.store = CompactEndpointStore(kinds)
         self.list_number = self.store.list_number
         self.current_store = current_store
@@ -65,27 +79,29 @@
             if (found := self.unreadable.read(entry)) is not None:
                 readable_count += 1
                 self._add(found)
-        listing = read_beside(self.entries.told)
-        self.unreadable.weigh(readable_count, listing.hosts.mode)
-        if not listing.view and listing.hosts.mode != "delta":
+        listing = read_head(self.entries.head)
+        self.unreadable.check(readable_count, listing.hosts.mode)
+        if not listing.is_subset and listing.hosts.mode != "delta":
             await self._complete_store(self.named.values())
-            return replace(listing, shelf=self.store)
+            return StoredListing(
+                listing.hosts, listing.addresses, listing.epoch, listing.is_subset, self.store
+            )
         if self.is_full:  # that it is a subset stood after the entries
-            return with_hosts(listing, self._stored_entries())
-        return with_hosts(listing, self.named.values())
+            return with_endpoints(listing, self._stored_entries())
+        return with_endpoints(listing, self.named.values())
 
     def _begin(self) -> None:
         """Decide by what precedes the entries where they go."""
-        head = self.entries.told
+        head = self.entries.head
         self.is_full = is_full_list(head)
         if self.is_full and self.on_partial_list and self.current_store is not None:
-            self.on_partial_list(read_beside(head))
+            self.on_partial_list(read_head(head))
             self.store = self.current_store
             self.store.list_number += 1
             self.list_number = self.store.list_number
 
     def _add(self, found: AddressedEndpoint) -> None:
-        endpoint = found[0]
+        endpoint = found.endpoint
         if self.is_full:
             self.store.store(*found)
         else:
@@ -95,7 +111,7 @@
 
     def _pass_departing_on(self) -> None:
         if self.is_full and self.on_partial_list and self.departing:
-            self.on_partial_list(with_hosts(read_beside(self.entries.told), self.departing))
+            self.on_partial_list(with_endpoints(read_head(self.entries.head), self.departing))
             self.departing = []
 
     def _stored_entries(self) -> list[AddressedEndpoint]:
--- a/api_gateway/discovery/subsets.py
+++ b/api_gateway/discovery/subsets.py
@@ -13,17 +13,21 @@
 from typing import Any
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Address, Listing, with_hosts
+from api_gateway.base.endpoint_list import Address, AddressedEndpoint, Listing, with_endpoints
 from api_gateway.base.subsets import View
 from api_gateway.discovery.compact_store import (
-    AddressedEndpoint,
     CompactEndpointStore,
     decode_endpoint,
     encode_endpoint,
 )
 from api_gateway.discovery.fetcher import Fetcher, StatusError
 from api_gateway.discovery.subset_config import SubsetConfig
-from api_gateway.discovery.subset_reader import ENTRIES_PER_TURN, OnPartialList, SubsetListReader
+from api_gateway.discovery.subset_reader import (
+    ENTRIES_PER_TURN,
+    OnPartialList,
+    StoredListing,
+    SubsetListReader,
+)
 
 UNSUPPORTED_STATUSES = (400, 404, 414)  # by which a service may say that it knows no subsets
 
@@ -145,7 +149,7 @@
                 on_partial_list,
             )
             listing = await reader.read()
-            if listing.hosts.mode == "delta" and listing.view != self.is_chosen_by_service:
+            if listing.hosts.mode == "delta" and listing.is_subset != self.is_chosen_by_service:
                 raise ValueError("changes of another part of the hosts")
             return listing
         finally:
@@ -181,19 +185,21 @@
             drained_ids: Endpoints that lists have named as draining or removed.
         """
         if listing.hosts.mode != "delta":
-            self.is_chosen_by_service = listing.view
-            self.shelf = listing.shelf
+            self.is_chosen_by_service = listing.is_subset
+            self.shelf = listing.store if isinstance(listing, StoredListing) else None
             self._forget()
         store = self.shelf
         if store is None:
             return self._record_chosen_subset(listing)
         for endpoint in listing.hosts.endpoints:  # changes, which are in the store
             correct(endpoint)
-        if listing.shelf is not None:
+        if isinstance(listing, StoredListing):
             names = (*store.draining_ids(), *drained_ids)
             for endpoint, address in [found for name in names if (found := store.get(name))]:
                 store.store(correct(endpoint), address)
-        return self.shift(replace(listing, shelf=None))
+        return self.shift(
+            Listing(listing.hosts, listing.addresses, listing.epoch, listing.is_subset)  # without the store
+        )
 
     def _record_chosen_subset(self, listing: Listing) -> Listing:
         """Note what the service sent as the subset."""
@@ -221,7 +227,7 @@
         store.touched_groups = set()
         if groups:
             self.total = store.total(self.view)
-        listing = with_hosts(listing, changed_endpoints(before, after))
+        listing = with_endpoints(listing, changed_endpoints(before, after))
         return replace(listing, hosts=replace(listing.hosts, available_total=self.total))
 
     def _select(self, store: CompactEndpointStore, groups: list[str | None]) -> dict[str, bytes]:
@@ -267,7 +273,7 @@
         decode_endpoint(name, encoded) for name, encoded in after.items() if before.get(name) != encoded
     ]
     removed: list[AddressedEndpoint] = [
-        (replace(decode_endpoint(name, before[name])[0], state="down"), None)
+        AddressedEndpoint(replace(decode_endpoint(name, before[name]).endpoint, state="down"), None)
         for name in sorted(before.keys() - after.keys())
     ]
     return [*changed, *removed]
--- a/tests/base/test_endpoint_list.py
+++ b/tests/base/test_entry_stream.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from api_gateway.base import endpoint_list as listing
-from api_gateway.base.endpoint_list import Entries
+from api_gateway.base import entry_stream
+from api_gateway.base.entry_stream import EntryStream
 
 WORDS = st.text(max_size=8)
 VALUES = st.recursive(
@@ -18,8 +18,8 @@
 
 
 def read(body):
-    entries = Entries(body)
-    return list(entries), entries.told
+    entries = EntryStream(body)
+    return list(entries), entries.head
 
 
 @given(
@@ -41,11 +41,11 @@
         body.decode()
     except UnicodeDecodeError:
         return
-    last, listing.WINDOW = listing.WINDOW, window
+    last, entry_stream.READ_BYTES = entry_stream.READ_BYTES, window
     try:
         assert read(body) == (servers, beside)
     finally:
-        listing.WINDOW = last
+        entry_stream.READ_BYTES = last
 
 
 @pytest.mark.parametrize(
@@ -85,22 +85,22 @@
 )
 @pytest.mark.parametrize("window", [1, 7, 65536])
 def test_what_is_no_list_is_told_so(body, window, monkeypatch):
-    monkeypatch.setattr(listing, "WINDOW", window)
+    monkeypatch.setattr(entry_stream, "READ_BYTES", window)
     with pytest.raises(ValueError):
         read(body)
 
 
 def test_text_without_end_is_given_up_and_not_gathered(monkeypatch):
-    monkeypatch.setattr(listing, "WINDOW", 1000)
-    monkeypatch.setattr(listing, "MOST_VALUE", 5000)
-    entries = Entries(b'{"servers":["' + b"x" * 100_000)
+    monkeypatch.setattr(entry_stream, "READ_BYTES", 1000)
+    monkeypatch.setattr(entry_stream, "MAX_VALUE_CHARS", 5000)
+    entries = EntryStream(b'{"servers":["' + b"x" * 100_000)
     with pytest.raises(ValueError):
         list(entries)
-    assert entries.at <= 8000
+    assert entries.body_index <= 8000
 
 
 def test_what_stands_before_the_entries_is_known_at_the_first_of_them():
-    entries = Entries(b'{"version":7,"full":true,"servers":[{"id":"a"},{"id":"b"}],"epoch":"e"}')
+    entries = EntryStream(b'{"version":7,"full":true,"servers":[{"id":"a"},{"id":"b"}],"epoch":"e"}')
     each = iter(entries)
-    assert next(each) == {"id": "a"} and entries.told == {"version": 7, "full": True}
-    assert list(each) == [{"id": "b"}] and entries.told["epoch"] == "e"
+    assert next(each) == {"id": "a"} and entries.head == {"version": 7, "full": True}
+    assert list(each) == [{"id": "b"}] and entries.head["epoch"] == "e"
--- a/tests/discovery/test_fetcher.py
+++ b/tests/discovery/test_fetcher.py
@@ -152,3 +152,8 @@
         assert sorted(told) == [0, 1, 2, 3, 4] and said.connections == 5
         assert fetcher.idle_connection is not None
         fetcher.close()
+
+
+def test_names_of_errors_in_an_operators_answer_stay():
+    assert f"{StatusError.__name__} {StatusError(503)}" == "Refused status 503"
+    assert f"{BrokenConnectionError.__name__} {BrokenConnectionError('gone')}" == "Broken gone"
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -700,7 +700,7 @@
     "membership.core.MOST_META",
     "membership.core.MOST_ACCUSERS",
     "registry.service.MOST_BODY",
-    "base.endpoint_list.MOST_VALUE",
+    "base.entry_stream.MAX_VALUE_CHARS",
     "base.subsets.WORD_MOST",
     "control.config_changes.MOST_VERSIONS",
     "counter_client.BACKOFF_MOST",
