--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -26,7 +26,7 @@
 from api_gateway.control.host_overrides import decode_overrides
 from api_gateway.counter_client import MAX_ANSWER_BYTES, Call
 from api_gateway.counter_client import CounterConnection as CounterLine
-from api_gateway.discovery.fetcher import Broken, Fetcher, Line
+from api_gateway.discovery.fetcher import BrokenConnectionError, Fetcher, Line
 from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
 from api_gateway.membership.core import read as read_datagram
 from api_gateway.settings_parser import read_settings
@@ -594,7 +594,7 @@
     line = Line(("127.0.0.1", 1), said, said)
     try:
         return asyncio.run(line.get("/"))
-    except Broken:
+    except BrokenConnectionError:
         return None
 
 
