--- a/api_gateway/experiments/scale/hollow.py
+++ b/api_gateway/experiments/scale/hollow.py
@@ -173,7 +173,7 @@
             "version": self.version,
             "at": self.at,
             "failures": self.discovery.backoff.fails,
-            "hosts": len(self.known),
+            "hosts": len(self.endpoints.known_ids),
         }
 
 
--- a/api_gateway/experiments/scale/stamped.py
+++ b/api_gateway/experiments/scale/stamped.py
@@ -20,6 +20,8 @@
 from api_gateway import interface as api
 from api_gateway.downstream.client_connection import Client
 from api_gateway.gateway import __main__ as program
+from api_gateway.gateway.attempt_runner import AttemptRunner
+from api_gateway.gateway.in_flight import InFlightRequests
 from api_gateway.gateway.node import GatewayNode
 from api_gateway.upstream.connect_limits import SharedPool
 from api_gateway.upstream.pool import Connection, Pool
@@ -185,16 +187,16 @@
     def hooks(self) -> list[tuple[type, str, Callable[..., Any]]]:
         return [
             (Client, "data_received", self.heard),
-            (GatewayNode, "take", self.take),
-            (GatewayNode, "read_request", self.read),
+            (InFlightRequests, "admit", self.take),
+            (InFlightRequests, "parse", self.read),
             (GatewayNode, "__init__", self.made),
             (Pool, "start", self.start),
             (SharedPool, "start", self.start),
             (Pool, "start_new", self.start_new),
             (Connection, "start", self.goes_out),
             (Connection, "data_received", self.answered),
-            (GatewayNode, "attempt_done", self.attempted),
-            (GatewayNode, "finish", self.finish),
+            (AttemptRunner, "on_attempt_ended", self.attempted),
+            (InFlightRequests, "finish", self.finish),
         ]
 
     def told(self) -> dict[str, Any]:
--- a/api_gateway/gateway/__init__.py
+++ b/api_gateway/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""One gateway process: its components, their wiring, its start and its end."""
--- a/api_gateway/gateway/__main__.py
+++ b/api_gateway/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""One real api gateway: `python -m api_gateway.gateway`, with RELAY_CONFIG naming its configuration."""
+"""Runs one gateway process: `python -m api_gateway.gateway`, with RELAY_CONFIG naming its configuration."""
 
 from __future__ import annotations
 
@@ -14,28 +14,38 @@
 from api_gateway.gateway.config import Config, read_config
 from api_gateway.gateway.node import GatewayNode
 
+EXIT_UNUSABLE_CONFIG = 2
+
+log = logging.getLogger(__name__)
+
 
 async def serve(config: Config) -> None:
-    told = asyncio.Event()
+    """Serve until SIGTERM or SIGINT, then shut down gracefully.
+
+    Raises:
+        OSError: An address cannot be listened on.
+    """
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, stop_requested.set)
     node = GatewayNode(config)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     port = await node.start()
-    gc.freeze()  # what the start made stays for good: no collection need look at it again
-    logging.getLogger(__name__).info("%s listens on %s:%d", config.name, config.listen[0], port)
-    await told.wait()
+    gc.freeze()  # what the start made stays for good: no collection needs to visit it again
+    log.info("%s listens on %s:%d", config.name, config.listen[0], port)
+    await stop_requested.wait()
     await node.stop()
 
 
 def main() -> int:
+    """Run the gateway and return the exit status."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
         uvloop.run(serve(read_config()))
     except (ConfigError, OSError) as err:
         print(f"api_gateway: {err}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE_CONFIG
     return 0
 
 
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -1,4 +1,4 @@
-"""What a real gateway is told: environment and JSON file to one checked Config."""
+"""Reads the configuration of a gateway: environment and JSON file to one checked `Config`."""
 
 from __future__ import annotations
 
@@ -8,41 +8,83 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import Address, Listing, read_address, read_list
 from api_gateway.base.errors import ConfigError, in_one_line
 from api_gateway.settings_parser import read_settings, seconds
 
+if TYPE_CHECKING:
+    from api_gateway.discovery.subsets import Wanted
+    from api_gateway.downstream.admission import Edge
+    from api_gateway.membership.service import Membership
+
+BYTES_PER_MB = 2**20
+
+# A JSON object of any shape.
+Document = dict[str, Any]
+
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """One checked configuration.
+
+    Attributes:
+        name: The gateway's name, which its processes share.
+        listen: Where clients connect.
+        inherited_socket: The descriptor of a socket that listens there already.
+        control: Where operators call; None where none may.
+        shared_folder: The folder that processes of this gateway share.
+        discovery: The discovery service.
+        counter: The counter.
+        seed: Of the random draws.
+        max_descriptors: File descriptors that the processes of this gateway may hold.
+        max_memory_bytes: Memory that they may take.
+        initial_list: The endpoints as this gateway last had them; the list may be old.
+        settings: What the decision module goes by.
+        connect_timeout: Seconds for a connect to an endpoint.
+        endpoint_idle_close: Seconds after which endpoints close an idle connection.
+        max_in_flight: Requests in flight at once.
+        other_replicas: More replicas of the discovery service.
+        saves_list: Whether the endpoint list outlasts the process.
+        has_replicas: Whether the file has the key for these two.
+        edge: Limits on new connections of clients; None: none.
+        membership: The cluster where this process takes part; None: nowhere.
+        subset: The subset of the endpoints that is used; None: all of them.
+        tree: The file itself: a later one must be as complete.
+    """
+
     name: str
     listen: Address
-    inherited: int | None  # the descriptor of a socket that listens there already
-    control: Address | None  # where operators call
-    scratch: Path | None  # a folder that processes of this gateway share
+    inherited_socket: int | None
+    control: Address | None
+    shared_folder: Path | None
     discovery: Address
     counter: Address | None
     seed: int
-    sockets: int  # file descriptors that the process may hold
-    memory: float  # bytes that the processes of this gateway may take
-    known: Listing  # the hosts as this gateway last had them; it may be old
+    max_descriptors: int
+    max_memory_bytes: float
+    initial_list: Listing
     settings: api.Settings
     connect_timeout: float
-    idle_close: float  # hosts close a connection that has stood idle for this long
-    max_open: int  # requests in work at once
-    others: tuple[Address, ...]  # more replicas of discovery
-    keep: bool  # whether its list outlasts the process
-    replicas: bool  # whether the file has the key for these two
-    edge: Any  # an admission.Edge: limits on new connections of clients; None: none
-    membership: Any  # a membership.service.Membership: where this process takes part; None: nowhere
-    view: Any  # a views.Wanted: the part of the hosts that is used; None: all of them
-    tree: dict[str, Any]  # the file itself: a later one must be as complete
+    endpoint_idle_close: float
+    max_in_flight: int
+    other_replicas: tuple[Address, ...]
+    saves_list: bool
+    has_replicas: bool
+    edge: Edge | None
+    membership: Membership | None
+    subset: Wanted | None
+    tree: Document
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
+    """Read the configuration of a start from the file that RELAY_CONFIG names and from the environment.
+
+    Raises:
+        ConfigError: The variable is not set, or the file cannot be used.
+    """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
@@ -51,39 +93,60 @@
 
 
 def reread_config(last: Config, env: Mapping[str, str] = os.environ) -> Config:
-    """What the file says now; ConfigError if it says less than the last one. The environment of a program
-    that runs cannot change, so here the file counts and not RELAY_DISCOVERY; what is listened on stays."""
+    """Read what the file says now.
+
+    The environment of a running program cannot change, so here the file counts and not RELAY_DISCOVERY; what
+    is listened on stays.
+
+    Raises:
+        ConfigError: The file cannot be used, or lacks a key that the last one had.
+    """
     path = env.get("RELAY_CONFIG", "")
     with in_one_line(path), open(path, encoding="utf-8") as file:
-        tree = json.load(file)
-        complete({key: None for key in last.tree}, tree, "the file")
-        complete(last.tree["settings"], tree["settings"], "settings")
-        return rebuild(last, tree)
+        document = json.load(file)
+        require_complete(dict.fromkeys(last.tree), document, "the file")
+        require_complete(last.tree["settings"], document["settings"], "settings")
+        return rebuild(last, document)
+
 
+def rebuild(last: Config, document: Document) -> Config:
+    """Return what a document says; what a running process cannot change stays as it is.
 
-def rebuild(last: Config, tree: dict[str, Any]) -> Config:
-    """What `tree` says; what a process that runs cannot change stays as it is."""
+    Raises:
+        ValueError: A value of the document is not allowed.
+        KeyError: A key is missing.
+    """
     return replace(
-        build(tree, {}),
+        build(document, {}),
         name=last.name,
         listen=last.listen,
-        inherited=last.inherited,
+        inherited_socket=last.inherited_socket,
         control=last.control,
-        scratch=last.scratch,
+        shared_folder=last.shared_folder,
         seed=last.seed,
-        known=last.known,
-        others=last.others,
-        keep=last.keep,
-        replicas=last.replicas,
+        initial_list=last.initial_list,
+        other_replicas=last.other_replicas,
+        saves_list=last.saves_list,
+        has_replicas=last.has_replicas,
         edge=last.edge,
         membership=last.membership,
-        view=last.view,
+        subset=last.subset,
     )
 
 
-def complete(last: Any, fresh: Any, name: str) -> None:
-    """Raises ValueError unless `fresh` has each key that `last` has, and values of the same kinds. Of the
-    objects in a list each has what all of them had."""
+def require_complete(last: Any, fresh: Any, name: str) -> None:
+    """Check that a value has each key that the last one had, and values of the same kinds.
+
+    Of the objects in a list each needs what all of them had.
+
+    Args:
+        last: The JSON value that was read last.
+        fresh: The JSON value that is in its place now.
+        name: The place, for the error's text.
+
+    Raises:
+        ValueError: A key is missing, or a value is of another kind.
+    """
     if last is None:
         return
     if kind(last) != kind(fresh):
@@ -92,87 +155,106 @@
         for key, value in last.items():
             if key not in fresh:
                 raise ValueError(f"{name}: {key!r} is missing")
-            complete(value, fresh[key], f"{name}.{key}")
+            require_complete(value, fresh[key], f"{name}.{key}")
     elif isinstance(last, list) and last and all(isinstance(entry, dict) for entry in last):
         common = {key: value for key, value in last[0].items() if all(key in entry for entry in last)}
         for number, entry in enumerate(fresh):
-            complete(common, entry, f"{name}.{number}")
+            require_complete(common, entry, f"{name}.{number}")
 
 
 def kind(value: Any) -> str:
+    """Return the kind of a JSON value, in the words of an error's text."""
     if isinstance(value, bool):
         return "true or false"
     return "a number" if isinstance(value, int | float) else type(value).__name__
 
 
-def read_descriptor(text: str) -> int:
-    """Raises ValueError or OSError unless it is one of a socket that listens."""
-    with socket.socket(fileno=os.dup(int(text))) as sock:
-        if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise ValueError(f"descriptor {text} does not listen")
-    return int(text)
+def build(document: Document, env: Mapping[str, str]) -> Config:
+    """Build the configuration from a document and the environment, which goes first.
 
-
-def build(told: dict[str, Any], env: Mapping[str, str]) -> Config:
-    """What the file and the environment say; the environment goes first."""
-    tree = told["settings"]
-    limits = tree["limits"]
-    settings = read_settings(tree)
-    counter, control = told.get("counter"), env.get("RELAY_CONTROL") or told.get("control")
+    Raises:
+        ValueError: A value is not allowed.
+        KeyError: A key is missing.
+        OSError: The inherited descriptor cannot be used.
+    """
+    settings_document = document["settings"]
+    limits = settings_document["limits"]
+    settings = read_settings(settings_document)
+    counter = document.get("counter")
+    control = env.get("RELAY_CONTROL") or document.get("control")
     if settings.has_counter and not counter:
         raise ValueError("the settings allow a counter but no address is given")
-    inherited, scratch = env.get("RELAY_SOCKET_FD"), env.get("TMPDIR")
-    others, keep = read_replicas(told.get("replicas", {}))
+    inherited_socket = env.get("RELAY_SOCKET_FD")
+    shared_folder = env.get("TMPDIR")
+    other_replicas, saves_list = _read_replicas(document.get("replicas", {}))
     return Config(
-        name=env.get("RELAY_NAME") or told["name"],
-        listen=read_address(env.get("RELAY_LISTEN") or told["listen"]),
-        inherited=read_descriptor(inherited) if inherited else None,
+        name=env.get("RELAY_NAME") or document["name"],
+        listen=read_address(env.get("RELAY_LISTEN") or document["listen"]),
+        inherited_socket=_read_listening_descriptor(inherited_socket) if inherited_socket else None,
         control=read_address(control) if control else None,
-        scratch=Path(scratch) if scratch else None,
-        discovery=read_address(env.get("RELAY_DISCOVERY") or told["discovery"]),
+        shared_folder=Path(shared_folder) if shared_folder else None,
+        discovery=read_address(env.get("RELAY_DISCOVERY") or document["discovery"]),
         counter=read_address(counter) if counter else None,
-        seed=int(told["seed"], 16),
-        sockets=int(told["limits"]["sockets"]),
-        memory=float(told["limits"]["memory_mb"]) * 2**20,
-        known=read_list(told["known"], "cached"),
+        seed=int(document["seed"], 16),
+        max_descriptors=int(document["limits"]["sockets"]),
+        max_memory_bytes=float(document["limits"]["memory_mb"]) * BYTES_PER_MB,
+        initial_list=read_list(document["known"], "cached"),
         settings=settings,
         connect_timeout=seconds(limits["connect_timeout"]),
-        idle_close=seconds(limits["idle_close"]),
-        max_open=int(limits["max_open"]),
-        others=others,
-        keep=keep,
-        replicas="replicas" in told,
-        edge=edge_of(told["edge"]) if "edge" in told else None,
-        membership=membership_of(told["membership"]) if "membership" in told else None,
-        view=view_of(told["view"]) if "view" in told else None,
-        tree=told,
+        endpoint_idle_close=seconds(limits["idle_close"]),
+        max_in_flight=int(limits["max_open"]),
+        other_replicas=other_replicas,
+        saves_list=saves_list,
+        has_replicas="replicas" in document,
+        edge=_read_edge(document["edge"]) if "edge" in document else None,
+        membership=_read_membership(document["membership"]) if "membership" in document else None,
+        subset=_read_subset(document["view"]) if "view" in document else None,
+        tree=document,
     )
 
 
-def membership_of(told: Any) -> Any:
-    """Imported where there is one only."""
+def _read_listening_descriptor(text: str) -> int:
+    """Return the number of a descriptor.
+
+    Raises:
+        ValueError: It is no number, or that of a socket which does not listen.
+        OSError: It is not that of a socket.
+    """
+    with socket.socket(fileno=os.dup(int(text))) as sock:
+        if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+            raise ValueError(f"descriptor {text} does not listen")
+    return int(text)
+
+
+def _read_replicas(document: Document) -> tuple[tuple[Address, ...], bool]:
+    """Return the other replicas of discovery, and whether the endpoint list is saved.
+
+    Raises:
+        ValueError: The document holds more than `others`, a list of addresses, and `keep`.
+    """
+    others = document.get("others", [])
+    keep = document.get("keep", False)
+    if set(document) - {"others", "keep"} or not isinstance(others, list) or not isinstance(keep, bool):
+        raise ValueError("replicas may hold others, a list of HOST:PORT, and keep, true or false")
+    return tuple(read_address(text) for text in others), keep
+
+
+# Optional parts: each is imported only where the document has its key.
+
+
+def _read_membership(document: Any) -> Membership:
     from api_gateway.membership.service import read_membership
 
-    return read_membership(told)
+    return read_membership(document)
 
 
-def edge_of(told: Any) -> Any:
-    """Imported where there is one only."""
+def _read_edge(document: Any) -> Edge:
     from api_gateway.downstream.admission import read_edge
 
-    return read_edge(told)
+    return read_edge(document)
 
 
-def view_of(told: Any) -> Any:
-    """Imported where there is one only."""
+def _read_subset(document: Any) -> Wanted:
     from api_gateway.discovery.subsets import read_wanted
 
-    return read_wanted(told)
-
-
-def read_replicas(told: dict[str, Any]) -> tuple[tuple[Address, ...], bool]:
-    """Raises ValueError unless it holds at most `others`, a list of addresses, and `keep`."""
-    others, keep = told.get("others", []), told.get("keep", False)
-    if set(told) - {"others", "keep"} or not isinstance(others, list) or not isinstance(keep, bool):
-        raise ValueError("replicas may hold others, a list of HOST:PORT, and keep, true or false")
-    return tuple(read_address(text) for text in others), keep
+    return read_wanted(document)
--- /dev/null
+++ b/api_gateway/gateway/discovery_setup.py
@@ -0,0 +1,90 @@
+"""Builds the discovery client that a configuration asks for. What it does not ask for is not imported."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from api_gateway.base.endpoint_list import Listing
+from api_gateway.discovery.client import Discovery
+from api_gateway.gateway.config import Config
+
+if TYPE_CHECKING:
+    from api_gateway.discovery.subsets import Viewing
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoverySetup:
+    """A discovery client, and the list to begin with until it has another."""
+
+    client: Discovery
+    initial_list: Listing
+
+
+def agent_drain_grace(config: Config) -> float | None:
+    """Return the drain grace in seconds where lists are pushed to an agent beside this process."""
+    settings = config.settings
+    has_agent = settings.discovery_mode == "push" and not config.has_replicas
+    return settings.rules.drain_grace if has_agent else None
+
+
+def build_discovery(
+    config: Config,
+    clock: Callable[[], float],
+    on_list: Callable[[Listing], None],
+    on_poll_failed: Callable[[], None],
+) -> DiscoverySetup:
+    """Build the discovery client.
+
+    Args:
+        config: The configuration of the start.
+        clock: The time of events, in seconds.
+        on_list: Gets each list.
+        on_poll_failed: Called after each poll that failed.
+    """
+    settings = config.settings
+    known = config.initial_list.hosts
+    # Where lists are pushed, a poll costs nothing; else what is known need not be sent again.
+    has_version = known.endpoints and settings.discovery_mode == "ask"
+    version = known.version if has_version else None
+    subset = _subset(config)
+    if not config.has_replicas:
+        client = Discovery(
+            config.discovery,
+            version,
+            on_list,
+            on_poll_failed,
+            settings.gateway_count,
+            config.seed,
+            agent_drain_grace(config),
+            subset,
+        )
+        return DiscoverySetup(client, config.initial_list)
+
+    from api_gateway.discovery.replicas import Replicas
+
+    replicas = Replicas(
+        config.discovery,
+        config.other_replicas,
+        config.shared_folder if config.saves_list else None,
+        config.name,
+        version,
+        on_list,
+        on_poll_failed,
+        settings.gateway_count,
+        config.seed,
+        None,
+        subset,
+    )
+    replicas.clock = clock
+    return DiscoverySetup(replicas, replicas.recall() or config.initial_list)
+
+
+def _subset(config: Config) -> Viewing | None:
+    """Return the subset of the endpoints that is used; None where that is all of them."""
+    if config.subset is None:
+        return None
+    from api_gateway.discovery.subsets import Viewing
+
+    return Viewing(config.subset, config.settings.gateway_index, config.settings.zone)
--- /dev/null
+++ b/api_gateway/gateway/status.py
@@ -0,0 +1,37 @@
+"""What operators and other members of the cluster see of a gateway."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from api_gateway.base.endpoint_list import write_address
+from api_gateway.gateway.serving_state import ACTIVE
+
+if TYPE_CHECKING:
+    from api_gateway.gateway.node import GatewayNode
+
+
+def gateway_status(node: GatewayNode) -> dict[str, Any]:
+    """Return the answer of `GET /status`; its keys are a wire form."""
+    listener = node.clients.listener
+    status: dict[str, Any] = {
+        "ready": node.serving.is_ready and node.serving.state == ACTIVE and listener is not None,
+        "state": node.serving.state,
+        "hosts": sorted(node.hosts.pools),
+        "hosts_out": sorted(node.hosts.out),
+        "requests": len(node.in_flight),
+        "clients": len(node.clients.clients),
+        "list": node.discovery.told_of(),
+    }
+    if node.config.edge:
+        status["edge"] = listener.status()
+    return status
+
+
+def member_metadata(node: GatewayNode) -> dict[str, str]:
+    """Return what this process tells the other members of its cluster; its keys are a wire form."""
+    metadata = {"kind": "gateway", "listen": write_address(node.config.listen)}
+    if node.config.control:
+        metadata["control"] = write_address(node.config.control)
+        metadata["config"] = node.config_changes().current.digest
+    return metadata
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -455,7 +455,7 @@
         assert (await node.call("POST /active"))[0] == 200
 
         async def told_to_end(changes, change):
-            node.node.state = "stopping"
+            node.node.serving.state = "stopping"
 
         monkeypatch.setitem(STEPS, "counter", told_to_end)
         before = (await config(node))["version"]
@@ -512,7 +512,7 @@
         assert (await config(old))["pending"] is None and old.node.changes.timer is None
         assert (await apply(old, await candidate(old, settings__plans__0__rate=6.0), within=1))[0] == 200
         old.node.changes.close()  # it dies: the other sees to the end of the time
-        old.node.looking.cancel()
+        old.node.watch.timer.cancel()
         await until(lambda: new.node.changes.current.by == "expiry")
         assert new.node.settings.plans["p"].rate == 5.0 and new.node.changes.current.of == 2
 
@@ -522,7 +522,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as old:
         assert (await apply(old, await candidate(old, settings__plans__0__rate=5.0), within=1))[0] == 200
         old.node.changes.close()
-        old.node.looking.cancel()
+        old.node.watch.timer.cancel()
         pending = old.node.changes.history.pending
         await until(lambda: old.node.clock() > pending.until)
         async with Node(host, path=tmp_path, beside=old) as new:
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -189,7 +189,7 @@
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         await node.call("POST /maintenance/enter?host=h1")
         await node.call("POST /standby")
-        node.node.state = "stopping"
+        node.node.serving.state = "stopping"
         assert (await node.call("GET /status"))[0] == 503
         assert (await node.call("POST /active"))[0] == (await node.call("POST /standby"))[0] == 409
         assert (await node.call("POST /maintenance/exit?host=h1"))[0] == 200
--- a/tests/control/test_host_overrides.py
+++ b/tests/control/test_host_overrides.py
@@ -114,7 +114,7 @@
             assert (await node.call("POST /maintenance/enter?host=h1"))[0] == 500
             assert "h1" in node.node.hosts.out and not Bans(tmp_path, "n0").read()
         await until(lambda: Bans(tmp_path, "n0").read().get("h1"))
-        assert not node.node.unkept and Bans(tmp_path, "n0").read()["h1"].ejected
+        assert not node.node.overrides.unsaved and Bans(tmp_path, "n0").read()["h1"].ejected
 
 
 def full(*_):
@@ -126,15 +126,15 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(50):
             node.discovery.change([entry(host, f"x{n}")])
-            await until(lambda n=n: f"x{n}" in node.node.known)
+            await until(lambda n=n: f"x{n}" in node.node.endpoints.known_ids)
             if n == 7:
                 assert (await node.call("POST /maintenance/enter?host=x7"))[0] == 200
             node.discovery.change([entry(host, f"x{n}", "removed")])
-            await until(lambda n=n: f"x{n}" not in node.node.known)
-        assert node.node.known == {"h1"}
+            await until(lambda n=n: f"x{n}" not in node.node.endpoints.known_ids)
+        assert node.node.endpoints.known_ids == {"h1"}
         assert (await node.call("POST /maintenance/enter?host=x8"))[0] == 404
         assert (await node.call("POST /maintenance/exit?host=x7"))[0] == 200
         assert (await node.call("POST /maintenance/enter?host=x7"))[0] == 200
         node.discovery.servers = [entry(host, "h2")]
         node.node.discovery.fetch()
-        await until(lambda: node.node.known == {"h2"})
+        await until(lambda: node.node.endpoints.known_ids == {"h2"})
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -78,7 +78,7 @@
                     return [api.FailRequest(event.request_id)]
                 return [api.SendAttempt(event.request_id, "h1")] if isinstance(event, api.Request) else []
 
-        node.node.module = Sender()
+        node.node.dispatcher.engine = Sender()
         asked = asyncio.create_task(node.ask(command()))
         pool = node.node.hosts.pools["h1"]
         while not pool.coming:  # the attempt waits for its connection
@@ -254,7 +254,7 @@
     listen, lists = clients.ClientServer.listen, []
 
     async def listening(self, *args):
-        lists.append(sorted(self.handler.hosts.pools))
+        lists.append(sorted(node.node.hosts.pools))
         return await listen(self, *args)
 
     monkeypatch.setattr(clients.ClientServer, "listen", listening)
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -164,7 +164,7 @@
         await lists.watched()
         seen = told(node)
         for asked, size in ((20, 20), (1000, 30), (30, 30), (3, 6)):
-            node.node.actions[api.ResizeSubset](api.ResizeSubset(asked))
+            node.node.dispatcher.handlers[api.ResizeSubset](api.ResizeSubset(asked))
             await until(lambda size=size: pools(node) == viewed(lists.servers, size))
         assert [event.mode for event in seen] == ["delta"] * 3  # one for each that changes it
         assert not lists.calls  # discovery was not asked
@@ -459,7 +459,7 @@
         Node(path=tmp_path, more=by_service(serving, size=6, most=30)) as node,
     ):
         for asked, size in ((6, 6), (20, 20), (1000, 30), (3, 6)):
-            node.node.actions[api.ResizeSubset](api.ResizeSubset(asked))
+            node.node.dispatcher.handlers[api.ResizeSubset](api.ResizeSubset(asked))
             await until(lambda size=size: pools(node) == viewed(servers, size) and serving.service.waiting)
         assert node.node.discovery.viewing.known
 
@@ -494,7 +494,7 @@
                 node.file.write_text(json.dumps(tree | {"discovery": f"127.0.0.1:{place.port}"}))
                 node.node.reload()
                 await until(lambda known=known: pools(node) == viewed(known, 12))
-                assert node.node.known == set(pools(node))
+                assert node.node.endpoints.known_ids == set(pools(node))
                 assert (node.node.discovery.viewing.shelf is None) == (place is serving)
             changed = [known[0] | {"state": "draining"}, *known[1:]]
             if place is serving:
--- a/tests/downstream/test_accept_shortage.py
+++ b/tests/downstream/test_accept_shortage.py
@@ -76,7 +76,7 @@
 async def test_the_descriptor_of_a_client_that_is_cut_as_it_comes_is_closed_once(edge, tmp_path):
     """Its number may be another connection's at once, which a second close would end unread."""
     async with StubHost() as host, Node(host, path=tmp_path, more=edge) as node:
-        node.node.share = lambda: None
+        node.node.limits.apply = lambda: None
         node.node.clients.most = 0
         owned = []
         listener = node.node.clients.listener
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -203,7 +203,7 @@
     """Its end stands behind bytes that nobody reads."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         held(node)
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         stall_before(why, node, monkeypatch)
         peer = Peer(node.port)
         peer.send(command(b"r1", LONG) + command(b"r2", LONG) + (UPLOAD if why == "body" else b""))
@@ -311,7 +311,7 @@
 @on_loop
 async def test_past_the_limit_one_that_only_lingers_goes_first(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         node.node.clients.most = 2
         lingers, rests = Peer(node.port), await node.connect()
         await until(lambda: len(node.node.clients.clients) == 2)
@@ -326,7 +326,7 @@
 async def test_a_burst_past_the_limit_ends_one_that_lingers_for_each(tmp_path):
     """An end takes effect a turn later: one and the same would be ended for all that come in a turn."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         peers = [Peer(node.port) for _ in range(10)]
         for n, peer in enumerate(peers):
             peer.send(command(b"r%d" % n))
@@ -356,7 +356,7 @@
 @on_loop
 async def test_a_request_that_had_come_before_its_connection_is_evicted_is_served(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         node.node.clients.most = 1
         peer, joined = Peer(node.port), clients.ClientServer.joined
         await until(lambda: node.node.clients.clients)
@@ -377,7 +377,7 @@
 @on_loop
 async def test_connections_that_wait_when_the_listener_closes_are_served(tmp_path, monkeypatch):
     """They came in one turn, and the loop takes one a turn: the listener's close would reset them."""
-    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peers, take = [], node.node.clients.take_last
         bear(node.node, 100.0)
@@ -402,8 +402,8 @@
 async def test_neither_a_host_that_hangs_nor_a_resting_client_leaves_a_request(tmp_path, monkeypatch):
     """What is in work gets its answer before SIGKILL may come; a resting client is sent away, and what it
     sends after that is read by nobody."""
-    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 0.0)
-    monkeypatch.setattr(shutdown, "KILLED_AT", 0.5)
+    monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
+    monkeypatch.setattr(shutdown, "KILL_DELAY_S", 0.5)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         rests, works = Peer(node.port), Peer(node.port)
         works.send(command(b"hangs"))
@@ -420,7 +420,7 @@
 async def test_with_short_deadlines_less_of_the_end_is_read(tmp_path, monkeypatch):
     """All is over 0.4 s after the longest deadline: what came late would be failed there, unread it is tried
     elsewhere."""
-    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     monkeypatch.setattr(clients, "FIRST_WITHIN", 0.0)
     short = {**SETTINGS, "services": [s | {"deadline": 900_000_000} for s in SETTINGS["services"]]}
     async with StubHost(None) as host, Node(host, path=tmp_path, settings=short) as node:
@@ -459,7 +459,7 @@
     """Neither the one that comes in its place, nor those whose time is up in the same look."""
     monkeypatch.setattr(clients, "HEAD_WITHIN", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         peers, look = [await node.connect() for _ in range(3)], clients.Client.unread
         await until(lambda: len(node.node.clients.clients) == 3)
         spoilt = next(iter(node.node.clients.clients))
@@ -484,7 +484,7 @@
 @on_loop
 async def test_of_many_that_are_to_go_at_once_a_part_lingers_but_for_a_drain(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         server = node.node.clients
         for drain, most in ((False, 10), (True, 40)):
             peers = [Peer(node.port) for _ in range(40)]
@@ -509,7 +509,7 @@
     joined, come = clients.ClientServer.joined, []
     monkeypatch.setattr(clients.ClientServer, "joined", lambda *args: (joined(*args), come.append(args)))
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         server, peers = node.node.clients, []
         bear(node.node, 100.0)
         node.node.module.fleet.full = lambda *_: False
@@ -539,7 +539,7 @@
                 yield client
 
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         server = node.node.clients
         peers = [Peer(node.port) for _ in range(100)]
         for peer in peers:
--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -81,7 +81,7 @@
         peer.sock.sendall(command())
         await until(lambda: one.commands or two.commands)
         work = node.node.in_flight["r1"]
-        (attempt,) = work.live.values()
+        (attempt,) = work.attempts.values()
         client, pool = work.slot.client, node.node.hosts.pools[other(attempt)]
         work.limits = replace(work.limits, hedging=True)
         if paused:
@@ -92,7 +92,7 @@
             attempt.conn.data_received(BUSY)
         elif cause == "copy":
             peer.end(how)
-            node.node.send(api.SendAttempt("r1", other(attempt)))
+            node.node.attempts.send(api.SendAttempt("r1", other(attempt)))
         elif cause == "connect":
             held, open_ = asyncio.Event(), pool.open
 
@@ -103,13 +103,13 @@
                 return conn
 
             pool.open = opened
-            node.node.send(api.SendAttempt("r1", other(attempt)))
+            node.node.attempts.send(api.SendAttempt("r1", other(attempt)))
             assert len(pool.coming) == 1
             held.set()
         else:
             (resting,) = pool.idle
             pool.pace, pool.settle = 1e6, 1000.0
-            node.node.send(api.SendAttempt("r1", other(attempt)))
+            node.node.attempts.send(api.SendAttempt("r1", other(attempt)))
             ((settling, (conn, timer)),) = pool.settling.items()
             assert conn is resting
             pool.settle = 0.0
@@ -117,7 +117,7 @@
             peer.end(how)
             pool.has_settled(settling)
             assert pool.idle == [conn] and not pool.settling  # unused, so it serves the next
-        assert cause == "connect" or (work.finished and work.sends == 2)
+        assert cause == "connect" or (work.is_answered and work.attempt_count == 2)
         assert await sent_on(node, one, two) == [b"r1"]
         assert not node.node.clients.not_read
         peer.sock.close()
@@ -142,24 +142,24 @@
         for host in (one, two):
             host.answer = None
             host.commands.clear()
-        labels, ahead, clock = set(), [0.0], node.node.clock
-        node.node.clock = lambda: clock() + ahead[0]
-        node.node.due = lambda label, at: labels.add(label)  # the test says when
-        node.node.set_timer = lambda action: labels.add(action.label)
-        node.node.actions[api.SetTimer] = node.node.set_timer
+        labels, ahead, clock = set(), [0.0], node.node.dispatcher.clock
+        node.node.dispatcher.clock = lambda: clock() + ahead[0]
+        node.node.executor._on_timer = lambda label, at: labels.add(label)  # the test says when
+        node.node.executor.set_timer = lambda action: labels.add(action.label)
+        node.node.dispatcher.handlers[api.SetTimer] = node.node.executor.set_timer
         peer = Leaver(node)
         peer.sock.sendall(command())
         await until(lambda: one.commands or two.commands)
         work, sends = node.node.in_flight["r1"], []
-        send = node.node.actions[api.SendAttempt]
-        node.node.actions[api.SendAttempt] = lambda action: (sends.append(action), send(action))
+        send = node.node.dispatcher.handlers[api.SendAttempt]
+        node.node.dispatcher.handlers[api.SendAttempt] = lambda action: (sends.append(action), send(action))
         peer.end(how)
         while not sends:
             ahead[0] += 0.05
             assert ahead[0] < 2.5 and labels
             for label in list(labels):
-                node.node.feed(api.TimerFired(label))
-        assert work.finished
+                node.node.dispatcher.dispatch(api.TimerFired(label))
+        assert work.is_answered
         assert await sent_on(node, one, two) == [b"r1"]
         peer.sock.close()
 
@@ -173,9 +173,10 @@
         bear(node.node, 1000.0)
         node.node.module.fleet.full = lambda *_: False
         open_, node.node.hosts.connect_timeout = pool.open, 30.0
-        stands, send = node.node.clock(), node.node.hosts.send
-        node.node.clock = lambda: stands  # no attempt is given up while the rest of the burst comes
-        node.node.actions[api.SetTimer] = lambda action: None
+        stands, send = node.node.dispatcher.clock(), node.node.hosts.send
+        # No attempt is given up while the rest of the burst comes.
+        node.node.dispatcher.clock = lambda: stands
+        node.node.dispatcher.handlers[api.SetTimer] = lambda action: None
         node.node.hosts.send = lambda attempt, timeout: send(attempt, 30.0)
 
         async def opened():
@@ -190,7 +191,7 @@
             peers.append(Leaver(node))
             asked = command(b"r%03d" % n, terms(d="60000"), customer=b"%016x" % n)
             peers[-1].sock.sendall(asked)
-        await until(lambda: sum(bool(work.live) for work in node.node.in_flight.values()) == 200)
+        await until(lambda: sum(bool(work.attempts) for work in node.node.in_flight.values()) == 200)
         go.set()
         assert await sent_on(node, host) == []
         assert not node.node.module.jobs
@@ -223,7 +224,7 @@
         peer = Leaver(node)
         peer.sock.sendall(command())
         await until(lambda: one.commands or two.commands)
-        (attempt,) = node.node.in_flight["r1"].live.values()
+        (attempt,) = node.node.in_flight["r1"].attempts.values()
         peer.end("half")
         next_host = two if attempt.host == "h1" else one
         next_host.answer = VALUE
@@ -239,11 +240,11 @@
         await until(
             lambda: (
                 "r2" in node.node.in_flight
-                and node.node.in_flight["r2"].live.get(0)
-                and node.node.in_flight["r2"].live[0].written
+                and node.node.in_flight["r2"].attempts.get(0)
+                and node.node.in_flight["r2"].attempts[0].written
             )
         )
-        (attempt,) = node.node.in_flight["r2"].live.values()
+        (attempt,) = node.node.in_flight["r2"].attempts.values()
         peer.end("reset")
         attempt.conn.data_received(BUSY)
         assert (await sent_on(node, one, two)).count(b"r2") <= 1
@@ -277,7 +278,7 @@
         work = node.node.in_flight["r1"]
         assert len(pool.coming if wait == "connect" else pool.settling) == 1
         work.deadline -= 1.0  # as if a second had passed
-        (attempt,) = work.live.values()
+        (attempt,) = work.attempts.values()
         attempt.ends, attempt.started = attempt.ends - 1.0, attempt.started - 1.0
         pool.settle = 0.0
         if wait == "settle":
@@ -300,7 +301,7 @@
             await go.wait()
             for work in node.node.in_flight.values():
                 work.deadline -= 10.0
-                for attempt in work.live.values():
+                for attempt in work.attempts.values():
                     attempt.ends -= 10.0
             return conn
 
@@ -319,7 +320,7 @@
         peer = Leaver(node)
         peer.sock.sendall(command(terms=terms(d="900")))
         await until(lambda: one.commands or two.commands)
-        (attempt,) = node.node.in_flight["r1"].live.values()
+        (attempt,) = node.node.in_flight["r1"].attempts.values()
         await asyncio.sleep(0.2)
         attempt.conn.data_received(BUSY)
         await until(lambda: one.commands and two.commands)
@@ -337,14 +338,14 @@
         await has_settled(node.node.hosts.pools["h1"])
         host.commands.clear()
         reader, writer = await node.connect()
-        take = node.node.take
+        take = node.node.requests.admit
 
         def slowly(slot, told):
             take(slot, told)
             if told[2] == b"r1":
                 time.sleep(0.3)
 
-        node.node.take = slowly
+        node.node.requests.admit = slowly
         writer.write(command(b"r1") + command(b"r2") + command(b"r3", terms(d="200")))
         assert [await read_reply(reader) for _ in range(2)] == [SERVED] * 2
         assert (await read_reply(reader))[:5] == b"-BUSY"  # its time was up when its turn came
--- a/tests/downstream/test_fair_queueing.py
+++ b/tests/downstream/test_fair_queueing.py
@@ -166,8 +166,8 @@
 async def pipelines_beside(node, count):
     """Ids in the order in which commands are taken, where a light client asks right behind `count` pipelines;
     and all answers."""
-    taken, take = [], node.node.take
-    node.node.take = lambda slot, parts: (taken.append(parts[2]), take(slot, parts))
+    taken, take = [], node.node.requests.admit
+    node.node.requests.admit = lambda slot, parts: (taken.append(parts[2]), take(slot, parts))
     light, *deep = [await node.connect() for _ in range(count + 1)]
     for reader, writer in (light, *deep):
         writer.write(b"*1\r\n$4\r\nPING\r\n")
@@ -208,7 +208,7 @@
                 writer.transport.abort()
             await until(lambda: not node.node.in_flight and not node.node.clients.clients)
             await until(lambda: not len(turns.ring))
-            assert not turns.origins and not turns.due and not node.node.held
+            assert not turns.origins and not turns.due and not node.node.requests.small_body_bytes
             told = (await node.call("GET /status"))[1]["edge"]
             assert told["turns"] == 0 and told["windows"] == [32, 32]
 
@@ -237,8 +237,11 @@
     for module in (admission, clients):
         monkeypatch.setattr(module, "MOST_PENDING", 8)
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
-        seen, take = [], node.node.take
-        node.node.take = lambda slot, parts: (seen.append(len(slot.client.pending)), take(slot, parts))
+        seen, take = [], node.node.requests.admit
+        node.node.requests.admit = lambda slot, parts: (
+            seen.append(len(slot.client.pending)),
+            take(slot, parts),
+        )
         reader, writer = await node.connect()
         writer.write(HOG)
         assert {(await read_reply(reader))[:1] for _ in range(400)} <= {b"$", b"-"}
@@ -275,14 +278,14 @@
 @on_loop
 async def test_a_connection_that_fails_ends_alone_and_turns_go_on(scratch):
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
-        handle = node.node.command
+        handle = node.node.requests.command
 
         def command_fails(slot, told):
             if told == [b"FAIL"]:
                 raise RuntimeError("planted")
             handle(slot, told)
 
-        node.node.command = command_fails
+        node.node.requests.command = command_fails
         bad, other = await node.connect(), await node.connect()
         bad[1].write(b"*1\r\n$4\r\nFAIL\r\n" * 3)
         assert await bad[0].read() == b""
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -119,7 +119,7 @@
         await until(lambda: len(host.commands) == 2)
         later = next(n for n, got in enumerate(host.commands) if got[2] == b"r2")
         host.writers[later].write(value(BIG))
-        await until(lambda: any(work.stream for work in node.node.in_flight.values()))
+        await until(lambda: any(work.streaming_attempt for work in node.node.in_flight.values()))
         host.writers[1 - later].write(value(b"value"))
         assert await read_reply(reader) == SERVED
         assert await read_reply(reader) == b"$%d\r\n%s\r\n" % (len(BIG), BIG)
@@ -172,7 +172,7 @@
 async def test_a_body_that_is_only_announced_holds_no_place(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "PIECE_WITHIN", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         node.node.clients.budget.most = len(BIG)
         head = upload()[: -len(BIG) - 2]
         reader, writer = await node.connect()
@@ -190,7 +190,7 @@
 @on_loop
 async def test_a_body_without_room_waits_unread_until_there_is_some(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         budget = node.node.clients.budget
         budget.most = len(BIG)
         first, first_writer = await node.connect()
@@ -267,7 +267,7 @@
 @on_loop
 async def test_past_the_limit_a_connection_whose_body_is_coming_does_not_go(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.looking.cancel()
+        node.node.watch.timer.cancel()
         node.node.clients.most = 2
         reader, writer = await node.connect()
         writer.write(upload()[:90000])
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -15,7 +15,7 @@
 from api_gateway.downstream import admission
 from api_gateway.experiments.scale import latency, page, stamped, timed
 from api_gateway.experiments.scale.latency import PLAN, Asked, Load, by_part, disturbed, joined
-from api_gateway.gateway import node as gateway
+from api_gateway.gateway import in_flight
 from api_gateway.policy import Gateway
 from api_gateway.supervisor.fleet import CLASSES
 from api_gateway.upstream import pool as hosts
@@ -63,9 +63,9 @@
 
 # Where a fault is planted, and the part that it must show up in
 PLANTED = [
-    ("read", gateway.GatewayNode, "read_request", lambda *args: True),
+    ("read", in_flight.InFlightRequests, "parse", lambda *args: True),
     ("module", Gateway, "handle", asked_for),
-    ("send", gateway.InFlightRequest, "payload", lambda *args: True),
+    ("send", in_flight.InFlightRequest, "payload", lambda *args: True),
     ("connect", hosts.Pool, "open", lambda *args: True),
     ("answer", hosts, "read_reply", lambda *args: True),
 ]
@@ -142,7 +142,7 @@
                 patched.setattr(gw.node.module.fleet, "full", lambda *args: True)
                 gw.counter.answer_all()
                 await until(lambda: any(trace.part == "queue" for trace in stamps.open.values()))
-            gw.node.feed(api.TimerFired(0))
+            gw.node.dispatcher.dispatch(api.TimerFired(0))
             await asyncio.gather(*asked)
             assert len(stamps.done) == 40
             for name in stamps.done:
@@ -163,7 +163,7 @@
                 asked = asyncio.create_task(gw.ask(command()))
                 await until(lambda: "r1" in stamps.open and stamps.open["r1"].part == "queue")
                 clock.fault()
-            gw.node.feed(api.TimerFired(0))
+            gw.node.dispatcher.dispatch(api.TimerFired(0))
             assert await asked == SERVED
             summed(stamps.told_of("r1"))
             shown_in(stamps.told_of("r1"), "queue")
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -429,8 +429,8 @@
 async def test_a_connect_with_nothing_left_for_it_says_nothing_of_its_host(code, more, tmp_path, monkeypatch):
     """Its request is refused at once, and the next one that can be sent there is."""
     async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
-        outcomes, feed, loop = [], node.node.feed, asyncio.get_running_loop()
-        node.node.feed = lambda event: (outcomes.append(event), feed(event))
+        outcomes, feed, loop = [], node.node.dispatcher.dispatch, asyncio.get_running_loop()
+        node.node.dispatcher.dispatch = lambda event: (outcomes.append(event), feed(event))
 
         def no_socket(*_):
             raise OSError(code, os.strerror(code))
--- a/tests/gateway/test_node.py
+++ b/tests/gateway/test_node.py
@@ -5,11 +5,10 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, write
+from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, until, write
 
 from api_gateway import interface as api
-from api_gateway.gateway import node as gateway
-from api_gateway.gateway import requests
+from api_gateway.gateway import in_flight, request_parser
 
 
 @on_loop
@@ -25,8 +24,8 @@
 
 @on_loop
 async def test_a_silent_host_is_answered_for_before_the_client_gives_up(tmp_path, monkeypatch):
-    for module in (gateway, requests):  # a margin that no busy machine eats up
-        monkeypatch.setattr(module, "RESERVED", 2.0)
+    for module in (in_flight, request_parser):  # a margin that no busy machine eats up
+        monkeypatch.setattr(module, "ANSWER_RESERVE_S", 2.0)
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         began = time.monotonic()
         assert (await node.ask(write(cls=b"note", d=2300))).startswith(b"-ERR")  # it may have run: no refusal
@@ -57,7 +56,7 @@
                     raise RuntimeError("broken")
                 return real(now, event)
 
-        node.node.module = Broken()
+        node.node.dispatcher.engine = Broken()
         with caplog.at_level(logging.CRITICAL):
             assert await node.ask(command(b"bad")) == b"-ERR failed\r\n"
             assert await node.ask(command(b"good")) == SERVED
@@ -66,14 +65,14 @@
 
 @on_loop
 async def test_a_module_that_says_nothing_does_not_lose_the_request(tmp_path, monkeypatch):
-    monkeypatch.setattr(gateway, "GUARD", 2.0)  # as above
+    monkeypatch.setattr(in_flight, "GUARD_MARGIN_S", 2.0)  # as above
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
         class Mute:
             def handle(self, now, event):
                 return []
 
-        node.node.module = Mute()
+        node.node.dispatcher.engine = Mute()
         began = time.monotonic()
         assert await node.ask(command(terms=terms(d="2300"))) == b"-ERR failed\r\n"
         assert time.monotonic() - began < 2.3
@@ -94,12 +93,12 @@
                     self.done.set()
                 return []
 
-        node.node.module = clocked = Clocked()
+        node.node.dispatcher.engine = clocked = Clocked()
         due = {}
         for n in range(300):
             delay = 0.0101 + n * 0.00037
-            due[n] = node.node.clock() + delay
-            node.node.set_timer(api.SetTimer(delay, n))
+            due[n] = node.node.dispatcher.clock() + delay
+            node.node.executor.set_timer(api.SetTimer(delay, n))
         await clocked.done.wait()
         assert clocked.early == []
 
@@ -143,6 +142,23 @@
                     return [api.FailRequest(event.request_id)]
                 return []
 
-        node.node.module = Doubler()
+        node.node.dispatcher.engine = Doubler()
         assert (await node.ask(command())).startswith(b"-ERR")
         assert Doubler.results[0] == "moot" and not two.commands
+
+
+@on_loop
+async def test_idle_connections_close_when_the_module_says_so(tmp_path):
+    async with StubHost() as host, Node(host, path=tmp_path) as node:
+        assert await node.ask(command()) == SERVED
+        pool = node.node.hosts.pools["h1"]
+        assert len(pool.idle) == 1
+
+        class Closer:
+            def handle(self, now, event):
+                return [api.CloseIdleConnections("h1")]
+
+        node.node.dispatcher.engine = Closer()
+        node.node.dispatcher.dispatch(api.TimerFired(0))
+        assert not pool.idle
+        await until(lambda: not host.connections)
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -85,8 +85,8 @@
     more, tmp_path, monkeypatch
 ):
     """Its connection is open, as half of it had come; no time is left in which it could be answered."""
-    monkeypatch.setattr(shutdown, "KILLED_AT", 0.2)
-    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 0.0)
+    monkeypatch.setattr(shutdown, "KILL_DELAY_S", 0.2)
+    monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
         for _ in range(2):  # connections to the host that rest
             await asyncio.gather(*(node.ask(command(b"r%d" % number)) for number in range(4)))
@@ -101,13 +101,13 @@
         text = command(b"late")
         late.sendall(text[:30])
         await until(lambda: any(client.partial for client in node.node.clients.clients))
-        abandon = node.node.abandon
+        abandon = node.node.requests.abandon
 
         def abandoned(work):
             late.sendall(text[30:])
             abandon(work)
 
-        node.node.abandon = abandoned
+        node.node.requests.abandon = abandoned
         await node.node.stop()
         late.close()
     assert b"late" not in [got[2] for got in host.commands]
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -27,7 +27,7 @@
 from api_gateway.counter_client import MOST_LINE, Call
 from api_gateway.counter_client import Line as CounterLine
 from api_gateway.discovery.fetcher import Broken, Fetcher, Line
-from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
+from api_gateway.gateway.request_parser import ANSWER_RESERVE_S, BadRequestError, parse_request
 from api_gateway.membership.core import read as read_datagram
 from api_gateway.settings_parser import read_settings
 from api_gateway.upstream.pool import Attempt, parse_report, read_reply
@@ -73,8 +73,8 @@
 @on_loop
 async def test_a_large_value_that_breaks_off_is_not_whole(tmp_path):
     async with BrokenOff() as host, Node(host, path=tmp_path) as node:
-        outcomes, feed = [], node.node.feed
-        node.node.feed = lambda event: (outcomes.append(event), feed(event))
+        outcomes, feed = [], node.node.dispatcher.dispatch
+        node.node.dispatcher.dispatch = lambda event: (outcomes.append(event), feed(event))
         reader, writer = await node.connect()
         writer.write(command())
         assert await reader.read() == b"$70000\r\n" + b"v" * 100 + b"\r\n"  # and the end of the connection
@@ -390,14 +390,14 @@
         return
     command = [verb.encode(), customer.encode(), b"r1", text, *([b"BODY"] if verb == "API.WRITE" else [])]
     try:
-        read = read_request(command, SET, 0.0)
-    except BadRequest:
+        read = parse_request(command, SET, 0.0)
+    except BadRequestError:
         assert slow is None
         return
     assert slow == (
         read.service_class,
         read.plan,
-        round(1000 * (read.time_left + RESERVED)),
+        round(1000 * (read.time_left + ANSWER_RESERVE_S)),
         read.units,
         read.first_gateway,
         read.gateway_spread,
--- a/tests/golden/test_golden_gateway.py
+++ b/tests/golden/test_golden_gateway.py
@@ -668,26 +668,26 @@
 def read_every_key():
     """The values of config-every-key.json as they are read, by the paths of their keys."""
     c = read_config({"RELAY_CONFIG": str(GOLDEN / "config-every-key.json"), "TMPDIR": "/scratch"})
-    s, edge, member, view = c.settings, c.edge, c.membership, c.view
+    s, edge, member, view = c.settings, c.edge, c.membership, c.subset
     read, write, plan = s.classes["read"], s.classes["write"], s.plans["p"]
-    limits, rules, (h1, h2) = s.limits, s.rules, c.known.hosts.endpoints
+    limits, rules, (h1, h2) = s.limits, s.rules, c.initial_list.hosts.endpoints
     return {
-        "$TMPDIR": str(c.scratch),
+        "$TMPDIR": str(c.shared_folder),
         "name": c.name,
         "listen": c.listen,
         "control": c.control,
         "discovery": c.discovery,
         "counter": c.counter,
         "seed": c.seed,
-        "known.version": c.known.hosts.version,
+        "known.version": c.initial_list.hosts.version,
         "known.servers": [
-            (h.id, h.zone, h.kind, h.cell, h.state, h.weight, h.started_at, c.known.addresses[h.id])
+            (h.id, h.zone, h.kind, h.cell, h.state, h.weight, h.started_at, c.initial_list.addresses[h.id])
             for h in (h1, h2)
         ],
-        "limits.sockets": c.sockets,
-        "limits.memory_mb": c.memory,
-        "replicas.others": c.others,
-        "replicas.keep": c.keep,
+        "limits.sockets": c.max_descriptors,
+        "limits.memory_mb": c.max_memory_bytes,
+        "replicas.others": c.other_replicas,
+        "replicas.keep": c.saves_list,
         "edge.per_source": edge.per_source,
         "edge.new_per_source": edge.new_per_source,
         "edge.new": edge.new,
@@ -744,8 +744,8 @@
         "settings.limits.max_attempts": limits.max_attempts,
         "settings.limits.max_retry_after": limits.max_retry_after,
         "settings.limits.connect_timeout": c.connect_timeout,
-        "settings.limits.idle_close": c.idle_close,
-        "settings.limits.max_open": c.max_open,
+        "settings.limits.idle_close": c.endpoint_idle_close,
+        "settings.limits.max_open": c.max_in_flight,
         "settings.rules.answer_slack": rules.answer_slack,
         "settings.rules.drain_grace": rules.drain_grace,
         "settings.rules.start_capacity": rules.slow_start_min_capacity,
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -5,6 +5,7 @@
 from dataclasses import replace
 
 from api_gateway.downstream import client_connection as clients
+from api_gateway.gateway import in_flight
 from api_gateway.gateway import node as gateway
 from api_gateway.policy import endpoints as fleet
 from api_gateway.policy import quota_leases as quota_layer
@@ -51,13 +52,13 @@
 
 def gone():
     """Nobody hears that a client has gone."""
-    gateway.GatewayNode.gone = lambda self, slot: None
+    in_flight.InFlightRequests.gone = lambda self, slot: None
 
 
 def deadline():
     """Hosts are told of a second more than the client has left."""
-    payload = gateway.InFlightRequest.payload
-    gateway.InFlightRequest.payload = lambda self, left: payload(self, left + 1.0)
+    payload = in_flight.InFlightRequest.payload
+    in_flight.InFlightRequest.payload = lambda self, left: payload(self, left + 1.0)
 
 
 def quota():
--- a/tests/measure/changes.py
+++ b/tests/measure/changes.py
@@ -21,7 +21,7 @@
 import uvloop  # noqa: E402
 from netkit import SETTINGS, VALUE, Node, StubHost, command, entry, read_reply, told  # noqa: E402
 
-from api_gateway.gateway.node import resident  # noqa: E402
+from api_gateway.gateway.process_limits import resident_bytes  # noqa: E402
 
 PLANS, HOSTS = 200, 200
 SECONDS, EVERY, CLIENTS = 4.0, 0.05, 8
@@ -82,9 +82,9 @@
                     costs.append(time.thread_time() - began)
                 await asyncio.sleep(EVERY)
 
-        before = resident()
+        before = resident_bytes()
         await asyncio.gather(change(), traffic(node, latencies, end))
-        grown = resident() - before
+        grown = resident_bytes() - before
     for host in hosts:
         await host.__aexit__()
     return latencies, costs, grown
@@ -117,13 +117,13 @@
 
     async def run():
         async with StubHost() as host, Node(host, path=folder, settings=LARGE) as node:
-            changes, grown = node.node.changes, [resident()]
+            changes, grown = node.node.changes, [resident_bytes()]
             tree = json.loads(json.dumps(changes.current.content))
             for half in range(2):
                 for n in range(count // 2):
                     tree["settings"]["plans"][0]["rate"] = float(1 + half * count + n)
                     await changes.apply(json.dumps(tree).encode(), changes.history.newest.number, None)
-                grown.append(resident())
+                grown.append(resident_bytes())
             return grown[1] - grown[0], grown[2] - grown[1]
 
     return uvloop.run(run())
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -167,8 +167,8 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        if self.node.looking:
-            self.node.looking.cancel()
+        if self.node.watch.timer:
+            self.node.watch.timer.cancel()
         self.node.clients.finish()
         self.node.clients.close()
         self.node.control.close()
--- a/tests/policy/test_quota_leases_cluster.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -69,7 +69,7 @@
         file = self.path / f"{n}.json"
         file.write_text(json.dumps(told(listed, discovery, self.counter.port, settings | {"index": n})))
         node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
-        node.clock = self.clock
+        node.clock = node.dispatcher.clock = node.watch.clock = self.clock
         node.module.fleet_time.start = lambda now: None  # one clock for all, which the parts move on by hand
         bear(node, 1000.0)  # hosts have room for all
         node.module.fleet.full = lambda *_: False
@@ -78,7 +78,7 @@
         return node
 
     async def end(self, node):
-        node.looking.cancel()
+        node.watch.timer.cancel()
         node.clients.finish()
         node.clients.close()
         node.hosts.close()
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -89,7 +89,7 @@
                     done.set()
                 return []
 
-        node.node.module = Watcher()
+        node.node.dispatcher.engine = Watcher()
         node.node.probe(api.CheckHealth("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
@@ -174,12 +174,12 @@
                     else []
                 )
 
-        node.node.module = Mover()
+        node.node.dispatcher.engine = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
-        (attempt,) = node.node.in_flight["r1"].live.values()
+        (attempt,) = node.node.in_flight["r1"].attempts.values()
         ended = attempt.conn.sock
-        node.node.cancel(api.CancelAttempt("r1", 0))
+        node.node.attempts.cancel(api.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         assert await one.arrived.get() is None
@@ -290,7 +290,7 @@
     async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
         asked = asyncio.create_task(node.ask(write()))
         await until(lambda: len(opened) == 2)
-        (attempt,) = node.node.in_flight["r1"].live.values()
+        (attempt,) = node.node.in_flight["r1"].attempts.values()
         assert attempt.until - attempt.started <= 3.0 - 0.02  # memory_span, less the way to the host
         if late:
             attempt.until = monotonic()
@@ -360,7 +360,7 @@
                     return [api.FailRequest(event.request_id)]
                 return [api.SendAttempt(event.request_id, "silent")] if isinstance(event, api.Request) else []
 
-        node.node.module = Sender()
+        node.node.dispatcher.engine = Sender()
         node.node.hosts.listed("silent", silent.getsockname())
         asked = asyncio.create_task(node.ask(command(b"r1", terms(c="note"), b"API.WRITE", body=body)))
         await until(lambda: any(conn.attempt for conn in node.node.hosts.conns))
