--- a/api_gateway/control/server.py
+++ b/api_gateway/control/server.py
@@ -190,17 +190,17 @@
     def get_config(self, request: web.BaseRequest) -> Answer:
         """Answer the configuration in force."""
         query_values(request)
-        return 200, self.node.changes.status_with_config()
+        return 200, self.node.config_changes().status_with_config()
 
     def get_history(self, request: web.BaseRequest) -> Answer:
         """Answer the versions that can be rolled back to."""
         query_values(request)
-        return 200, {"versions": self.node.changes.list_versions()}
+        return 200, {"versions": self.node.config_changes().list_versions()}
 
     async def check_config(self, request: web.BaseRequest) -> Answer:
         """Check a candidate and answer what it would change."""
         query_values(request)
-        changes = self.node.changes
+        changes = self.node.config_changes()
         content = changes.check(await read_body(request, MOST_BODY, BODY_TIMEOUT_S))
         rows = list(differences(changes.current.content, content))
         return 200, {"changes": rows[:MOST_TOLD], "more": max(0, len(rows) - MOST_TOLD)}
@@ -210,17 +210,19 @@
         expected, window = query_values(request, "expect", optional="confirm_within")
         body = await read_body(request, MOST_BODY, BODY_TIMEOUT_S)
         expected_version = parse_version_number("expect", expected)
-        return 200, await self.node.changes.apply(body, expected_version, parse_confirm_window(window))
+        return 200, await self.node.config_changes().apply(
+            body, expected_version, parse_confirm_window(window)
+        )
 
     def confirm_config(self, request: web.BaseRequest) -> Answer:
         """Let a change stay that waits for its confirmation."""
         number = parse_version_number("version", query_values(request, "version")[0])
-        return 200, self.node.changes.confirm(number)
+        return 200, self.node.config_changes().confirm(number)
 
     async def roll_back_config(self, request: web.BaseRequest) -> Answer:
         """Bring an earlier version into force again."""
         number = parse_version_number("to", query_values(request, "to")[0])
-        return 200, await self.node.changes.roll_back(number)
+        return 200, await self.node.config_changes().roll_back(number)
 
     def close(self) -> None:
         """Close the address and all connections."""
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -687,7 +687,7 @@
     "base.resp.MAX_LINE_BYTES",
     "base.resp.MOST_LARGE",
     "base.resp.MAX_COUNT_DIGITS",
-    "gateway.node.MOST_HELD",
+    "gateway.in_flight.MAX_SMALL_BODY_BYTES",
     "downstream.client_connection.MAX_COMMAND_BYTES",
     "upstream.connection.MAX_REPLY_BYTES",
     "control.server.MOST_CALLERS",
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -172,7 +172,7 @@
                     return [api.FailRequest(event.request_id)]
                 return [api.SendAttempt(event.request_id, "silent")] if isinstance(event, api.Request) else []
 
-        node.node.module = Sender()
+        node.node.dispatcher.engine = Sender()
         node.node.hosts.listed("silent", silent.getsockname())
         asked = asyncio.create_task(node.ask(command(b"r1", terms(c="note"), b"API.WRITE", body=body)))
         await until(lambda: any(conn.attempt for conn in node.node.hosts.connections))
--- a/tests/upstream/test_endpoint_pools.py
+++ b/tests/upstream/test_endpoint_pools.py
@@ -34,7 +34,7 @@
                     done.set()
                 return []
 
-        node.node.module = Watcher()
+        node.node.dispatcher.engine = Watcher()
         node.node.probe(api.CheckHealth("h1"))
         await done.wait()
         assert host.commands == [[b"INFO", b"load"]]
@@ -83,12 +83,12 @@
                     else []
                 )
 
-        node.node.module = Mover()
+        node.node.dispatcher.engine = Mover()
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
-        (attempt,) = node.node.in_flight["r1"].live.values()
+        (attempt,) = node.node.in_flight["r1"].attempts.values()
         ended = attempt.conn.sock
-        node.node.cancel(api.CancelAttempt("r1", 0))
+        node.node.attempts.cancel(api.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
         assert await one.arrived.get() is None
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -35,7 +35,7 @@
     async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
         asked = asyncio.create_task(node.ask(write()))
         await until(lambda: len(opened) == 2)
-        (attempt,) = node.node.in_flight["r1"].live.values()
+        (attempt,) = node.node.in_flight["r1"].attempts.values()
         # memory_span, less the way to the host
         assert attempt.send_deadline - attempt.started_at <= 3.0 - 0.02
         if late:
