--- a/api_gateway/experiments/membership/__main__.py
+++ b/api_gateway/experiments/membership/__main__.py
@@ -13,7 +13,17 @@
 from typing import NamedTuple
 
 from api_gateway.experiments.membership.world import Cluster, address_of, play
-from api_gateway.membership.core import ALIVE, FORGET, ORDER, Swim
+from api_gateway.membership.member_table import FORGET_AFTER_S
+from api_gateway.membership.messages import (
+    ALIVE,
+    Datagram,
+    MemberUpdate,
+    Message,
+    Ping,
+    StateUpdate,
+    encode_datagram,
+)
+from api_gateway.membership.swim import Swim
 
 LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
 SPLITS = (10.0, 60.0, 600.0, 3600.0)  # s
@@ -48,7 +58,7 @@
 
     def look() -> None:
         for member in c.members.values():
-            if member.name not in took and gone not in member.there.at:
+            if member.name not in took and gone not in member.table.present:
                 took[member.name] = c.now - began
 
     c.run(LOOK, look, LOOK)
@@ -116,13 +126,18 @@
 def alone(size: int) -> Swim:
     """One that knows so many others."""
     swim = Swim("c", "m0", address_of(0), 1, [], random.Random(1), 0.0, {"kind": "gateway"})
-    rows = [[f"m{n}", *address_of(n), 1, ORDER[ALIVE], {"kind": "gateway"}] for n in range(1, size)]
+    updates = [MemberUpdate(f"m{n}", address_of(n), 1, ALIVE, {"kind": "gateway"}) for n in range(1, size)]
     for start in range(0, size, 8):
-        swim.emit(address_of(1), {"k": "more", "s": 0, "r": rows[start : start + 8]})
-        swim.receive(0.0, address_of(1), swim.take()[-1].data.replace(b'"f":"m0"', b'"f":"m1"'))
+        data = datagram_of_m1(StateUpdate(), updates[start : start + 8])
+        swim.receive(0.0, address_of(1), data)
     return swim
 
 
+def datagram_of_m1(message: Message, updates: list[MemberUpdate]) -> bytes:
+    """Return a datagram of the member m1, which names the address of m0."""
+    return encode_datagram("c", Datagram("m1", address_of(0), message, tuple(updates)))
+
+
 def timed(act: Callable[..., object], *told: object) -> float:
     """Microseconds."""
     began = time.perf_counter()
@@ -130,9 +145,11 @@
     return (time.perf_counter() - began) * 1e6
 
 
-def rumours(incarnation: int) -> list[list[object]]:
-    """Rows of 16 members that live."""
-    return [[f"m{n}", *address_of(n), incarnation, ORDER[ALIVE], {"kind": "gateway"}] for n in range(1, 17)]
+def rumours(incarnation: int) -> list[MemberUpdate]:
+    """Updates of 16 members that live."""
+    return [
+        MemberUpdate(f"m{n}", address_of(n), incarnation, ALIVE, {"kind": "gateway"}) for n in range(1, 17)
+    ]
 
 
 def cost(size: int) -> tuple[float, float, float, float]:
@@ -144,17 +161,16 @@
     tracemalloc.stop()
     ticks, hears, wholes = list[float](), list[float](), list[float]()
     for number in range(1000):
-        period = swim.next_probe
-        while swim.next_probe == period:
+        period = swim.detector.next_probe_at
+        while swim.detector.next_probe_at == period:
             now = swim.due()
             took = timed(swim.tick, now)
         ticks.append(took)
-        swim.probes.clear()  # as if acknowledged
-        swim.emit(address_of(1), {"k": "ping", "s": number, "r": rumours(3 + number)})
-        data = swim.take()[-1].data.replace(b'"f":"m0"', b'"f":"m1"')
+        swim.detector.probes.clear()  # as if acknowledged
+        data = datagram_of_m1(Ping(number, None), rumours(3 + number))
         hears.append(timed(swim.receive, now, address_of(1), data))
         if number % 100 == 0:
-            wholes.append(timed(swim.exchange))
+            wholes.append(timed(swim.anti_entropy.exchange, now))
             swim.take()
     return statistics.median(ticks), statistics.median(hears), statistics.median(wholes), memory
 
@@ -308,7 +324,7 @@
     parser.add_argument("--sizes", type=int, nargs="+", default=[40], help="members")
     parser.add_argument("--losses", type=float, nargs="+", default=LOSSES, help="shares of datagrams")
     parser.add_argument("--seeds", type=int, default=4, help="runs of each case")
-    parser.add_argument("--seconds", type=float, default=2 * FORGET, help="of a run, in virtual time")
+    parser.add_argument("--seconds", type=float, default=2 * FORGET_AFTER_S, help="of a run, in virtual time")
     parser.add_argument("--processes", type=int, default=4, help="that play at the same time")
     args = parser.parse_args()
     with ProcessPoolExecutor(args.processes) as pool:
--- a/api_gateway/experiments/membership/referee.py
+++ b/api_gateway/experiments/membership/referee.py
@@ -7,7 +7,8 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from api_gateway.membership.core import DEAD, Address, Swim
+from api_gateway.membership.messages import DEAD, Address
+from api_gateway.membership.swim import Swim
 
 HEALTHY = 25.0  # s for which a member was reached by a majority both ways, after which none may hold it dead
 MOST_BYTES = 1200  # of one datagram
--- a/api_gateway/experiments/membership/world.py
+++ b/api_gateway/experiments/membership/world.py
@@ -11,7 +11,9 @@
 from typing import Any
 
 from api_gateway.experiments.membership.referee import Referee
-from api_gateway.membership.core import DEAD, Address, Send, Swim
+from api_gateway.membership.messages import DEAD, Address
+from api_gateway.membership.outbox import Send
+from api_gateway.membership.swim import Swim
 
 TRANSLATED = ("192.0.2.1", 9)  # where all datagrams seem to come from: nobody is reached there
 DELAYS = (0.001, 0.002, 0.01, 0.05)  # s
@@ -237,7 +239,7 @@
 
     def agreed(self) -> bool:
         names = self.by_name.keys()
-        return all(m.there.at.keys() == names for m in self.members.values())
+        return all(m.table.present.names() == names for m in self.members.values())
 
     def settle(self, most: float) -> float:
         return self.until(self.agreed, most, 0.5)
@@ -252,7 +254,7 @@
         }
 
     def known_dead(self, name: str) -> bool:
-        return not any(name in m.there.at for m in self.members.values())
+        return not any(name in m.table.present for m in self.members.values())
 
 
 # Storms
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -358,7 +358,7 @@
     Asked(
         "members of one cluster",
         "gateways",
-        "membership.core.MOST_MEMBERS",
+        "membership.member_table.MAX_MEMBERS",
         "members",
         "a bound; gateways past it serve, unseen by the others",
     ),
@@ -978,7 +978,7 @@
         "",
         "",
         "",
-        "`membership.core.Swim`",
+        "`membership.swim.Swim`",
         "`GET /members`",
     ),
     Event(
@@ -1017,7 +1017,7 @@
         "healed_view_kb_most",
         "at one gateway at most",
         "healed_view_last_s",
-        "`registry.core.Registry.register`, `membership.core.Swim`",
+        "`registry.core.Registry.register`, `membership.swim.Swim`",
         "`GET /members`, `GET /status`",
     ),
 )
--- a/api_gateway/experiments/scale/parts.py
+++ b/api_gateway/experiments/scale/parts.py
@@ -17,7 +17,7 @@
 from api_gateway.budgets.client import Client
 from api_gateway.budgets.terms import Terms
 from api_gateway.experiments.scale.crowds import stand
-from api_gateway.membership.core import Send
+from api_gateway.membership.outbox import Send
 from api_gateway.membership.service import Member, read_membership
 
 CLUSTER = "scale"
--- a/api_gateway/experiments/scale/swarm.py
+++ b/api_gateway/experiments/scale/swarm.py
@@ -7,7 +7,10 @@
 
 from api_gateway.experiments.membership.referee import Referee
 from api_gateway.experiments.membership.world import Cluster
-from api_gateway.membership.core import EXCHANGE, EXCHANGE_EACH, Address, Send, Swim
+from api_gateway.membership.anti_entropy import EXCHANGE, EXCHANGE_EACH
+from api_gateway.membership.messages import Address
+from api_gateway.membership.outbox import Send
+from api_gateway.membership.swim import Swim
 
 LIFE = 1_700_000_000_000  # a member's first number: ms of a clock
 DELAY = 0.001  # s of a datagram
--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -277,7 +277,7 @@
             book["membership_start_kb_s"],
             "a start of all, worst second",
             kb,
-            "`membership.core.Swim`",
+            "`membership.swim.Swim`",
         ),
         Row(
             "bytes in: configuration, all of it with each change",
@@ -295,7 +295,7 @@
             None,
             "a start of all",
             cores,
-            "`membership.core.Swim`",
+            "`membership.swim.Swim`",
         ),
         *of_all_kinds(book),
         *of_whole_lists(book),
@@ -708,8 +708,8 @@
             book.of("gateways", "members"),
             None,
             "none",
-            book.code("membership.core", "MOST_MEMBERS", "members"),
-            "`membership.core.MOST_MEMBERS`",
+            book.code("membership.member_table", "MAX_MEMBERS", "members"),
+            "`membership.member_table.MAX_MEMBERS`",
             PART,
             "a member that joins is not taken",
         ),
@@ -719,8 +719,8 @@
             None,
             book["gateways_of_a_region"],
             "regions lose each other",
-            book.code("membership.core", "MOST_LOST", "members"),
-            "`membership.core.MOST_LOST`",
+            book.code("membership.member_table", "MAX_LOST_ADDRESSES", "members"),
+            "`membership.member_table.MAX_LOST_ADDRESSES`",
             NOTHING,
             "those that were lost last are tried again, and the rest is met through them",
         ),
@@ -731,7 +731,7 @@
             None,
             "a start of all",
             None,
-            "`membership.core.Swim.tick`",
+            "`membership.swim.Swim.tick`",
         ),
         Row(
             "bytes in and out a member",
@@ -740,7 +740,7 @@
             None,
             "none",
             book.of("control_kb_s", "KB/s"),
-            "`membership.core.EXCHANGE_EACH`",
+            "`membership.anti_entropy.EXCHANGE_EACH`",
         ),
         Row(
             "bytes out a member in the worst second of a start",
@@ -749,7 +749,7 @@
             book["membership_start_kb_s"],
             "a start of all",
             book.of("control_kb_s", "KB/s"),
-            "`membership.core.BUSY_EXCHANGE`",
+            "`membership.anti_entropy.BUSY_EXCHANGE_INTERVAL_S`",
         ),
         Row(
             "s until all that start together know each other",
@@ -758,7 +758,7 @@
             book["membership_start_known_s"],
             "a start of all",
             None,
-            "`membership.core.BUSY_EXCHANGE`",
+            "`membership.anti_entropy.BUSY_EXCHANGE_INTERVAL_S`",
         ),
         Row(
             "s until nothing is news after that",
@@ -767,7 +767,7 @@
             book["membership_start_rest_s"],
             "a start of all",
             None,
-            "`membership.core.MOST_RUMOURS`",
+            "`membership.gossip.MAX_UPDATES_PER_DATAGRAM`",
         ),
         Row(
             "processor of a member",
@@ -776,7 +776,7 @@
             None,
             "a start of all",
             book.of("control_cores", "cores"),
-            "`membership.core.Swim.tick`",
+            "`membership.swim.Swim.tick`",
         ),
         Row(
             "memory of a member",
@@ -785,7 +785,7 @@
             None,
             "a start of all",
             book.of("control_mb", "MB"),
-            "`membership.core.Member`",
+            "`membership.member_table.Member`",
         ),
     ]
 
--- a/api_gateway/membership/__init__.py
+++ b/api_gateway/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Membership: which processes of a cluster are present (SWIM), on a UDP socket."""
--- a/api_gateway/membership/service.py
+++ b/api_gateway/membership/service.py
@@ -1,4 +1,4 @@
-"""The failure detector on a UDP socket: datagrams in, the core's sends out. Nothing here decides."""
+"""A member of a cluster on a UDP socket: datagrams in, the sends of `Swim` out. Nothing here decides."""
 
 from __future__ import annotations
 
@@ -13,51 +13,82 @@
 from dataclasses import dataclass
 from pathlib import Path
 from time import monotonic
-from typing import Any
+from typing import Any, TypeGuard, cast
 
 from api_gateway.base.endpoint_list import read_address, write_address
-from api_gateway.membership.core import ALIVE, Address, Send, Swim
+from api_gateway.membership.errors import MembershipConfigError
+from api_gateway.membership.member_table import Member as KnownMember
+from api_gateway.membership.messages import ALIVE, Address
+from api_gateway.membership.outbox import Send
+from api_gateway.membership.swim import Swim
 
-MOST_WORD = 64  # characters of a cluster's name
-LATE_SPAN = 60.0  # s
-RESOLVE = 30.0  # s between looks at what the names of seeds mean
+MAX_CLUSTER_NAME_CHARACTERS = 64  # of the key `membership.cluster`
+LATENESS_WINDOW_S = 60.0  # over which the latest timer is remembered, twice
+SEED_RESOLUTION_INTERVAL_S = 30.0  # between two resolutions of the names of seeds
+TIMER_MARGIN_S = 0.001  # by which a timer is set later, so that it is not early by rounding
+CONFIG_KEYS = {"cluster", "listen", "seeds", "advertise"}  # of the key `membership`
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """Where a process takes part."""
+    """Where a process takes part.
+
+    Attributes:
+        cluster: Name of the cluster.
+        listen: Address that its socket is bound to.
+        seeds: Addresses that it joins through; hosts may be names.
+        advertise: Where others reach it, if that is not where it listens.
+    """
 
     cluster: str
     listen: Address
     seeds: tuple[Address, ...]
-    advertise: Address | None = None  # where others reach it, if that is not where it listens
+    advertise: Address | None = None
+
 
+def read_membership(value: Any) -> Membership:
+    """Check the value of the key `membership` and return what it says.
 
-def read_membership(told: Any) -> Membership:
-    """Raises ValueError that names the key."""
-    if not isinstance(told, dict) or set(told) - {"cluster", "listen", "seeds", "advertise"}:
-        raise ValueError("membership may hold cluster, listen, advertise and seeds")
-    cluster, seeds = told.get("cluster"), told.get("seeds", [])
-    if not isinstance(cluster, str) or not 0 < len(cluster) <= MOST_WORD or not cluster.isprintable():
-        raise ValueError(f"membership.cluster is {cluster!r}, not a text of 1 to {MOST_WORD} characters")
+    Raises:
+        ValueError: A value cannot be used; the text names its key.
+    """
+    if not isinstance(value, dict) or set(value) - CONFIG_KEYS:
+        text = "membership may hold cluster, listen, advertise and seeds"
+        raise MembershipConfigError("membership", text)
+    cluster = value.get("cluster")
+    seeds = value.get("seeds", [])
+    listen = value.get("listen")
+    advertise = value.get("advertise")
+    if not _is_cluster_name(cluster):
+        expected = f"a text of 1 to {MAX_CLUSTER_NAME_CHARACTERS} characters"
+        raise _unusable("cluster", cluster, expected)
     if not isinstance(seeds, list) or not all(isinstance(seed, str) for seed in seeds):
-        raise ValueError(f"membership.seeds is {seeds!r}, not a list of HOST:PORT")
-    if not isinstance(told.get("listen"), str):
-        raise ValueError(f"membership.listen is {told.get('listen')!r}, not HOST:PORT")
-    advertise = told.get("advertise")
+        raise _unusable("seeds", seeds, "a list of HOST:PORT")
+    if not isinstance(listen, str):
+        raise _unusable("listen", listen, "HOST:PORT")
     if advertise is not None and not isinstance(advertise, str):
-        raise ValueError(f"membership.advertise is {advertise!r}, not HOST:PORT")
+        raise _unusable("advertise", advertise, "HOST:PORT")
     return Membership(
         cluster,
-        read_address(told["listen"]),
+        read_address(listen),
         tuple(read_address(seed) for seed in seeds),
         read_address(advertise) if advertise else None,
     )
 
 
-def numeric(host: str) -> bool:
+def _is_cluster_name(value: object) -> TypeGuard[str]:
+    return isinstance(value, str) and 0 < len(value) <= MAX_CLUSTER_NAME_CHARACTERS and value.isprintable()
+
+
+def _unusable(key: str, value: object, expected: str) -> MembershipConfigError:
+    path = f"membership.{key}"
+    return MembershipConfigError(path, f"{path} is {value!r}, not {expected}")
+
+
+def is_numeric_host(host: str) -> bool:
+    """Tell whether a host is an IP address and no name."""
     try:
         ipaddress.ip_address(host)
     except ValueError:
@@ -65,137 +96,176 @@
     return True
 
 
-async def resolved(seeds: tuple[Address, ...]) -> list[Address]:
-    """Where the seeds are now; a name that means nothing now is left out."""
-    loop, found = asyncio.get_running_loop(), list[Address]()
+async def resolve_seeds(seeds: tuple[Address, ...]) -> list[Address]:
+    """Return the IP addresses of the seeds as they are now; a name that has none now is left out."""
+    loop = asyncio.get_running_loop()
+    addresses: list[Address] = []
     for host, port in seeds:
         try:
-            told = await loop.getaddrinfo(host, port, type=socket.SOCK_DGRAM)
-            found.append((str(told[0][4][0]), port))
-        except OSError as err:
-            log.info("seed %s: %s", host, err)
-    return found
+            infos = await loop.getaddrinfo(host, port, type=socket.SOCK_DGRAM)
+        except OSError as error:
+            log.info("seed not resolved host=%s error=%s", host, error)
+        else:
+            addresses.append((str(infos[0][4][0]), port))
+    return addresses
 
 
-def overflows(sock: Any) -> int:
-    """Datagrams that were lost because this socket's buffer was full (Linux, drops in /proc/net/udp)."""
+def count_receive_overflows(sock: Any) -> int:
+    """Return how many datagrams were lost because a socket's buffer was full.
+
+    Args:
+        sock: A UDP socket over IPv4. Linux counts its drops in /proc/net/udp; elsewhere the result is 0.
+    """
     try:
         inode = str(os.fstat(sock.fileno()).st_ino)
-        lines = Path("/proc/net/udp").read_text().splitlines()[1:]
-        return next((int(line.split()[-1]) for line in lines if line.split()[9] == inode), 0)
+        rows = [line.split() for line in Path("/proc/net/udp").read_text().splitlines()[1:]]
+        return next((int(row[-1]) for row in rows if row[9] == inode), 0)
     except (OSError, ValueError, IndexError, AttributeError):
         return 0
 
 
 class Member(asyncio.DatagramProtocol):
-    """One process of the cluster. `meta` tells what it says of itself, whenever that is asked."""
+    """One process as a member of a cluster.
+
+    Attributes:
+        config: Where it takes part.
+        name: Its name, unique in the cluster.
+        swim: Its state, from `start` on.
+        transport: Its socket, from `start` on.
+    """
 
-    def __init__(self, config: Membership, name: str, meta: Callable[[], dict[str, str]]) -> None:
-        self.config, self.name, self.meta = config, name, meta
+    def __init__(self, config: Membership, name: str, metadata_source: Callable[[], dict[str, str]]) -> None:
+        """Prepare a member; `metadata_source` is called for what it publishes of itself, before each step."""
+        self.config = config
+        self.name = name
         self.transport: asyncio.DatagramTransport
         self.swim: Swim
-        self.timer: asyncio.TimerHandle | None = None
-        self.resolving: asyncio.Task[None] | None = None
-        self.due = self.late_since = monotonic()
-        self.late = [0.0, 0.0]  # by which its timer came late at most, in the last span and in this one
+        self._metadata_source = metadata_source
+        self._timer: asyncio.TimerHandle | None = None
+        self._resolving: asyncio.Task[None] | None = None
+        self._due_at = monotonic()
+        self._window_began_at = self._due_at
+        self._previous_lateness_s = 0.0  # most by which the timer was late, in the window before this one
+        self._lateness_s = 0.0  # the same in this window
 
     async def start(self) -> int:
-        """Raises OSError. Returns the port. Incarnations go on from the clock over restarts."""
-        loop, seeds = asyncio.get_running_loop(), await resolved(self.config.seeds)
+        """Bind the socket and join.
+
+        Incarnations begin with the clock's milliseconds, so that they go on over restarts.
+
+        Returns:
+            The port that it listens at.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        loop = asyncio.get_running_loop()
+        seeds = await resolve_seeds(self.config.seeds)
         self.transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.config.listen)
-        place = self.transport.get_extra_info("sockname")[:2]
-        told = self.config.advertise or place
+        bound = cast(Address, self.transport.get_extra_info("sockname")[:2])
         self.swim = Swim(
             self.config.cluster,
             self.name,
-            told,
+            self.config.advertise or bound,
             int(time.time() * 1000),
             seeds,
             random.Random(),
             monotonic(),
-            self.meta(),
+            self._metadata_source(),
         )
-        self.turn()
-        if any(not numeric(host) for host, _ in self.config.seeds):
-            self.resolving = loop.create_task(self.keep_resolving())
-        return place[1]
-
-    async def keep_resolving(self) -> None:
-        """Names of seeds may mean other machines by now."""
-        while True:
-            await asyncio.sleep(RESOLVE)
-            self.swim.seeds = await resolved(self.config.seeds) or self.swim.seeds
+        self._run_step()
+        if any(not is_numeric_host(host) for host, _ in self.config.seeds):
+            self._resolving = loop.create_task(self._keep_resolving_seeds())
+        return bound[1]
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        if self.timer is None:
-            return  # it came before the first turn: whoever sent it asks again
+        """Handle a datagram; one that comes before the first step is dropped, since its sender repeats it."""
+        if self._timer is None:
+            return
         self.send(self.swim.receive(monotonic(), (addr[0], addr[1]), data))
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there: a probe without an ack says the same."""
+        """Ignore that nobody listens somewhere: a probe without an ack says the same."""
 
     def send(self, sends: list[Send]) -> None:
+        """Send datagrams."""
         for send in sends:
             self.transport.sendto(send.data, send.to)
 
-    def turn(self) -> None:
-        now = monotonic()
-        self.behind(now)
-        fresh = self.meta()
-        if fresh != self.swim.me.meta:  # such as another version of the configuration
-            self.swim.tell(fresh)
-        self.send(self.swim.tick(now))
-        now = monotonic()
-        self.due = max(now, self.swim.due()) + 0.001
-        self.timer = asyncio.get_running_loop().call_later(self.due - now, self.turn)
-
-    def behind(self, now: float) -> None:
-        """Keeps by how much its own timer came late at most within a minute or two."""
-        if now - self.late_since > LATE_SPAN:
-            self.late, self.late_since = [self.late[1], 0.0], now
-        self.late[1] = max(self.late[1], now - self.due)
-
     def told(self) -> dict[str, Any]:
-        """What operators see. Those of this one's kind whose configuration version differs are named."""
-        now, own = monotonic(), self.swim.me.meta
-        rows = [
-            {
-                "name": m.name,
-                "address": write_address(m.address),
-                "state": m.state,
-                "for": round(now - m.since, 1),
-                "incarnation": m.incarnation,
-                "accusers": m.accusers,
-                "through": m.through,
-                **m.meta,
-            }
-            for m in sorted(self.swim.members.values(), key=lambda m: m.name)
-        ]
-        disagree = [
-            m.name
-            for m in self.swim.members.values()
-            if m.state == ALIVE
-            and m.meta.get("kind") == own.get("kind")
-            and m.meta.get("config") != own.get("config")
-        ]
+        """Return the body of `GET /members`.
+
+        `disagree` names the members of the same kind whose configuration is another one.
+        """
+        swim = self.swim
+        now = monotonic()
+        members = sorted(swim.members.values(), key=lambda member: member.name)
         return {
             "cluster": self.config.cluster,
             "name": self.name,
-            "members": rows,
-            "disagree": sorted(disagree),
-            "health": self.swim.doubt,
-            "version": self.swim.version,
-            "late": round(max(self.late), 3),
-            "silent": round(self.swim.silent, 3),
-            "overflows": overflows(self.transport.get_extra_info("socket")),
-            "counts": dict(self.swim.counts),
+            "members": [_member_row(member, now) for member in members],
+            "disagree": [member.name for member in members if _disagrees(member, swim.me)],
+            "health": swim.health.score,
+            "version": swim.version,
+            "late": round(max(self._previous_lateness_s, self._lateness_s), 3),
+            "silent": round(swim.health.probe_loss, 3),
+            "overflows": count_receive_overflows(self.transport.get_extra_info("socket")),
+            "counts": dict(swim.counts),
         }
 
     def close(self) -> None:
-        """Leaves on purpose."""
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.resolving is not None:
-            self.resolving.cancel()
+        """Leave the cluster on purpose and close the socket."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._resolving is not None:
+            self._resolving.cancel()
         self.send(self.swim.leave(monotonic()))
         self.transport.close()
+
+    async def _keep_resolving_seeds(self) -> None:
+        """Names of seeds may stand for other machines by now."""
+        while True:
+            await asyncio.sleep(SEED_RESOLUTION_INTERVAL_S)
+            anti_entropy = self.swim.anti_entropy
+            anti_entropy.seeds = await resolve_seeds(self.config.seeds) or anti_entropy.seeds
+
+    def _run_step(self) -> None:
+        """Do what is due, and set the timer for the next step."""
+        now = monotonic()
+        self._record_lateness(now)
+        metadata = self._metadata_source()
+        if metadata != self.swim.me.metadata:  # such as another version of the configuration
+            self.swim.set_metadata(metadata)
+        self.send(self.swim.tick(now))
+        now = monotonic()
+        self._due_at = max(now, self.swim.due()) + TIMER_MARGIN_S
+        self._timer = asyncio.get_running_loop().call_later(self._due_at - now, self._run_step)
+
+    def _record_lateness(self, now: float) -> None:
+        """Keep by how much the timer was late at most within the last window and this one."""
+        if now - self._window_began_at > LATENESS_WINDOW_S:
+            self._previous_lateness_s = self._lateness_s
+            self._lateness_s = 0.0
+            self._window_began_at = now
+        self._lateness_s = max(self._lateness_s, now - self._due_at)
+
+
+def _member_row(member: KnownMember, now: float) -> dict[str, Any]:
+    return {
+        "name": member.name,
+        "address": write_address(member.address),
+        "state": member.state,
+        "for": round(now - member.state_since, 1),
+        "incarnation": member.incarnation,
+        "accusers": member.accusers,
+        "through": member.is_reached_indirectly,
+        **member.metadata,
+    }
+
+
+def _disagrees(member: KnownMember, me: KnownMember) -> bool:
+    return (
+        member.state == ALIVE
+        and member.metadata.get("kind") == me.metadata.get("kind")
+        and member.metadata.get("config") != me.metadata.get("config")
+    )
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -572,7 +572,9 @@
     assert first[2].kind == EXTRAPOLATED  # past the hosts that were measured, by a fit that held its trial
     assert first[2].value == pytest.approx(10 * before[first[0], first[1].what].value, rel=0.05)
     members = next(row for name, row, _ in over if "members that a cluster" in row.what)
-    assert members.ratio.value == pytest.approx(42_000 / cells.constant("membership.core", "MOST_MEMBERS"))
+    assert members.ratio.value == pytest.approx(
+        42_000 / cells.constant("membership.member_table", "MAX_MEMBERS")
+    )
     kinds = 26_000 / cells.constant("base.subsets", "KINDS_MOST")
     assert row(text, "`base.subsets.KINDS_MOST`", 5) == f"**{cells.digits(kinds)} (A)**"
     assert any(row.what.startswith("state: kinds that a view names") for _, row, _ in over)
@@ -589,17 +591,17 @@
 
 def test_the_order_follows_the_target(folder, tmp_path, monkeypatch):
     """Of rows that break the same, the ratio decides; a worse break goes before any ratio."""
-    fixed(monkeypatch, MOST_MEMBERS=2000, MOST_BUDGETS=100, MOST_SOURCES=4096)
+    fixed(monkeypatch, MAX_MEMBERS=2000, MOST_BUDGETS=100, MOST_SOURCES=4096)
     many = other_target(tmp_path / "many.toml", {"tenants": 10_000_000, "budgets": 101})
     _, book = page.page(many, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
-    assert order.index("membership.core.MOST_MEMBERS") < order.index("budgets.terms.MOST_BUDGETS")
+    assert order.index("membership.member_table.MAX_MEMBERS") < order.index("budgets.terms.MOST_BUDGETS")
     assert order.index("budgets.terms.MOST_BUDGETS") < order.index("downstream.admission.MOST_SOURCES")
     ratios = {row.limit.expr: ratio.value for _, row, ratio in page.over_limit(book)}
     assert ratios["downstream.admission.MOST_SOURCES"] > 1000 > ratios["budgets.terms.MOST_BUDGETS"]
     _, book = page.page(TARGET, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
-    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("membership.core.MOST_MEMBERS")
+    assert order.index("budgets.terms.MOST_BUDGETS") < order.index("membership.member_table.MAX_MEMBERS")
 
 
 def test_the_first_of_the_shortfalls_is_told_in_short(folder):
@@ -640,7 +642,7 @@
 
 @pytest.mark.parametrize("most, told", [(4199, "**does not hold**"), (4200, "holds")])
 def test_what_is_just_past_its_limit_does_not_hold(folder, monkeypatch, most, told):
-    fixed(monkeypatch, MOST_MEMBERS=most)
+    fixed(monkeypatch, MAX_MEMBERS=most)
     text, book = page.page(TARGET, folder)
     assert row(text, "members of one cluster", 3) == told
     assert (told == "holds") != any("members that a" in over.what for _, over, _ in page.over_limit(book))
@@ -657,22 +659,22 @@
 
 
 def test_bounds_of_the_code_follow_the_code(folder, monkeypatch):
-    fixed(monkeypatch, MOST_MEMBERS=2000)
+    fixed(monkeypatch, MAX_MEMBERS=2000)
     text, _ = page.page(TARGET, folder)
-    assert row(text, "`membership.core.MOST_MEMBERS`", 5) == "**2.10 (A)**"
+    assert row(text, "`membership.member_table.MAX_MEMBERS`", 5) == "**2.10 (A)**"
     assert "| membership | state: members that a cluster may have | a part" in text
-    fixed(monkeypatch, MOST_MEMBERS=8000)
+    fixed(monkeypatch, MAX_MEMBERS=8000)
     text, _ = page.page(TARGET, folder)
-    assert row(text, "`membership.core.MOST_MEMBERS`", 1) == "8,000 members (C)"
-    assert row(text, "`membership.core.MOST_MEMBERS`", 6) == "within it"
+    assert row(text, "`membership.member_table.MAX_MEMBERS`", 1) == "8,000 members (C)"
+    assert row(text, "`membership.member_table.MAX_MEMBERS`", 6) == "within it"
     assert "membership | state: members that a cluster may have | a part" not in text
 
 
 def test_a_bound_past_which_nothing_breaks_is_no_shortfall(folder, monkeypatch):
-    fixed(monkeypatch, MOST_LOST=64)
+    fixed(monkeypatch, MAX_LOST_ADDRESSES=64)
     text, book = page.page(TARGET, folder)
-    assert row(text, "`membership.core.MOST_LOST`", 5) == "32.8 (A)"
-    assert row(text, "`membership.core.MOST_LOST`", 6) == "nothing"
+    assert row(text, "`membership.member_table.MAX_LOST_ADDRESSES`", 5) == "32.8 (A)"
+    assert row(text, "`membership.member_table.MAX_LOST_ADDRESSES`", 6) == "nothing"
     assert not [row for _, row, _ in page.over_limit(book) if row.breaks == tables.NOTHING]
 
 
@@ -694,11 +696,11 @@
     "control.config_schema.MOST_DEPTH",
     "control.config_schema.MOST_TOLD",
     "control.config_schema.MOST_TEXT",
-    "membership.service.MOST_WORD",
-    "membership.core.MOST_RUMOURS",
-    "membership.core.MOST_BYTES",
-    "membership.core.MOST_META",
-    "membership.core.MOST_ACCUSERS",
+    "membership.service.MAX_CLUSTER_NAME_CHARACTERS",
+    "membership.gossip.MAX_UPDATES_PER_DATAGRAM",
+    "membership.messages.MAX_DATAGRAM_BYTES",
+    "membership.messages.MAX_METADATA_BYTES",
+    "membership.messages.MAX_ACCUSERS",
     "registry.service.MOST_BODY",
     "base.endpoint_list.MOST_VALUE",
     "base.subsets.WORD_MOST",
@@ -713,10 +715,10 @@
     "policy.quota_leases.UNHEARD_MOST",
     "policy.quota_leases.SAMPLE_MOST",
     "policy.endpoints.LOOK_MOST",
-    "membership.core.SUSPECT_MOST",
-    "membership.core.LONGER_MOST",
-    "membership.core.DOUBT_MOST",
-    "membership.core.DEAF_MOST",
+    "membership.local_health.MAX_SUSPICION_FACTOR",
+    "membership.local_health.MAX_HEALTH_SCORE",
+    "membership.messages.MAX_NAME_CHARACTERS",
+    "membership.state_merge.MAX_NOTICES",
     "registry.core.WAIT_MOST",
     "registry.core.TTL_MOST",
     "registry.core.LOOK_MOST",
@@ -749,7 +751,7 @@
                     found |= {
                         f"{module}.{name}"
                         for name in names[1].split(", ")
-                        if name.startswith("MOST_") or name.endswith("_MOST") or name == "WATCHERS"
+                        if name.startswith(("MOST_", "MAX_")) or name.endswith("_MOST") or name == "WATCHERS"
                     }
     listed = {row.limit.expr for row in every_row() if row.limit is not None and row.limit.kind == cells.CODE}
     assert found - listed - NO_BOUND_ON_A_FLEET == set()
--- a/tests/experiments/test_scale_run.py
+++ b/tests/experiments/test_scale_run.py
@@ -27,7 +27,7 @@
 from api_gateway.experiments.scale.demand import RATE
 from api_gateway.experiments.scale.module import Case, Driver
 from api_gateway.experiments.scale.rig import Rig, run_module
-from api_gateway.membership.core import PERIOD
+from api_gateway.membership.failure_detector import PROBE_INTERVAL_S
 from api_gateway.supervisor.fleet import StartFailed
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -264,7 +264,7 @@
 
 def test_a_cluster_at_rest_costs_each_member_probes_acks_and_a_bounded_exchange():
     few, many = swarm.members(8), swarm.members(32)
-    probes = 2 / PERIOD  # a probe and an ack in each period
+    probes = 2 / PROBE_INTERVAL_S  # a probe and an ack in each period
     for told in (few, many):
         assert probes < told["messages_s"] < 1.4 * probes and told["bytes_in_s"] == told["bytes_out_s"]
         assert 0 < told["start_known_s"] <= told["start_rest_s"]
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -28,7 +28,7 @@
 from api_gateway.counter_client import Line as CounterLine
 from api_gateway.discovery.fetcher import Broken, Fetcher, Line
 from api_gateway.gateway.requests import RESERVED, BadRequest, read_request
-from api_gateway.membership.core import read as read_datagram
+from api_gateway.membership.messages import decode_datagram as read_datagram
 from api_gateway.settings_parser import read_settings
 from api_gateway.upstream.pool import Attempt, parse_report, read_reply
 
--- a/tests/membership/test_membership_service.py
+++ b/tests/membership/test_membership_service.py
@@ -54,7 +54,9 @@
                 text = json.loads(json.dumps(one.node.changes.current.content))
                 text["settings"]["plans"][0]["rate"] = 7.0
                 await one.node.changes.apply(json.dumps(text).encode(), 1, None)
-                await until(lambda: two.node.member.swim.members["a"].meta["config"] not in (digest, None))
+                await until(
+                    lambda: two.node.member.swim.members["a"].metadata["config"] not in (digest, None)
+                )
             await until(lambda: two.node.member.swim.members["c"].state == "left")
             assert (await members(one))[0]["c"]["state"] == "left"
             assert await one.ask(command()) == SERVED
@@ -64,18 +66,18 @@
 async def test_seeds_by_name_and_a_buffer_that_overflows(tmp_path, monkeypatch):
     for name in "ab":
         (tmp_path / name).mkdir()
-    monkeypatch.setattr(service, "RESOLVE", 0.05)
+    monkeypatch.setattr(service, "SEED_RESOLUTION_INTERVAL_S", 0.05)
     async with Node(path=tmp_path / "a", more=member("a")) as one:
         more = member("b", port(one))
         more["membership"]["seeds"] = [f"localhost:{port(one)}", "no-such-name.invalid:1"]
         async with Node(path=tmp_path / "b", more=more) as two:
             await until(lambda: len(one.node.member.swim.view()) == 2)
-            two.node.member.swim.seeds = []
-            await until(lambda: two.node.member.swim.seeds == [("127.0.0.1", port(one))])
+            two.node.member.swim.anti_entropy.seeds = []
+            await until(lambda: two.node.member.swim.anti_entropy.seeds == [("127.0.0.1", port(one))])
             with socket.socket(type=socket.SOCK_DGRAM) as sender:
                 for _ in range(5000):  # while this loop reads nothing
                     sender.sendto(b"x" * 1000, ("127.0.0.1", port(two)))
-            assert service.overflows(two.node.member.transport.get_extra_info("socket")) > 0
+            assert service.count_receive_overflows(two.node.member.transport.get_extra_info("socket")) > 0
             await until(lambda: two.node.member.swim.counts["foreign"] > 0)
             assert (await members(two))[1]["overflows"] > 0
 
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -7,8 +7,13 @@
 from api_gateway.experiments.membership.__main__ import Case, cost, detection, falsely, healing, load, pausing
 from api_gateway.experiments.membership.referee import Referee
 from api_gateway.experiments.membership.world import Cluster, play
-from api_gateway.membership import core
-from api_gateway.membership.core import ALIVE, DEAD, LEFT, SUSPECT, Swim
+from api_gateway.membership import failure_detector, gossip, member_table
+from api_gateway.membership.failure_detector import FailureDetector
+from api_gateway.membership.local_health import LocalHealth
+from api_gateway.membership.messages import ALIVE, DEAD, LEFT, SUSPECT
+from api_gateway.membership.rumour_queue import RumourQueue
+from api_gateway.membership.state_merge import StateMerger
+from api_gateway.membership.swim import Swim
 
 
 def settled(size, seed, loss=0.0):
@@ -170,17 +175,20 @@
     c = settled(6, 2)
     old = c.kill("m4")
     new = c.start("m4", 4, max(0, old.me.incarnation - 1))
-    new.me.meta = {"kind": "other"}
+    new.me.metadata = {"kind": "other"}
     c.run(20)
     assert new.me.incarnation > old.me.incarnation
-    assert all(m.members["m4"].meta == {"kind": "other"} for m in c.members.values())
+    assert all(m.members["m4"].metadata == {"kind": "other"} for m in c.members.values())
 
 
 def test_what_is_told_of_a_member_that_is_reached_through_others_only():
     c = settled(6, 3)
     c.cut({("m1", "m2"), ("m2", "m1")})
     c.run(20)
-    assert c.named("m1").members["m2"].through and not c.named("m1").members["m3"].through
+    assert (
+        c.named("m1").members["m2"].is_reached_indirectly
+        and not c.named("m1").members["m3"].is_reached_indirectly
+    )
     version = c.named("m3").version
     c.kill("m5")
     c.run(10)
@@ -237,7 +245,7 @@
 
 
 def test_a_flood_of_joins_is_bounded(monkeypatch):
-    monkeypatch.setattr(core, "MOST_MEMBERS", 50)
+    monkeypatch.setattr(member_table, "MAX_MEMBERS", 50)
     c = settled(3, 1)
     member = c.named("m0")
     for n in range(500):
@@ -263,49 +271,54 @@
 
 
 def no_refutation(monkeypatch):
-    monkeypatch.setattr(Swim, "hear_of_me", lambda self, word: None)
+    monkeypatch.setattr(StateMerger, "refute", lambda self, update: None)
 
 
 def old_words_count(monkeypatch):
-    def hear(self, now, word, whole):
-        if word.name in self.members and word.name != self.name:
-            self.members[word.name].incarnation = word.incarnation
-        plain(self, now, word, whole)
+    def apply(self, now, update, *, is_full_state):
+        if update.name in self._table.members and update.name != self._table.me.name:
+            self._table.members[update.name].incarnation = update.incarnation
+        plain(self, now, update, is_full_state=is_full_state)
 
-    plain = Swim.hear
-    monkeypatch.setattr(Swim, "hear", hear)
+    plain = StateMerger.apply
+    monkeypatch.setattr(StateMerger, "apply", apply)
 
 
 def dead_in_an_exchange_taken_as_it_stands(monkeypatch):
-    monkeypatch.setattr(Swim, "notice", lambda self, member: self.change(self.now, member, DEAD))
+    def notify_of_death(self, member):
+        now = self._health.last_datagram_at  # that of the datagram that is merged
+        self._table.set_state(now, member, DEAD)
+
+    monkeypatch.setattr(StateMerger, "notify_of_death", notify_of_death)
 
 
 def no_doubt_of_oneself(monkeypatch):
-    monkeypatch.setattr(Swim, "deaf", lambda self, now: False)
-    monkeypatch.setattr(Swim, "overslept", lambda self, now: None)
+    monkeypatch.setattr(LocalHealth, "is_isolated", lambda self, now, member_count: False)
+    monkeypatch.setattr(FailureDetector, "has_been_paused", lambda self, now: False)
 
 
 def rumours_without_bound(monkeypatch):
-    monkeypatch.setattr(core.Rumours, "told", lambda self, name, most: None)
+    monkeypatch.setattr(RumourQueue, "record_transmission", lambda self, name, max_transmissions: None)
 
 
 def trusts_one_accuser(monkeypatch):
-    monkeypatch.setattr(core, "SUSPECT_MOST", 0.3)
-    monkeypatch.setattr(core, "SUSPECT_LEAST", 0.3)
+    monkeypatch.setattr(failure_detector, "SUSPICION_SPREAD", 0.3)
+    monkeypatch.setattr(failure_detector, "MIN_SUSPICION_S", 0.3)
 
 
 def news_without_bound(monkeypatch):
-    monkeypatch.setattr(core, "PUSH_EACH", 0.0)
-    monkeypatch.setattr(core, "PUSH", 30)
+    monkeypatch.setattr(gossip, "PUSH_INTERVAL_S", 0.0)
+    monkeypatch.setattr(gossip, "PUSH_TARGETS", 30)
 
 
 def incarnations_that_go_back(monkeypatch):
-    def tell(self, word):
-        plain(self, word)
-        self.me.incarnation = min(self.me.incarnation, 3)
+    def refute(self, update):
+        plain(self, update)
+        me = self._table.me
+        me.incarnation = min(me.incarnation, 3)
 
-    plain = Swim.hear_of_me
-    monkeypatch.setattr(Swim, "hear_of_me", tell)
+    plain = StateMerger.refute
+    monkeypatch.setattr(StateMerger, "refute", refute)
 
 
 def storms():
@@ -342,6 +355,6 @@
     referee.healthy_since = dict.fromkeys(c.by_name, 0.0)
     for name in ("m0", "m1", "m2"):
         member = c.named(name)
-        member.change(c.now, member.members["m4"], DEAD)
+        member.table.set_state(c.now, member.members["m4"], DEAD)
         referee.stepped(member, True)
     assert referee.counts["majority"] == 1 and len(referee.false) == 3
