--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -351,7 +351,7 @@
     Asked(
         "list service: watches that wait, by its default",
         "gateways",
-        "registry.config.WATCHERS",
+        "registry.config.DEFAULT_MAX_WATCHES",
         "watches",
         "a default; the key `watchers` sets another",
     ),
--- a/api_gateway/registry/config.py
+++ b/api_gateway/registry/config.py
@@ -1,106 +1,176 @@
-"""What the list service is told: one JSON file, named by REGISTRY_CONFIG."""
+"""Read the list service's configuration, a JSON file named by REGISTRY_CONFIG, and the file of hosts."""
 
 from __future__ import annotations
 
 import json
 import os
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from api_gateway.base.endpoint_list import Address, read_address
 from api_gateway.base.errors import ConfigError, in_one_line
 from api_gateway.registry.core import STATES, Host
+from api_gateway.registry.errors import InvalidValueError
 from api_gateway.registry.subsets import MOST_VIEWS
 
-KEYS = {"listen", "hosts", "watchers", "learn_ms", "membership", "views"}
+if TYPE_CHECKING:
+    from api_gateway.membership.service import Membership
+
+CONFIG_KEYS = {"listen", "hosts", "watchers", "learn_ms", "membership", "views"}
 LEARN = 10.0  # s after a start in which hosts come back, where there is no file that names them
-WATCHERS = MOST_VIEWS  # watches that wait at once, where the file does not say: one for each view
+LEARNING_LIMIT_MS = 3_600_000  # that `learn_ms` may say: an hour
+DEFAULT_MAX_WATCHES = MOST_VIEWS  # watches that wait at once, where the file does not say: one for each view
+WORD_CHARACTERS = 128  # of an id, an address, a zone or a kind at the most
+CELL_BOUND = 2**31  # cells are below it, and above its negative
+WEIGHT_BOUND = 1e9  # weights are below it
+TIME_BOUND_MS = 2**53  # times are below it: they are exact in any JSON reader
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """What the list service runs by.
+
+    Attributes:
+        listen: Address that it serves at.
+        hosts_path: The operator's file of hosts, if there is one.
+        max_watches: How many watches may wait at once.
+        learning_duration_s: Seconds after a start for which no list is served, since hosts are not back yet.
+        membership: Where this process takes part as a member; None: nowhere.
+        max_views: How many views may be live at once.
+    """
+
     listen: Address
-    hosts: Path | None  # the operator's file
-    watchers: int
-    learn: float  # s after a start for which no list is told: it would lack the hosts that are not back yet
-    membership: Any = None  # a membership.service.Membership: where this process takes part; None: nowhere
-    views: int = MOST_VIEWS  # live at once
+    hosts_path: Path | None
+    max_watches: int
+    learning_duration_s: float
+    membership: Membership | None = None
+    max_views: int = MOST_VIEWS
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
+    """Read the file that REGISTRY_CONFIG names.
+
+    Raises:
+        ConfigError: It cannot be used; the text says why in one line.
+    """
     path = env.get("REGISTRY_CONFIG")
     if not path:
         raise ConfigError("REGISTRY_CONFIG is not set")
     with in_one_line(path), open(path, encoding="utf-8") as file:
-        told = json.load(file)
-        if set(told) - KEYS:
-            raise ValueError(f"no such key: {', '.join(sorted(set(told) - KEYS))}")
-        watchers, views = told.get("watchers", WATCHERS), told.get("views", MOST_VIEWS)
-        for key, value in (("watchers", watchers), ("views", views)):
-            if type(value) is not int or value < 1:
-                raise ValueError(f"{key} is {value!r}, not a whole number of 1 or more")
-        hosts = told.get("hosts")
-        learn = told.get("learn_ms", 0 if hosts else LEARN * 1000)
-        if type(learn) not in (int, float) or not 0 <= learn <= 3_600_000:
-            raise ValueError(f"learn_ms is {learn!r}, not a number from 0 to 3600000")
-        return Config(
-            read_address(told["listen"]),
-            Path(hosts) if hosts else None,
-            watchers,
-            learn / 1000,
-            membership_of(told["membership"]) if "membership" in told else None,
-            views,
-        )
-
-
-def membership_of(told: Any) -> Any:
-    """Imported only where the key is."""
+        return _parse_config(json.load(file))
+
+
+def _parse_config(document: dict[str, Any]) -> Config:
+    unknown = set(document) - CONFIG_KEYS
+    if unknown:
+        names = ", ".join(sorted(unknown))
+        raise InvalidValueError(names, f"no such key: {names}")
+    max_watches = document.get("watchers", DEFAULT_MAX_WATCHES)
+    max_views = document.get("views", MOST_VIEWS)
+    _check_count("watchers", max_watches)
+    _check_count("views", max_views)
+    hosts = document.get("hosts")
+    learn_ms = document.get("learn_ms", 0 if hosts else LEARN * 1000)
+    if type(learn_ms) not in (int, float) or not 0 <= learn_ms <= LEARNING_LIMIT_MS:
+        text = f"learn_ms is {learn_ms!r}, not a number from 0 to {LEARNING_LIMIT_MS}"
+        raise InvalidValueError("learn_ms", text)
+    return Config(
+        read_address(document["listen"]),
+        Path(hosts) if hosts else None,
+        max_watches,
+        learn_ms / 1000,
+        _parse_membership(document["membership"]) if "membership" in document else None,
+        max_views,
+    )
+
+
+def _check_count(key: str, value: object) -> None:
+    if type(value) is not int or value < 1:
+        raise InvalidValueError(key, f"{key} is {value!r}, not a whole number of 1 or more")
+
+
+def _parse_membership(value: Any) -> Membership:
+    """Parse the key `membership`; the package is imported only where the key is."""
     from api_gateway.membership.service import read_membership
 
-    return read_membership(told)
+    return read_membership(value)
 
 
 def read_hosts(path: Path) -> list[Host]:
-    """The operator's file, {"servers": [...]} in the protocol's form, as a whole. Raises ConfigError."""
+    """Read the operator's file, {"servers": [...]} in the protocol's form, completely or not at all.
+
+    Raises:
+        ConfigError: It cannot be used; the text says why in one line.
+    """
     with in_one_line(str(path)), open(path, encoding="utf-8") as file:
         hosts = [read_host(entry) for entry in json.load(file)["servers"]]
         if len({host.id for host in hosts}) < len(hosts):
-            raise ValueError("two hosts have one id")
+            raise InvalidValueError("id", "two hosts have one id")
         return hosts
 
 
-def read_host(told: Any, name: str | None = None) -> Host:
-    """One entry in the protocol's form. Raises ValueError that says what is wrong with which key."""
-    if not isinstance(told, dict):
-        raise ValueError("an entry must be an object")
-    entry = {"id": name, **told} if name else told
-    for key, (kind, fits, allowed) in ENTRY.items():
-        if key in entry and (
-            not isinstance(entry[key], kind) or isinstance(entry[key], bool) or not fits(entry[key])
-        ):
-            raise ValueError(f"{key} is {str(entry[key])[:80]!r}, not {allowed}")
-    if name is not None and entry["id"] != name:
-        raise ValueError(f"id is {entry['id']!r}, and the call names {name!r}")
-    missing = [key for key in ("id", "addr") if key not in entry]
-    if missing:
-        raise ValueError(f"{missing[0]} is missing")
+def read_host(value: Any, expected_id: str | None = None) -> Host:
+    """Check one entry in the protocol's form and return it.
+
+    Args:
+        value: The entry, as JSON has it.
+        expected_id: The id that a call names; the entry may leave it out then.
+
+    Raises:
+        ValueError: The entry cannot be used; the text says what is wrong with which key.
+    """
+    if not isinstance(value, dict):
+        raise InvalidValueError("", "an entry must be an object")
+    entry = {"id": expected_id, **value} if expected_id else value
+    for key, rule in ENTRY_RULES.items():
+        if key in entry and not rule.is_met_by(entry[key]):
+            raise InvalidValueError(key, f"{key} is {str(entry[key])[:80]!r}, not {rule.expected}")
+    if expected_id is not None and entry["id"] != expected_id:
+        raise InvalidValueError("id", f"id is {entry['id']!r}, and the call names {expected_id!r}")
+    for key in ("id", "addr"):
+        if key not in entry:
+            raise InvalidValueError(key, f"{key} is missing")
     read_address(entry["addr"])
-    return Host(**{key: entry[key] for key in ENTRY if key in entry})
+    return Host(**{key: entry[key] for key in ENTRY_RULES if key in entry})
+
+
+@dataclass(frozen=True, slots=True)
+class EntryRule:
+    """What a key of an entry may hold.
+
+    Attributes:
+        types: Types that its values have; a boolean is never a number.
+        is_valid: Further check of a value of these types.
+        expected: What is allowed, for the text of an error.
+    """
+
+    types: tuple[type, ...]
+    is_valid: Callable[[Any], bool]
+    expected: str
+
+    def is_met_by(self, value: object) -> bool:
+        """Tell whether a value is allowed."""
+        return isinstance(value, self.types) and not isinstance(value, bool) and self.is_valid(value)
 
 
 def is_word(text: str) -> bool:
-    return 0 < len(text) <= 128 and text.isprintable() and not set(text) & set(" /?#")
-
-
-ENTRY: dict[str, tuple[Any, Any, str]] = {
-    "id": (str, is_word, "a word of 1 to 128 characters"),
-    "addr": (str, is_word, "HOST:PORT"),
-    "zone": (str, lambda v: len(v) <= 128, "a text of at most 128 characters"),
-    "kind": (str, lambda v: len(v) <= 128, "a text of at most 128 characters"),
-    "cell": (int, lambda v: abs(v) < 2**31, "a whole number"),
-    "state": (str, lambda v: v in STATES[:2], "up or draining"),
-    "weight": (int | float, lambda v: 0 < v < 1e9, "a number above 0"),
-    "started_ms": (int, lambda v: 0 <= v < 2**53, "milliseconds of Unix time"),
+    """Tell whether a text can be an id: printable, with nothing that a path or a query divides at."""
+    return 0 < len(text) <= WORD_CHARACTERS and text.isprintable() and not set(text) & set(" /?#")
+
+
+def _is_short(text: str) -> bool:
+    return len(text) <= WORD_CHARACTERS
+
+
+ENTRY_RULES: dict[str, EntryRule] = {
+    "id": EntryRule((str,), is_word, "a word of 1 to 128 characters"),
+    "addr": EntryRule((str,), is_word, "HOST:PORT"),
+    "zone": EntryRule((str,), _is_short, "a text of at most 128 characters"),
+    "kind": EntryRule((str,), _is_short, "a text of at most 128 characters"),
+    "cell": EntryRule((int,), lambda cell: abs(cell) < CELL_BOUND, "a whole number"),
+    "state": EntryRule((str,), lambda state: state in STATES[:2], "up or draining"),
+    "weight": EntryRule((int, float), lambda weight: 0 < weight < WEIGHT_BOUND, "a number above 0"),
+    "started_ms": EntryRule((int,), lambda time: 0 <= time < TIME_BOUND_MS, "milliseconds of Unix time"),
 }
--- a/api_gateway/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -53,9 +53,9 @@
 
     async def start(self) -> int:
         """Raises ConfigError or OSError. Returns the port."""
-        if self.config.hosts is not None:
-            self.registry.load(self.clock(), read_hosts(self.config.hosts))
-        self.learned_at = self.clock() + self.config.learn
+        if self.config.hosts_path is not None:
+            self.registry.load(self.clock(), read_hosts(self.config.hosts_path))
+        self.learned_at = self.clock() + self.config.learning_duration_s
         self.listener = serve(self.config.listen, self.server, BACKLOG)
         self.turn()
         port = self.listener.sockets[0].getsockname()[1]
@@ -69,11 +69,11 @@
 
     def reload(self) -> None:
         """After SIGHUP: the operator's file as it is now, whole or not at all."""
-        if self.config.hosts is None:
+        if self.config.hosts_path is None:
             log.info("SIGHUP: there is no file of hosts")
             return
         try:
-            hosts = read_hosts(self.config.hosts)
+            hosts = read_hosts(self.config.hosts_path)
         except ConfigError as err:
             log.error("SIGHUP: %s; nothing changes", err)
             return
@@ -145,7 +145,7 @@
         else:
             index = whole("index", query["index"])
             wait = min(whole("wait", query.get("wait", "0")), 2**31) / 1000
-            if len(self.waiting) >= self.config.watchers and wait > 0:
+            if len(self.waiting) >= self.config.max_watches and wait > 0:
                 return refuse(503, "too many watches")
             answer = await self.watch(index, wait, query.get("epoch"), view)
         return web.Response(body=self.encode(answer), content_type="application/json")
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -751,7 +751,7 @@
                     found |= {
                         f"{module}.{name}"
                         for name in names[1].split(", ")
-                        if name.startswith(("MOST_", "MAX_")) or name.endswith("_MOST") or name == "WATCHERS"
+                        if name.startswith(("MOST_", "MAX_", "DEFAULT_MAX_")) or name.endswith("_MOST")
                     }
     listed = {row.limit.expr for row in every_row() if row.limit is not None and row.limit.kind == cells.CODE}
     assert found - listed - NO_BOUND_ON_A_FLEET == set()
--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -322,7 +322,7 @@
 def test_the_fleet_has_room_for_a_watch_of_each_gateway(tmp_path):
     (tmp_path / "registry.json").write_text(json.dumps({"listen": "127.0.0.1:0"}))
     config = read_config({"REGISTRY_CONFIG": str(tmp_path / "registry.json")})
-    assert config.watchers >= config.views > 4200
+    assert config.max_watches >= config.max_views > 4200
 
 
 def start(tmp_path, told, **kw):
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -696,7 +696,7 @@
     path = tmp_path / "registry.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "views": value}))
     if fits:
-        assert read_config({"REGISTRY_CONFIG": str(path)}).views == value
+        assert read_config({"REGISTRY_CONFIG": str(path)}).max_views == value
     else:
         with pytest.raises(Exception, match="views is"):
             read_config({"REGISTRY_CONFIG": str(path)})
