--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -351,14 +351,14 @@
     Asked(
         "list service: watches that wait, by its default",
         "gateways",
-        "registry.config.WATCHERS",
+        "registry.config.DEFAULT_MAX_WATCHES",
         "watches",
         "a default; the key `watchers` sets another",
     ),
     Asked(
         "members of one cluster",
         "gateways",
-        "membership.core.MOST_MEMBERS",
+        "membership.member_table.MAX_MEMBERS",
         "members",
         "a bound; gateways past it serve, unseen by the others",
     ),
@@ -982,7 +982,7 @@
         "",
         "",
         "",
-        "`membership.core.Swim`",
+        "`membership.swim.Swim`",
         "`GET /members`",
     ),
     Event(
@@ -1021,7 +1021,7 @@
         "healed_view_kb_most",
         "at one gateway at most",
         "healed_view_last_s",
-        "`registry.core.Registry.register`, `membership.core.Swim`",
+        "`registry.core.Registry.register`, `membership.swim.Swim`",
         "`GET /members`, `GET /status`",
     ),
 )
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -28,7 +28,7 @@
 from api_gateway.counter_client import CounterConnection as CounterLine
 from api_gateway.discovery.fetcher import BrokenConnectionError, Fetcher, Line
 from api_gateway.gateway.request_parser import ANSWER_RESERVE_S, BadRequestError, parse_request
-from api_gateway.membership.core import read as read_datagram
+from api_gateway.membership.messages import decode_datagram as read_datagram
 from api_gateway.settings_parser import read_settings
 from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.connection import read_reply
