--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -172,7 +172,8 @@
         overdue = [number for number, sent in state.in_flight.items() if now - sent.sent_at >= patience]
         for number in set(overdue) - state.overdue_attempts:
             endpoint_id = state.in_flight[number].endpoint.id
-            self.fleet.ended(endpoint_id, (state.request.request_id, number))  # it holds no other's place
+            # A silent one must not hold another attempt's place.
+            self.fleet.ended(endpoint_id, (state.request.request_id, number))
             self.fleet.health.record(endpoint_id, state.health_keys, True, now)
         state.overdue_attempts.update(overdue)
         check_after = max(2 * TICK, self.fleet.dev[state.service_class.name])
