--- a/api_gateway/control/config_changes.py
+++ b/api_gateway/control/config_changes.py
@@ -35,7 +35,7 @@
     reject_if_stopping,
     source_digest,
 )
-from api_gateway.control.config_schema import CAN_CHANGE, MOST_TOLD
+from api_gateway.control.config_schema import CHANGEABLE_PATHS, MOST_TOLD
 from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.gateway.config import Config, reread_config
 
@@ -43,7 +43,7 @@
     from api_gateway.gateway.node import GatewayNode
 
 # Seconds for all steps of a prepare together.
-PREPARE_WITHIN = 3.0
+PREPARE_TIMEOUT_S = 3.0
 # Seconds past the deadline of a confirmation at which it is checked: the loop's timers may fire early.
 TIMER_MARGIN_S = 0.002
 # Seconds that an operator may ask for to confirm a change.
@@ -189,7 +189,7 @@
             faults = config_candidate.check(tree, {**self.node.config.tree, **self.current.content})
         content: JsonObject = {}
         if not faults:
-            content = {name: tree[name] for name in CAN_CHANGE if name in tree}
+            content = {name: tree[name] for name in CHANGEABLE_PATHS if name in tree}
             try:
                 build_config(self.node.config, content)
             except ConfigError as err:
@@ -304,13 +304,13 @@
         """
         step = ""
         try:
-            async with asyncio.timeout(PREPARE_WITHIN):
+            async with asyncio.timeout(PREPARE_TIMEOUT_S):
                 for step in STEPS:  # noqa: B007
                     await STEPS[step](self, change)
         except ChangeRejectedError:
             raise
         except TimeoutError as err:
-            text = f"{step}: nothing within {PREPARE_WITHIN:.0f} s; nothing changes"
+            text = f"{step}: nothing within {PREPARE_TIMEOUT_S:.0f} s; nothing changes"
             raise ChangeRejectedError(503, text, step=step) from err
         except Exception as err:  # whatever went wrong there, the answer says so
             text = f"{step}: {type(err).__name__} {err}; nothing changes"
--- a/api_gateway/control/config_preparation.py
+++ b/api_gateway/control/config_preparation.py
@@ -18,7 +18,7 @@
     PendingConfirmation,
     content_digest,
 )
-from api_gateway.control.config_schema import CAN_CHANGE
+from api_gateway.control.config_schema import CHANGEABLE_PATHS
 from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.gateway.config import Config, rebuild
 from api_gateway.policy import Gateway
@@ -42,7 +42,7 @@
 
 def source_digest(config: Config) -> str:
     """Return the digest of what the configuration file itself says of the parts that may change."""
-    source = {name: config.tree.get(name) for name in CAN_CHANGE}
+    source = {name: config.tree.get(name) for name in CHANGEABLE_PATHS}
     return content_digest(json.dumps(source, sort_keys=True))
 
 
--- a/api_gateway/control/config_schema.py
+++ b/api_gateway/control/config_schema.py
@@ -250,7 +250,7 @@
 # Keys whose change needs a new process; all of them at the top.
 FIXED_PATHS = frozenset(key.path for key in KEYS if not key.is_changeable)
 # Keys at the top that make the content of a version.
-CAN_CHANGE = ("discovery", "counter", "limits", "settings")
+CHANGEABLE_PATHS = ("discovery", "counter", "limits", "settings")
 
 
 def table() -> str:
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -340,7 +340,7 @@
 
 @on_loop
 async def test_a_prepare_has_a_time_limit(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "PREPARE_WITHIN", 0.5)
+    monkeypatch.setattr(module, "PREPARE_TIMEOUT_S", 0.5)
     async with StubHost() as host, StubDiscovery() as slow, Node(host, path=tmp_path) as node:
         slow.silent, before = True, in_force(node)
         text = await candidate(node, discovery=f"127.0.0.1:{slow.port}")
--- a/tests/control/test_config_schema.py
+++ b/tests/control/test_config_schema.py
@@ -34,7 +34,7 @@
 
 def test_what_is_in_force_is_no_fault_and_makes_a_configuration():
     assert not faults(LAST) and build(LAST, {})
-    few = {name: LAST[name] for name in keys.CAN_CHANGE}  # what cannot change may be left out
+    few = {name: LAST[name] for name in keys.CHANGEABLE_PATHS}  # what cannot change may be left out
     assert not faults(few)
 
 
