--- a/api_gateway/policy/endpoint_table.py
+++ b/api_gateway/policy/endpoint_table.py
@@ -11,7 +11,7 @@
 import itertools
 import math
 import random
-from typing import TypeVar
+from typing import TypeAlias, TypeVar
 
 from api_gateway import interface as api
 from api_gateway.policy.customer_accounts import stable_hash
@@ -32,6 +32,9 @@
 
 Sampled = TypeVar("Sampled")
 
+# Request and number of an attempt. A plain tuple, since each attempt makes one.
+AttemptKey: TypeAlias = tuple[str, int]
+
 
 class Server:
     """What this gateway knows of one incarnation of an endpoint. Times are seconds of the module's clock."""
@@ -48,7 +51,7 @@
         self.host = host
         self.is_listed_up = host.state == "up"
         # Attempts in flight from this gateway, by request and attempt number: when each was sent.
-        self.in_flight: dict[tuple[str, int], float] = {}
+        self.in_flight: dict[AttemptKey, float] = {}
         self.started_at = started_at
         # Requests of other gateways at the endpoint, by its last load report, and when that came.
         self.load_of_others = 0.0
--- a/api_gateway/policy/endpoints.py
+++ b/api_gateway/policy/endpoints.py
@@ -14,7 +14,7 @@
 from api_gateway.policy.endpoint_load import LoadEstimates, ServingCapacity
 from api_gateway.policy.endpoint_selection import EndpointSelector
 from api_gateway.policy.endpoint_subset import EndpointSubset
-from api_gateway.policy.endpoint_table import EndpointTable, Server
+from api_gateway.policy.endpoint_table import AttemptKey, EndpointTable, Server
 from api_gateway.policy.outlier_detection import HealthEstimator
 
 # Attempts in flight at one endpoint, over all gateways.
@@ -221,13 +221,13 @@
             return None
         return self.selector.choose(now, keys, candidates)
 
-    def sent(self, endpoint: Server, key: tuple[str, int], now: float) -> None:
+    def sent(self, endpoint: Server, key: AttemptKey, now: float) -> None:
         """Note an attempt as in flight at an endpoint; `key` is its request and number."""
         endpoint.in_flight[key] = now
         endpoint.send_credit -= 1.0
         self.load.record_send(now)
 
-    def ended(self, endpoint_id: str, key: tuple[str, int]) -> None:
+    def ended(self, endpoint_id: str, key: AttemptKey) -> None:
         """Note that an attempt is no longer in flight; nothing happens if it wasn't."""
         endpoint = self.table.endpoints.get(endpoint_id)
         if endpoint is not None and endpoint.in_flight.pop(key, None) is not None:
