--- a/api_gateway/policy/endpoints.py
+++ b/api_gateway/policy/endpoints.py
@@ -63,6 +63,7 @@
         self.subset = EndpointSubset(self.table, self.health)
         self.selector = EndpointSelector(self.table, self.load, self.subset, self.health, rng)
         self._capacity_at = -math.inf
+        self._in_flight_slack = 1.0
         self.retune(settings)
 
     @property
@@ -123,9 +124,12 @@
         self.load.retune(settings)
 
     def update_limits(self) -> None:
-        """Work out which part of the limit on attempts in flight at an endpoint is this gateway's."""
+        """Work out which part of the limits on attempts in flight is this gateway's."""
         self.table.update_gateway_count()
-        self.selector.in_flight_limit = max(1.0, LIMIT_MOST / self.table.gateway_count)
+        gateways = self.table.gateway_count
+        self.selector.in_flight_limit = max(1.0, LIMIT_MOST / gateways)
+        crowding = min(1.0, math.sqrt(IN_FLIGHT_SLACK_GATEWAYS / gateways))
+        self._in_flight_slack = 1.0 + (IN_FLIGHT_SLACK - 1.0) * crowding
 
     def listed(self, now: float, event: api.EndpointList) -> None:
         """Take a list of endpoints or a change of it."""
@@ -185,9 +189,7 @@
         if now - self._capacity_at > CAPACITY_INTERVAL_S:
             self._capacity_at = now
             self._update_subset(now, keys)
-        gateways = self.table.gateway_count
-        slack = 1.0 + (IN_FLIGHT_SLACK - 1.0) * min(1.0, math.sqrt(IN_FLIGHT_SLACK_GATEWAYS / gateways))
-        limit = slack * LIMIT_MOST * self.capacity.full_endpoints / gateways
+        limit = self._in_flight_slack * LIMIT_MOST * self.capacity.full_endpoints / self.table.gateway_count
         return self.load.in_flight >= max(2.0, limit)
 
     def _update_subset(self, now: float, keys: tuple[str, ...]) -> None:
