--- a/api_gateway/gateway/discovery_setup.py
+++ b/api_gateway/gateway/discovery_setup.py
@@ -43,42 +43,54 @@
         on_list: Gets each list.
         on_poll_failed: Called after each poll that failed.
     """
-    settings = config.settings
-    known = config.initial_list.hosts
-    # Where lists are pushed, a poll costs nothing; else what is known need not be sent again.
-    has_version = known.endpoints and settings.discovery_mode == "ask"
-    version = known.version if has_version else None
-    subset = _subset(config)
-    if not config.has_replicas:
-        client = Discovery(
-            config.discovery,
-            version,
-            on_list,
-            on_poll_failed,
-            settings.gateway_count,
-            config.seed,
-            agent_drain_grace(config),
-            subset,
-        )
-        return DiscoverySetup(client, config.initial_list)
+    if config.has_replicas:
+        return _build_replicas(config, clock, on_list, on_poll_failed)
+    client = Discovery(
+        config.discovery,
+        _known_version(config),
+        on_list,
+        on_poll_failed,
+        config.settings.gateway_count,
+        config.seed,
+        agent_drain_grace(config),
+        _subset(config),
+    )
+    return DiscoverySetup(client, config.initial_list)
 
+
+def _build_replicas(
+    config: Config,
+    clock: Callable[[], float],
+    on_list: Callable[[Listing], None],
+    on_poll_failed: Callable[[], None],
+) -> DiscoverySetup:
     from api_gateway.discovery.replicas import Replicas
 
-    replicas = Replicas(
+    client = Replicas(
         config.discovery,
         config.other_replicas,
         config.shared_folder if config.saves_list else None,
         config.name,
-        version,
+        _known_version(config),
         on_list,
         on_poll_failed,
-        settings.gateway_count,
+        config.settings.gateway_count,
         config.seed,
         None,
-        subset,
+        _subset(config),
     )
-    replicas.clock = clock
-    return DiscoverySetup(replicas, replicas.recall() or config.initial_list)
+    client.clock = clock
+    return DiscoverySetup(client, client.recall() or config.initial_list)
+
+
+def _known_version(config: Config) -> int | None:
+    """Return the version of the list that need not be sent again; None where a complete one is wanted.
+
+    Where lists are pushed a poll costs nothing, so a complete one it is.
+    """
+    known = config.initial_list.hosts
+    has_version = known.endpoints and config.settings.discovery_mode == "ask"
+    return known.version if has_version else None
 
 
 def _subset(config: Config) -> Viewing | None:
