--- a/api_gateway/downstream/admission.py
+++ b/api_gateway/downstream/admission.py
@@ -13,7 +13,6 @@
 from contextlib import suppress
 from functools import partial
 from time import monotonic
-from typing import Any
 
 from api_gateway.base.accepting import CONNECTION_ERRORS, SHORTAGE_ERRORS
 from api_gateway.downstream.admission_settings import AdmissionSettings
@@ -133,13 +132,13 @@
             on_closed()
             sock.close()
 
-    def status(self) -> dict[str, Any]:
+    def status(self) -> dict[str, int | list[int]]:
         """Return the JSON of the status: connections by what became of them, the backlog and fair queueing.
 
         `windows` are the smallest and the largest number of commands that a connection may have in flight.
         """
         waiting, capacity = backlog_usage(self.sockets[0])
-        status: dict[str, Any] = {
+        status: dict[str, int | list[int]] = {
             **self.limiter.counts,
             "backlog": waiting,
             "backlog_most": capacity,
--- a/api_gateway/downstream/admission_settings.py
+++ b/api_gateway/downstream/admission_settings.py
@@ -55,7 +55,7 @@
 
 
 def read_edge(raw: Any) -> AdmissionSettings:
-    """Parse the value of the key `edge`, any JSON.
+    """Parse the value of the key `edge`, which may be any JSON.
 
     Raises:
         ValueError: If it is malformed; names the key, its value and what is allowed.
