--- a/api_gateway/discovery/subset_config.py
+++ b/api_gateway/discovery/subset_config.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from api_gateway.base.subsets import SIZE_MOST, View
+from api_gateway.base.subsets import MAX_SUBSET_SIZE, View
 
 DEFAULT_GROWTH_FACTOR = 8  # times its size to which a subset grows at most, where `most` is not given
 
@@ -21,8 +21,8 @@
 
 def read_size(name: str, value: object) -> int:
     """Return a size. Raises ValueError that names the key and what is allowed."""
-    if type(value) is not int or not 1 <= value <= SIZE_MOST:
-        raise ValueError(f"view.{name} is {value!r}, not a whole number from 1 to {SIZE_MOST}")
+    if type(value) is not int or not 1 <= value <= MAX_SUBSET_SIZE:
+        raise ValueError(f"view.{name} is {value!r}, not a whole number from 1 to {MAX_SUBSET_SIZE}")
     return value
 
 
@@ -36,7 +36,7 @@
         raise ValueError("view may hold size, kinds and most")
     size = read_size("size", document.get("size"))
     kinds = document.get("kinds", [])
-    max_size = read_size("most", document.get("most", min(SIZE_MOST, DEFAULT_GROWTH_FACTOR * size)))
+    max_size = read_size("most", document.get("most", min(MAX_SUBSET_SIZE, DEFAULT_GROWTH_FACTOR * size)))
     if max_size < size:
         raise ValueError(f"view.most is {max_size}, less than view.size, {size}")
     if not isinstance(kinds, list) or not all(isinstance(kind, str) and kind for kind in kinds):
--- a/api_gateway/experiments/scale/arithmetic.py
+++ b/api_gateway/experiments/scale/arithmetic.py
@@ -339,7 +339,7 @@
 def kinds(book: Book) -> None:
     """A gateway that uses all services and whose view names the kind of each."""
     of, name = book.of, book.name
-    name("hosts_of_all_kinds", of("services") * book.code("base.subsets", "LEAST"), "hosts")
+    name("hosts_of_all_kinds", of("services") * book.code("base.subsets", "MIN_GROUP_SIZE"), "hosts")
     name(
         "rss_mb_of_all_kinds",
         book.measured("rss_mb", "gateway", "hosts", book["hosts_of_all_kinds"], WHOLE, NOW, name=PROCESS),
--- a/tests/base/test_subsets.py
+++ b/tests/base/test_subsets.py
@@ -10,7 +10,7 @@
 import pytest
 
 from api_gateway.base import subsets as module
-from api_gateway.base.subsets import LEAST, Rings, View, place_of, read_view
+from api_gateway.base.subsets import MIN_GROUP_SIZE, Rings, View, place_of, read_view
 from api_gateway.policy.customer_accounts import stable_hash
 
 ZONES = "abcdef"
@@ -259,7 +259,7 @@
     assert kinds == {"big": 8, "single": 1, "middle": 8}
     assert rings.total(View(5, 30, "a", ("single", "middle", "none"))) == 9
     kinds = Counter(rings.known[n].kind for n in rings.members(View(5, 4, "a", ("big", "middle"))))
-    assert kinds == {"big": LEAST, "middle": LEAST}
+    assert kinds == {"big": MIN_GROUP_SIZE, "middle": MIN_GROUP_SIZE}
     assert rings.members(View(5, 30, "a", ("none",))) == set()
     rings.drop("alone")
     assert rings.members(View(5, 30, "a", ("single",))) == set() and "single" not in rings.groups
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -573,8 +573,8 @@
     assert first[2].value == pytest.approx(10 * before[first[0], first[1].what].value, rel=0.05)
     members = next(row for name, row, _ in over if "members that a cluster" in row.what)
     assert members.ratio.value == pytest.approx(42_000 / cells.constant("membership.core", "MOST_MEMBERS"))
-    kinds = 26_000 / cells.constant("base.subsets", "KINDS_MOST")
-    assert row(text, "`base.subsets.KINDS_MOST`", 5) == f"**{cells.digits(kinds)} (A)**"
+    kinds = 26_000 / cells.constant("base.subsets", "MAX_KINDS")
+    assert row(text, "`base.subsets.MAX_KINDS`", 5) == f"**{cells.digits(kinds)} (A)**"
     assert any(row.what.startswith("state: kinds that a view names") for _, row, _ in over)
     assert page.untraced(text, book) == []
 
@@ -701,7 +701,8 @@
     "membership.core.MOST_ACCUSERS",
     "registry.service.MOST_BODY",
     "base.entry_stream.MAX_VALUE_CHARS",
-    "base.subsets.WORD_MOST",
+    "base.subsets.MAX_NAME_CHARS",
+    "base.subsets.MAX_NUMBER_DIGITS",
     "control.config_changes.MOST_VERSIONS",
     "counter_client.BACKOFF_MOST",
     "discovery.polling.MAX_GRACE_S",
