--- a/api_gateway/base/calls.py
+++ b/api_gateway/base/calls.py
@@ -1,4 +1,4 @@
-"""Reading and answering calls with aiohttp's server, within bounds of bytes and of time."""
+"""Reads and answers HTTP calls with aiohttp's server, within bounds of bytes and of time."""
 
 from __future__ import annotations
 
@@ -9,23 +9,30 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-async def read_body(request: web.BaseRequest, most: int, within: float) -> bytes:
-    """All of it, or just so much that it is known to be larger than `most`. Raises TimeoutError where it does
-    not come within so many seconds."""
+async def read_body(request: web.BaseRequest, max_bytes: int, timeout_s: float) -> bytes:
+    """Return the body of a request, or just so much that it is known to be larger than the bound.
+
+    Args:
+        request: The call.
+        max_bytes: The bound.
+        timeout_s: Time limit in seconds.
+
+    Raises:
+        TimeoutError: The body does not come within the time limit.
+    """
     if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
         request.transport.write(CONTINUE)
-    read = bytearray()
-    async with asyncio.timeout(within):
-        while len(read) <= most and (piece := await request.content.readany()):
-            read += piece
-    return bytes(read)
+    body = bytearray()
+    async with asyncio.timeout(timeout_s):
+        while len(body) <= max_bytes and (piece := await request.content.readany()):
+            body += piece
+    return bytes(body)
 
 
-async def hand_out(request: web.BaseRequest, answer: web.Response, within: float) -> None:
-    """Writes an answer; a caller that does not take it in that time is given up, one that has gone is
-    left."""
+async def hand_out(request: web.BaseRequest, answer: web.Response, timeout_s: float) -> None:
+    """Write an answer; a caller that does not take it within `timeout_s` seconds is cut off."""
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             await answer.prepare(request)
             await answer.write_eof()
     except ConnectionError:
--- a/api_gateway/base/errors.py
+++ b/api_gateway/base/errors.py
@@ -1,4 +1,4 @@
-"""Configurations that cannot be used, told in one line."""
+"""The error of a configuration that cannot be used."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 @contextmanager
 def in_one_line(path: str) -> Iterator[None]:
-    """Whatever is wrong with the file becomes a ConfigError."""
+    """Turn whatever is wrong with a file into a ConfigError of one line.
+
+    Args:
+        path: Of the file, which begins the line.
+    """
     try:
         yield
     except KeyError as err:
