--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -284,7 +284,7 @@
         fresh = weakref.ref(Cycle())
         gc.collect()
         assert fresh() is None and all(ref() for ref in seen)
-        now = serving.LOOK_AGAIN
+        now = serving.FULL_COLLECTION_INTERVAL_S
         gc.collect()
         assert not any(ref() for ref in seen)
         gc.collect()
