--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -575,8 +575,8 @@
     assert members.ratio.value == pytest.approx(
         42_000 / cells.constant("membership.member_table", "MAX_MEMBERS")
     )
-    kinds = 26_000 / cells.constant("base.subsets", "KINDS_MOST")
-    assert row(text, "`base.subsets.KINDS_MOST`", 5) == f"**{cells.digits(kinds)} (A)**"
+    kinds = 26_000 / cells.constant("base.subsets", "MAX_KINDS")
+    assert row(text, "`base.subsets.MAX_KINDS`", 5) == f"**{cells.digits(kinds)} (A)**"
     assert any(row.what.startswith("state: kinds that a view names") for _, row, _ in over)
     assert page.untraced(text, book) == []
 
@@ -704,7 +704,8 @@
     "membership.messages.MAX_ACCUSERS",
     "registry.service.MOST_BODY",
     "base.entry_stream.MAX_VALUE_CHARS",
-    "base.subsets.WORD_MOST",
+    "base.subsets.MAX_NAME_CHARS",
+    "base.subsets.MAX_NUMBER_DIGITS",
     "control.config_changes.MOST_VERSIONS",
     "counter_client.MAX_BACKOFF_S",
     "discovery.polling.MAX_GRACE_S",
