--- a/api_gateway/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -1,14 +1,13 @@
-"""The list service on its socket: HTTP in, the core's answers out. Nothing here decides."""
+"""The list service on its socket: HTTP in, answers of the registry out. Nothing here decides."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
-import math
-from collections.abc import Callable, Iterable
+from collections import Counter
+from collections.abc import Callable
 from time import monotonic
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from aiohttp import web
 
@@ -17,48 +16,78 @@
 from api_gateway.base.endpoint_list import write_address
 from api_gateway.base.errors import ConfigError
 from api_gateway.base.subsets import View, read_view
-from api_gateway.registry.config import Config, read_host, read_hosts
-from api_gateway.registry.core import TTL_LEAST, TTL_MOST, Answer, Host, Registry, Stale
+from api_gateway.registry.answer_encoding import AnswerEncoder
+from api_gateway.registry.config import Config, read_hosts
+from api_gateway.registry.core import Answer, Registry, Stale
+from api_gateway.registry.errors import InvalidValueError
+from api_gateway.registry.registration import read_registration, read_whole_number
 from api_gateway.registry.subsets import TooMany
 
-LIST = "/v1/endpoints"
-HOSTS = "/v1/hosts/"
-TAKEN_WITHIN = 10.0  # s after which a caller that does not take its answer is given up
-MOST_BODY = 16 * 1024  # bytes of a registration
-BODY_WITHIN = 2.0  # s for it to come
-RETRY_AFTER = "5"  # s, for a watch that finds no place
-BACKLOG = 1024
-MOST_QUERY = 64 * 1024  # bytes of a call's first line: a view may name many kinds
-ENCODED_MOST = 32 * 1024 * 1024  # bytes of answers of one version that are kept; the last one in any case
-FIELDS = tuple(Host.__dataclass_fields__)
+if TYPE_CHECKING:
+    from api_gateway.membership.service import Member
+
+LIST_PATH = "/v1/endpoints"
+HOSTS_PATH = "/v1/hosts/"
+LIST_QUERY_KEYS = {"index", "wait", "epoch", "view", "kinds"}
+ANSWER_TIMEOUT_S = 10.0  # after which a caller that does not take its answer is given up
+BODY_TIMEOUT_S = 2.0  # for a registration to come
+MAX_REGISTRATION_BYTES = 16 * 1024  # of its body
+MAX_REQUEST_LINE_BYTES = 64 * 1024  # of a call: a view may name many kinds
+WAIT_LIMIT_MS = 2**31  # that a watch may ask to wait; the registry's own limit is far below
+RETRY_AFTER = "5"  # s, for a call that finds no place
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+SHUTDOWN_TIMEOUT_S = 0.5  # for calls that are in work at the end
+TIMER_MARGIN_S = 0.001  # by which a timer is set later, so that it is not early by rounding
 
 log = logging.getLogger(__name__)
 
 
 class Service:
+    """Serves the list, watches and registrations.
+
+    Attributes:
+        config: What it runs by.
+        registry: The list; this service is the only one that changes it.
+        clock: Seconds that only go forward.
+        server: aiohttp's part of it.
+        encoder: Encoded answers.
+        waiting: Watches that wait, by key.
+        learned_at: When the first list may be served, by `clock`.
+        member: This process as a member of a cluster, where it takes part.
+    """
+
     def __init__(self, config: Config, registry: Registry, clock: Callable[[], float] = monotonic) -> None:
-        self.config, self.registry, self.clock = config, registry, clock
+        """Prepare the service; `start` opens its socket."""
+        self.config = config
+        self.registry = registry
+        self.clock = clock
         self.server = web.Server(
-            self.call, access_log=None, handler_cancellation=True, max_line_size=MOST_QUERY
+            self._handle, access_log=None, handler_cancellation=True, max_line_size=MAX_REQUEST_LINE_BYTES
         )
-        self.listener: AcceptingServer | None = None
+        self.encoder = AnswerEncoder(registry)
         self.waiting: dict[object, asyncio.Future[Answer]] = {}
-        self.encoded: dict[tuple[object, ...], bytes] = {}  # of the version that is told now
-        self.encoded_at, self.encoded_size = -1, 0  # that version, and bytes
-        self.texts: dict[str, tuple[Host, bytes]] = {}  # hosts as they were last told, by id
-        self.timer: asyncio.TimerHandle | None = None
-        self.guarded = 0
-        self.learned_at = 0.0  # before that no list is told
-        self.member: Any = None  # a membership.service.Member, where this process takes part
+        self.learned_at = 0.0
+        self.member: Member | None = None
+        self._listener: AcceptingServer | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._is_self_preserving = False
 
     async def start(self) -> int:
-        """Raises ConfigError or OSError. Returns the port."""
+        """Read the operator's file and open the socket.
+
+        Returns:
+            The port that it serves at.
+
+        Raises:
+            ConfigError: The operator's file cannot be used.
+            OSError: An address cannot be bound.
+        """
         if self.config.hosts_path is not None:
             self.registry.load(self.clock(), read_hosts(self.config.hosts_path))
         self.learned_at = self.clock() + self.config.learning_duration_s
-        self.listener = serve(self.config.listen, self.server, BACKLOG)
-        self.turn()
-        port = self.listener.sockets[0].getsockname()[1]
+        self._listener = serve(self.config.listen, self.server, LISTEN_BACKLOG)
+        self._run_due()
+        port: int = self._listener.sockets[0].getsockname()[1]
         if self.config.membership:
             from api_gateway.membership.service import Member
 
@@ -68,219 +97,176 @@
         return port
 
     def reload(self) -> None:
-        """After SIGHUP: the operator's file as it is now, whole or not at all."""
+        """Load the operator's file again, completely or not at all; SIGHUP asks for it."""
         if self.config.hosts_path is None:
             log.info("SIGHUP: there is no file of hosts")
             return
         try:
             hosts = read_hosts(self.config.hosts_path)
-        except ConfigError as err:
-            log.error("SIGHUP: %s; nothing changes", err)
+        except ConfigError as error:
+            log.error("SIGHUP: %s; nothing changes", error)
             return
         self.registry.load(self.clock(), hosts)
         log.info("SIGHUP: %d hosts in the file, version %d", len(hosts), self.registry.version)
-        self.turn()
+        self._run_due()
+
+    def encode(self, answer: Answer) -> bytes:
+        """Return the body of an answer of the registry."""
+        return self.encoder.encode(answer)
+
+    async def close(self) -> None:
+        """Stop serving, and leave the cluster."""
+        if self._timer is not None:
+            self._timer.cancel()
+        if self.member is not None:
+            self.member.close()
+        if self._listener is not None:
+            self._listener.close()
+        await self.server.shutdown(SHUTDOWN_TIMEOUT_S)
 
-    def turn(self) -> None:
-        """Hands out what the core has for those that wait, and comes back when more is due."""
+    def _run_due(self) -> None:
+        """Give watches what the registry has for them, and come back when more is due."""
         for answer in self.registry.tick(self.clock()):
             waiter = self.waiting.pop(answer.key, None)
             if waiter is not None and not waiter.done():
                 waiter.set_result(answer)
-        held = len(self.registry.held)
-        if bool(held) != bool(self.guarded):
-            log.warning(
-                "self-preservation %s: %d hosts have lapsed and stay listed",
-                "begins" if held else "ends",
-                held,
-            )
-        self.guarded = held
-        if self.timer is not None:
-            self.timer.cancel()
-        delay = max(0.0, self.registry.due() - self.clock())
-        self.timer = asyncio.get_running_loop().call_later(delay + 0.001, self.turn)
-
-    async def call(self, request: web.BaseRequest) -> web.Response:
-        answer = await self.answer(request)
-        await hand_out(request, answer, TAKEN_WITHIN)
-        return answer
-
-    async def answer(self, request: web.BaseRequest) -> web.Response:
+        self._log_self_preservation()
+        if self._timer is not None:
+            self._timer.cancel()
+        delay_s = max(0.0, self.registry.due() - self.clock())
+        self._timer = asyncio.get_running_loop().call_later(delay_s + TIMER_MARGIN_S, self._run_due)
+
+    def _log_self_preservation(self) -> None:
+        host_count = len(self.registry.held)
+        if bool(host_count) == self._is_self_preserving:
+            return
+        self._is_self_preserving = bool(host_count)
+        change = "begins" if host_count else "ends"
+        log.warning("self-preservation %s: %d hosts have lapsed and stay listed", change, host_count)
+
+    # Calls
+
+    async def _handle(self, request: web.BaseRequest) -> web.Response:
+        response = await self._respond(request)
+        await hand_out(request, response, ANSWER_TIMEOUT_S)
+        return response
+
+    async def _respond(self, request: web.BaseRequest) -> web.Response:
+        """Return the answer to a call; errors become answers here."""
         try:
-            if request.path == LIST and request.method == "GET":
-                return await self.listed(request)
-            if request.path == "/status" and request.method == "GET":
-                return web.json_response(self.status())
-            if request.path == "/members" and request.method == "GET" and self.member is not None:
-                return web.json_response(self.member.told())
-            if request.path.startswith(HOSTS):
-                return await self.told(request)
-        except ValueError as err:
-            return refuse(400, str(err))
-        except Stale as err:
-            return refuse(409, str(err))
-        except TooMany as err:
-            return refuse(503, str(err))
+            return await self._dispatch(request)
+        except ValueError as error:
+            return error_response(400, str(error))
+        except Stale as error:
+            return error_response(409, str(error))
+        except TooMany as error:
+            return error_response(503, str(error))
         except TimeoutError:
-            return refuse(408, f"no whole body within {BODY_WITHIN:.0f} s")
-        return refuse(404, "no such call")
-
-    # The list
+            return error_response(408, f"no whole body within {BODY_TIMEOUT_S:.0f} s")
+
+    async def _dispatch(self, request: web.BaseRequest) -> web.Response:
+        if request.path == LIST_PATH and request.method == "GET":
+            return await self.listed(request)
+        if request.path == "/status" and request.method == "GET":
+            return web.json_response(self.status())
+        if request.path == "/members" and request.method == "GET" and self.member is not None:
+            return web.json_response(self.member.told())
+        if request.path.startswith(HOSTS_PATH):
+            return await self._handle_host_call(request)
+        return error_response(404, "no such call")
 
     async def listed(self, request: web.BaseRequest) -> web.Response:
+        """Answer a call for the list or a view, at once or when there is something newer."""
         query = request.query
-        if set(query) - {"index", "wait", "epoch", "view", "kinds"}:
-            raise ValueError("the query may hold index, wait, epoch, view and kinds")
+        if set(query) - LIST_QUERY_KEYS:
+            raise InvalidValueError("", "the query may hold index, wait, epoch, view and kinds")
         if "kinds" in query and "view" not in query:
-            raise ValueError("kinds are those of a view, and the query holds none")
+            raise InvalidValueError("kinds", "kinds are those of a view, and the query holds none")
         view = read_view(query["view"], query.get("kinds")) if "view" in query else None
         if self.clock() < self.learned_at:
-            return refuse(503, "hosts are still coming back after the start")
+            return error_response(503, "hosts are still coming back after the start")
         if "index" not in query:
-            answer = (
-                self.registry.answer(None, None)
-                if view is None
-                else self.registry.view(self.clock(), None, view)
-            )
+            answer = self._complete_answer(view)
         else:
-            index = whole("index", query["index"])
-            wait = min(whole("wait", query.get("wait", "0")), 2**31) / 1000
-            if len(self.waiting) >= self.config.max_watches and wait > 0:
-                return refuse(503, "too many watches")
-            answer = await self.watch(index, wait, query.get("epoch"), view)
+            index = read_whole_number("index", query["index"])
+            wait_s = min(read_whole_number("wait", query.get("wait", "0")), WAIT_LIMIT_MS) / 1000
+            if len(self.waiting) >= self.config.max_watches and wait_s > 0:
+                return error_response(503, "too many watches")
+            answer = await self._watch(index, wait_s, query.get("epoch"), view)
         return web.Response(body=self.encode(answer), content_type="application/json")
 
-    async def watch(self, index: int, wait: float, epoch: str | None, view: View | None) -> Answer:
+    def _complete_answer(self, view: View | None) -> Answer:
+        if view is None:
+            return self.registry.answer(None, None)
+        return self.registry.view(self.clock(), None, view)
+
+    async def _watch(self, index: int, wait_s: float, epoch: str | None, view: View | None) -> Answer:
         key = object()
-        answer = (
-            self.registry.watch(self.clock(), key, index, wait, epoch)
-            if view is None
-            else self.registry.watch_view(self.clock(), key, view, index, wait, epoch)
-        )
+        if view is None:
+            answer = self.registry.watch(self.clock(), key, index, wait_s, epoch)
+        else:
+            answer = self.registry.watch_view(self.clock(), key, view, index, wait_s, epoch)
         if answer is not None:
             return answer
-        waiter = self.waiting[key] = asyncio.get_running_loop().create_future()
-        self.turn()
+        waiter: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        self.waiting[key] = waiter
+        self._run_due()
         try:
             return await waiter
         finally:  # also where the watcher has gone
             self.waiting.pop(key, None)
             self.registry.forget(key)
 
-    def encode(self, answer: Answer) -> bytes:
-        """Many watches get the same answer, which is made once."""
-        if self.encoded_at != answer.version:
-            self.encoded.clear()
-            self.encoded_at, self.encoded_size = answer.version, 0
-        at = (answer.index, answer.version) + (() if answer.view is None else (answer.view,))
-        if at not in self.encoded:
-            head = {"version": answer.version, "full": answer.index is None, "epoch": self.registry.epoch}
-            if answer.view is not None:
-                head |= {"view": True, "total": answer.total}
-            servers = b", ".join([self.text(host) for host in answer.hosts])
-            text = self.encoded[at] = b'%s, "servers": [%s]}' % (json.dumps(head).encode()[:-1], servers)
-            self.encoded_size += len(text)
-            while self.encoded_size > ENCODED_MOST and len(self.encoded) > 1:
-                self.encoded_size -= len(self.encoded.pop(next(iter(self.encoded))))
-        return self.encoded[at]
-
-    def text(self, host: Host) -> bytes:
-        """Made once for each of its changes, however many answers it is in."""
-        known = self.texts.get(host.id)
-        if known is None or known[0] is not host:
-            if len(self.texts) > 2 * len(self.registry.entries) + 1000:
-                self.texts.clear()
-            known = host, json.dumps({name: getattr(host, name) for name in FIELDS}).encode()
-            if host.state != "removed":
-                self.texts[host.id] = known
-        return known[1]
-
-    # Hosts that register themselves
-
-    async def told(self, request: web.BaseRequest) -> web.Response:
-        name, _, act = request.path[len(HOSTS) :].partition("/")
-        now, registry = self.clock(), self.registry
-        if request.method == "PUT" and not act:
-            body = await read_body(request, MOST_BODY, BODY_WITHIN)
-            if len(body) > MOST_BODY:
-                return refuse(413, f"a registration takes {MOST_BODY} bytes at most")
-            host, incarnation, ttl = read_registration(name, body)
-            registry.register(self.clock(), host, incarnation, ttl)
-        elif request.method == "POST" and act == "renew":
-            registry.renew(now, name, incarnation_of(request))
-        elif request.method == "POST" and act == "drain":
-            registry.drain(now, name, incarnation_of(request))
-        elif request.method == "DELETE" and not act:
-            registry.deregister(now, name, incarnation_of(request))
+    async def _handle_host_call(self, request: web.BaseRequest) -> web.Response:
+        """Register, renew, drain or remove the host that a call names."""
+        host_id, _, action = request.path[len(HOSTS_PATH) :].partition("/")
+        now = self.clock()
+        if request.method == "PUT" and not action:
+            body = await read_body(request, MAX_REGISTRATION_BYTES, BODY_TIMEOUT_S)
+            if len(body) > MAX_REGISTRATION_BYTES:
+                return error_response(413, f"a registration takes {MAX_REGISTRATION_BYTES} bytes at most")
+            registration = read_registration(host_id, body)
+            self.registry.register(
+                self.clock(), registration.host, registration.incarnation, registration.ttl_s
+            )
+        elif request.method == "POST" and action == "renew":
+            self.registry.renew(now, host_id, read_incarnation(request))
+        elif request.method == "POST" and action == "drain":
+            self.registry.drain(now, host_id, read_incarnation(request))
+        elif request.method == "DELETE" and not action:
+            self.registry.deregister(now, host_id, read_incarnation(request))
         else:
-            return refuse(405, "PUT or DELETE a host, or POST its renew or drain")
-        self.turn()
-        return web.json_response({"version": registry.version, "epoch": registry.epoch})
+            return error_response(405, "PUT or DELETE a host, or POST its renew or drain")
+        self._run_due()
+        return web.json_response({"version": self.registry.version, "epoch": self.registry.epoch})
 
     def status(self) -> dict[str, Any]:
+        """Return the body of `GET /status`."""
         entries = self.registry.entries.values()
+        state_counts = Counter(entry.host.state for entry in entries)
         return {
             "epoch": self.registry.epoch,
             "version": self.registry.version,
-            "hosts": {state: count(entries, state) for state in ("up", "draining", "removed")},
-            "registered": sum(1 for e in entries if e.ttl and e.host.state != "removed"),
+            "hosts": {state: state_counts[state] for state in ("up", "draining", "removed")},
+            "registered": sum(1 for entry in entries if entry.ttl and entry.host.state != "removed"),
             "watches": len(self.waiting),
             "views": len(self.registry.views.lives),
             "self_preservation": sorted(self.registry.held),
         }
 
-    async def close(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        if self.member is not None:
-            self.member.close()
-        if self.listener is not None:
-            self.listener.close()
-        await self.server.shutdown(0.5)
-
 
-def count(entries: Iterable[Any], state: str) -> int:
-    return sum(1 for entry in entries if entry.host.state == state)
-
-
-def refuse(status: int, reason: str) -> web.Response:
+def error_response(status: int, reason: str) -> web.Response:
+    """Return an answer that says why a call failed, and when to come again where there is no place now."""
     headers = {"Retry-After": RETRY_AFTER} if status == 503 else {}
     return web.json_response({"error": reason}, status=status, headers=headers)
 
 
-def whole(name: str, text: str) -> int:
-    if not (text.isascii() and text.isdecimal()) or len(text) > 18:
-        raise ValueError(f"{name} must be a whole number of 0 or more")
-    return int(text)
-
+def read_incarnation(request: web.BaseRequest) -> int:
+    """Return the number in the query of a call on a registered host.
 
-def incarnation_of(request: web.BaseRequest) -> int:
+    Raises:
+        ValueError: The query holds none, or something else.
+    """
     if set(request.query) != {"incarnation"}:
-        raise ValueError("the query must hold incarnation")
-    return whole("incarnation", request.query["incarnation"])
-
-
-def read_registration(name: str, body: bytes) -> tuple[Host, int, float]:
-    try:
-        told = json.loads(body)
-    except (ValueError, RecursionError) as err:
-        raise ValueError(f"no JSON: {' '.join(str(err).split())}") from err
-    if not isinstance(told, dict):
-        raise ValueError("a registration must be an object")
-    incarnation, ttl = told.pop("incarnation", None), told.pop("ttl_ms", None)
-    if type(incarnation) is not int or not 0 <= incarnation < 2**53:
-        raise ValueError("incarnation must be a whole number that grows with each life of the host")
-    if type(ttl) is not int or not TTL_LEAST * 1000 <= ttl <= TTL_MOST * 1000:
-        raise ValueError(f"ttl_ms must be a whole number, {TTL_LEAST * 1000:.0f} to {TTL_MOST * 1000:.0f}")
-    unknown = set(told) - set(Host.__dataclass_fields__)
-    if unknown:
-        raise ValueError(f"no such key: {min(unknown)[:80]!r}")
-    if told.get("state", "up") != "up":
-        raise ValueError("a host registers as up; it drains by a call of its own")
-    if not math.isfinite(told.get("weight", 1.0) if is_number(told.get("weight", 1.0)) else math.nan):
-        raise ValueError("weight must be a number above 0")
-    return read_host(told, name), incarnation, ttl / 1000
-
-
-def is_number(value: Any) -> bool:
-    return isinstance(value, int | float) and not isinstance(value, bool)
+        raise InvalidValueError("incarnation", "the query must hold incarnation")
+    return read_whole_number("incarnation", request.query["incarnation"])
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -701,7 +701,7 @@
     "membership.messages.MAX_DATAGRAM_BYTES",
     "membership.messages.MAX_METADATA_BYTES",
     "membership.messages.MAX_ACCUSERS",
-    "registry.service.MOST_BODY",
+    "registry.service.MAX_REGISTRATION_BYTES",
     "base.endpoint_list.MOST_VALUE",
     "base.subsets.WORD_MOST",
     "control.config_changes.MOST_VERSIONS",
--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -185,14 +185,14 @@
 
 @on_loop
 async def test_a_slow_watcher_holds_up_nobody_and_is_given_up(tmp_path, monkeypatch):
-    monkeypatch.setattr(module, "TAKEN_WITHIN", 0.3)
+    monkeypatch.setattr(module, "ANSWER_TIMEOUT_S", 0.3)
     many = [ONE | {"id": f"s-{n}", "kind": "k" * 120} for n in range(20_000)]
     async with Serving(tmp_path, many) as serving:
         slow = socket.socket()
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.connect(("127.0.0.1", serving.port))
         slow.send(b"GET /v1/endpoints HTTP/1.1\r\nHost: x\r\n\r\n")
-        await until(lambda: serving.service.encoded)
+        await until(lambda: serving.service.encoder.answers)
         assert (await serving.call("GET", "/status"))[0] == 200
         assert len(serving.service.server.connections) == 2
         async with asyncio.timeout(8):  # long before the server would give it up by itself
@@ -217,7 +217,8 @@
                 await serving.register(f"s-{n}")
             told = await asyncio.gather(*watches)
         assert all(len(answer["servers"]) == 5 for answer in told)
-        assert list(serving.service.encoded) == [(41, 46)]
+        encoder = serving.service.encoder
+        assert list(encoder.answers) == [(41, None)] and encoder.version == 46
 
 
 @on_loop
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -11,7 +11,7 @@
 from test_registry_service import Serving
 
 from api_gateway.base.subsets import RING, View, place_of
-from api_gateway.registry import core
+from api_gateway.registry import answer_encoding, core
 from api_gateway.registry import service as module
 from api_gateway.registry import subsets as views
 from api_gateway.registry.config import read_config
@@ -616,8 +616,9 @@
         ]
         await until(lambda: len(serving.service.waiting) == 90)
         inside = sorted(held(serving, view))[0]
-        text = serving.service.text
-        monkeypatch.setattr(serving.service, "text", lambda told: made.append(told.id) or text(told))
+        encoder = serving.service.encoder
+        text = encoder.encode_host
+        monkeypatch.setattr(encoder, "encode_host", lambda told: made.append(told.id) or text(told))
         rewrite(serving, [h | {"weight": 3.0} if h["id"] == inside else h for h in hosts])
         told = await asyncio.gather(*watches)
         assert made == [inside] and all(t == told[0] for t in told) and len(told[0]["servers"]) == 1
@@ -627,9 +628,9 @@
 async def test_a_host_is_encoded_once_for_all_views_and_answers_kept_are_bounded(tmp_path, monkeypatch):
     made, dumps = [], json.dumps
     async with Serving(tmp_path, listed(300)) as serving:
-        monkeypatch.setattr(module, "ENCODED_MOST", 30_000)
+        monkeypatch.setattr(answer_encoding, "MAX_ENCODED_BYTES", 30_000)
         monkeypatch.setattr(
-            module.json,
+            answer_encoding.json,
             "dumps",
             lambda told, **kw: (made.append(told["id"]) if "id" in told else None) or dumps(told, **kw),
         )
@@ -638,8 +639,9 @@
             told = await serving.list("?" + View(n, 30, "b").query())
             sizes.append(len(dumps(told)))
         assert len(made) == len(set(made)) <= 300
-        kept = serving.service.encoded.values()
-        assert sum(map(len, kept)) == serving.service.encoded_size <= 30_000
+        encoder = serving.service.encoder
+        kept = encoder.answers.values()
+        assert sum(map(len, kept)) == encoder.size_bytes <= 30_000
         assert max(sizes) < 5000  # of 30 hosts; the whole list takes some 40 kB
 
 
