--- a/api_gateway/registry/config.py
+++ b/api_gateway/registry/config.py
@@ -13,7 +13,7 @@
 from api_gateway.base.errors import ConfigError, in_one_line
 from api_gateway.registry.core import STATES, Host
 from api_gateway.registry.errors import InvalidValueError
-from api_gateway.registry.subsets import MOST_VIEWS
+from api_gateway.registry.subsets import MAX_VIEWS
 
 if TYPE_CHECKING:
     from api_gateway.membership.service import Membership
@@ -21,7 +21,7 @@
 CONFIG_KEYS = {"listen", "hosts", "watchers", "learn_ms", "membership", "views"}
 LEARN = 10.0  # s after a start in which hosts come back, where there is no file that names them
 LEARNING_LIMIT_MS = 3_600_000  # that `learn_ms` may say: an hour
-DEFAULT_MAX_WATCHES = MOST_VIEWS  # watches that wait at once, where the file does not say: one for each view
+DEFAULT_MAX_WATCHES = MAX_VIEWS  # watches that wait at once, where the file does not say: one for each view
 WORD_CHARACTERS = 128  # of an id, an address, a zone or a kind at the most
 CELL_BOUND = 2**31  # cells are below it, and above its negative
 WEIGHT_BOUND = 1e9  # weights are below it
@@ -46,7 +46,7 @@
     max_watches: int
     learning_duration_s: float
     membership: Membership | None = None
-    max_views: int = MOST_VIEWS
+    max_views: int = MAX_VIEWS
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
@@ -68,7 +68,7 @@
         names = ", ".join(sorted(unknown))
         raise InvalidValueError(names, f"no such key: {names}")
     max_watches = document.get("watchers", DEFAULT_MAX_WATCHES)
-    max_views = document.get("views", MOST_VIEWS)
+    max_views = document.get("views", MAX_VIEWS)
     _check_count("watchers", max_watches)
     _check_count("views", max_views)
     hosts = document.get("hosts")
--- a/api_gateway/registry/core.py
+++ b/api_gateway/registry/core.py
@@ -13,7 +13,8 @@
 from dataclasses import dataclass, field, replace
 
 from api_gateway.base.subsets import View
-from api_gateway.registry.subsets import MOST_VIEWS, Live, Views
+from api_gateway.registry.live_view import LiveView
+from api_gateway.registry.subsets import MAX_VIEWS, LiveViews
 
 STATES = ("up", "draining", "removed")
 MOST_GONE = 1000  # hosts that went and are remembered; a watch from before that gets the whole list
@@ -80,13 +81,13 @@
 
 
 class Registry:
-    def __init__(self, epoch: str, first: int = 1, views: int = MOST_VIEWS) -> None:
+    def __init__(self, epoch: str, first: int = 1, views: int = MAX_VIEWS) -> None:
         self.epoch, self.version = epoch, first
         self.base = first  # changes since an older version cannot be told
         self.entries: dict[str, Entry] = {}  # each with its last change, so that they are the log as well
         self.recent: dict[str, None] = {}  # their ids by the version of that
         self.gone: dict[str, None] = {}  # hosts that went, in that order
-        self.views = Views(views)
+        self.views = LiveViews(views)
         self.watches: dict[object, Watch] = {}
         self.whole_watches: dict[object, Watch] = {}  # those of them without a view
         self.ends: list[tuple[float, int, object]] = []  # of watches
@@ -270,7 +271,7 @@
         """When tick() is to be called next."""
         return (
             -math.inf
-            if self.views.ready
+            if self.views.ready_views
             else min(self.look_at, self.wake_at, self.ends[0][0] if self.ends else math.inf)
         )
 
@@ -325,7 +326,7 @@
         watch = self.watches.pop(key, None)
         self.whole_watches.pop(key, None)
         if watch is not None and watch.view is not None:
-            self.views.leave(watch.view, key)
+            self.views.remove_watch(watch.view, key)
         return watch
 
     def wake(self, now: float) -> list[Answer]:
@@ -333,8 +334,8 @@
         if now >= self.wake_at:
             self.wake_at = math.inf
             told = self.wake_whole()
-            self.views.gathered()
-        if self.views.ready:
+            self.views.release_gathered()
+        if self.views.ready_views:
             told += self.wake_views()
         for answer in told:
             self.forget(answer.key)
@@ -345,7 +346,7 @@
                 told.append(
                     self.answer(key, watch.index)
                     if watch.view is None
-                    else self.tell(key, self.views.ask(now, watch.view, self.version), watch.index)
+                    else self.tell(key, self.views.current(now, watch.view, self.version), watch.index)
                 )
                 self.unpark(key)
         return told
@@ -363,34 +364,36 @@
 
     def view(self, now: float, key: object, view: View) -> Answer:
         """The whole view. Raises TooMany."""
-        return self.tell(key, self.views.ask(now, view, self.version), None)
+        return self.tell(key, self.views.current(now, view, self.version), None)
 
     def watch_view(
         self, now: float, key: object, view: View, index: int, wait: float, epoch: str | None
     ) -> Answer | None:
         """As watch(), within a view: what changed, entered or left. Raises TooMany."""
-        live = self.views.ask(now, view, self.version)
-        if (epoch is not None and epoch != self.epoch) or not live.base <= index <= self.version:
+        live = self.views.current(now, view, self.version)
+        if (epoch is not None and epoch != self.epoch) or not live.oldest_version <= index <= self.version:
             return self.tell(key, live, None)
-        if index < live.marked or wait <= 0:
+        if index < live.changed_at_version or wait <= 0:
             return self.tell(key, live, index)
-        self.views.park(live, key)
+        self.views.add_watch(live, key)
         self.park(Watch(key, index, now + min(wait, WAIT_MOST), view))
         return None
 
-    def tell(self, key: object, live: Live, index: int | None) -> Answer:
+    def tell(self, key: object, live: LiveView, index: int | None) -> Answer:
         """Of a view that is as of now."""
-        if index is None or index < live.base:
-            return Answer(key, None, self.version, live.whole(), live.view, self.views.total(live.view))
-        return Answer(key, index, self.version, live.since(index), live.view, self.views.total(live.view))
+        if index is None or index < live.oldest_version:
+            return Answer(key, None, self.version, live.all_hosts(), live.view, self.views.total(live.view))
+        return Answer(
+            key, index, self.version, live.changes_since(index), live.view, self.views.total(live.view)
+        )
 
     def wake_views(self) -> list[Answer]:
         """A part of those that changes concern; the rest in the next ticks, so that none of them is long."""
         told = []
-        for live in self.views.woken(SLICE, self.version):
+        for live in self.views.refresh_ready(SLICE, self.version):
             told += [
                 self.tell(key, live, self.watches[key].index)
-                for key in live.keys
-                if self.watches[key].index < live.marked
+                for key in live.watch_keys
+                if self.watches[key].index < live.changed_at_version
             ]
         return told
--- a/api_gateway/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -21,7 +21,7 @@
 from api_gateway.registry.core import Answer, Registry, Stale
 from api_gateway.registry.errors import InvalidValueError
 from api_gateway.registry.registration import read_registration, read_whole_number
-from api_gateway.registry.subsets import TooMany
+from api_gateway.registry.subsets import TooManyViewsError
 
 if TYPE_CHECKING:
     from api_gateway.membership.service import Member
@@ -159,7 +159,7 @@
             return error_response(400, str(error))
         except Stale as error:
             return error_response(409, str(error))
-        except TooMany as error:
+        except TooManyViewsError as error:
             return error_response(503, str(error))
         except TimeoutError:
             return error_response(408, f"no whole body within {BODY_TIMEOUT_S:.0f} s")
@@ -250,7 +250,7 @@
             "hosts": {state: state_counts[state] for state in ("up", "draining", "removed")},
             "registered": sum(1 for entry in entries if entry.ttl and entry.host.state != "removed"),
             "watches": len(self.waiting),
-            "views": len(self.registry.views.lives),
+            "views": len(self.registry.views.live_views),
             "self_preservation": sorted(self.registry.held),
         }
 
--- a/api_gateway/registry/subsets.py
+++ b/api_gateway/registry/subsets.py
@@ -1,342 +1,287 @@
-"""Live views: which hosts each of them holds, what entered and left it by version, which a change concerns.
-
-A change costs no walk over all views. What a view takes of a ring is an arc from its gateway's place to its
-last host; only a change within an arc can change the view, or, where the view takes all of a ring, any change
-there. So a change looks, for each ring it lies on, for the arcs that cover its place: those that begin at
-most the longest arc's length before it, found by bisection; with arcs of about one length that is about as
-many as are concerned, gateways * size / hosts. Only these views are made anew, in O(size) each, when they are
-asked for or their watches are woken. Where more than BURST changes come together all views are made anew, and
-where a zone has its first host or has lost its last, all views of that group.
+"""Live views: which hosts each of them holds, and which of them a change concerns.
+
+A change costs no pass over all views (see `view_arcs`). Only the views that it concerns are made anew, in
+time that grows with their size, when they are asked for or their watches are woken. Where more than
+BURST_CHANGES come together all views are made anew, and where a zone has its first host or has lost its last,
+all views of that group.
 """
 
 from __future__ import annotations
 
 import itertools
-from bisect import bisect_left
 from collections import deque
-from collections.abc import Iterator
-from dataclasses import dataclass, field, replace
+from collections.abc import Iterable
+from dataclasses import replace
 from operator import is_not
 from typing import TYPE_CHECKING
 
-from api_gateway.base.subsets import RING, Part, Rings, View
+from api_gateway.base.subsets import Rings, View
+from api_gateway.registry.errors import RegistryError
+from api_gateway.registry.live_view import LiveView
+from api_gateway.registry.view_arcs import GroupArcs
 
 if TYPE_CHECKING:
     from api_gateway.registry.core import Host
 
-MOST_VIEWS = 8192  # live at once, where nothing else is said
-KEEP = 60.0  # s for which a view that nobody asks for any longer is kept
-IDLE_LEAST = 5.0  # s that it is kept though there are too many: the next watch comes sooner
-BURST = 512  # changes that are looked up one by one
-MARKS_LEAST = 256  # changes within a view that are remembered at most; of large views twice their hosts
-REMEMBER = 600.0  # s for which a change is remembered, as hosts are that went
-LEFT_MOST = 4096  # hosts that left views, as they are told to all of them
-
-
-class TooMany(Exception):
-    """Views are live already, as many as may be."""
-
-
-@dataclass(eq=False, slots=True)
-class Live:
-    """A view that is asked for."""
-
-    view: View
-    number: int
-    base: int  # what changed since an older version cannot be told
-    hosts: dict[str | None, dict[str, Host]] = field(default_factory=dict)  # by group and id, as told
-    marks: dict[str, tuple[int, Host]] = field(default_factory=dict)  # last changes, by version; those
-    # that left are removed there
-    dirty: dict[str | None, None] = field(default_factory=dict)  # groups in which something may have changed
-    keys: dict[object, None] = field(default_factory=dict)  # of watches that wait
-    marked: int = 0  # version of the last mark
-
-    @property
-    def cost(self) -> int:
-        return self.view.share * len(self.dirty)
-
-    def whole(self) -> tuple[Host, ...]:
-        return tuple(host for hosts in self.hosts.values() for host in hosts.values())
-
-    def since(self, index: int) -> tuple[Host, ...]:
-        found = itertools.takewhile(lambda mark: mark[0] > index, reversed(self.marks.values()))
-        return tuple(host for _, host in found)
-
-    def mark(self, version: int, host: Host) -> None:
-        self.marks.pop(host.id, None)
-        self.marks[host.id] = version, host
-        self.marked = version
-
-    def trim(self, horizon: int) -> None:
-        """Of changes up to the version `horizon` none is told any longer."""
-        for name in list(itertools.takewhile(lambda name: self.marks[name][0] <= horizon, self.marks)):
-            self.base, _ = self.marks.pop(name)
-        most = max(MARKS_LEAST, 2 * sum(map(len, self.hosts.values())))
-        while len(self.marks) > most:
-            self.base, _ = self.marks.pop(next(iter(self.marks)))
-
-
-class Arcs:
-    """What the views of one zone take of one ring. Which of them cover a place?"""
-
-    def __init__(self) -> None:
-        self.starts: list[tuple[int, int]] = []  # place and number of the view, sorted
-        self.lengths: dict[int, tuple[Live, int]] = {}  # by number
-        self.whole: dict[int, Live] = {}  # those that take all of the ring
-        self.longest, self.fresh = 0, 0  # changes since the longest was looked for
-
-    def put(self, live: Live, part: Part) -> None:
-        if part.end is None:
-            self.cut(live)
-            self.whole[live.number] = live
-            return
-        self.whole.pop(live.number, None)
-        if live.number not in self.lengths:
-            at = live.view.place, live.number
-            self.starts.insert(bisect_left(self.starts, at), at)
-        length = (part.end[0] - live.view.place) % RING
-        self.lengths[live.number] = live, length
-        self.longest, self.fresh = max(self.longest, length), self.fresh + 1
-        if self.fresh > 2 * len(self.lengths):
-            self.longest, self.fresh = max(length for _, length in self.lengths.values()), 0
-
-    def cut(self, live: Live) -> None:
-        if self.lengths.pop(live.number, None) is not None:
-            del self.starts[bisect_left(self.starts, (live.view.place, live.number))]
-
-    def drop(self, live: Live) -> None:
-        self.cut(live)
-        self.whole.pop(live.number, None)
-
-    def covering(self, place: int) -> Iterator[Live]:
-        yield from self.whole.values()
-        first = place - self.longest
-        runs = [(max(first, 0), place)] + ([(max(first + RING, place + 1), RING)] if first < 0 else [])
-        for low, high in runs:
-            for at in range(bisect_left(self.starts, (low, 0)), bisect_left(self.starts, (high + 1, 0))):
-                start, number = self.starts[at]
-                live, length = self.lengths[number]
-                if (place - start) % RING <= length:
-                    yield live
-
-
-@dataclass(slots=True)
-class Sides:
-    """The arcs of one group, by the views' own zones."""
-
-    own: dict[str, Arcs] = field(default_factory=dict)
-    others: dict[str, Arcs] = field(default_factory=dict)
-
-    def all(self) -> Iterator[Live]:
-        for arcs in itertools.chain(self.own.values(), self.others.values()):
-            yield from arcs.whole.values()
-            yield from (live for live, _ in arcs.lengths.values())
-
-    def concerned(self, zone: str, place: int) -> Iterator[Live]:
-        if zone in self.own:
-            yield from self.own[zone].covering(place)
-        for their, arcs in self.others.items():
-            if their != zone or not their:
-                yield from arcs.covering(place)
-
-
-class Views:
-    """All live views, over the hosts that the registry puts in and takes out. Times as in the core."""
-
-    def __init__(self, most: int = MOST_VIEWS) -> None:
-        self.most = most
+MAX_VIEWS = 8192  # live at once, where nothing else is said
+IDLE_LIFETIME_S = 60.0  # for which a view that nobody asks for any longer is kept
+MIN_IDLE_LIFETIME_S = 5.0  # that it is kept though there are too many: the next watch comes sooner
+BURST_CHANGES = 512  # that are looked up one by one
+CHANGE_LIFETIME_S = 600.0  # for which a change is remembered, as removed hosts are
+HORIZON_STEPS = 10  # points in time, within that, of which the version is remembered
+MAX_REMOVED_HOSTS = 4096  # records of hosts that left views, which all of these share
+
+HostsById = dict[str, "Host"]
+
+
+class TooManyViewsError(RegistryError):
+    """As many views are live as may be, and none of them is idle for long enough.
+
+    Attributes:
+        limit: How many may be live.
+    """
+
+    def __init__(self, limit: int) -> None:
+        """Keep the limit."""
+        super().__init__(f"{limit} views are live")
+        self.limit = limit
+
+
+class LiveViews:
+    """All live views, over the hosts that the registry puts in and takes out.
+
+    Times are seconds of the caller's clock, versions those of the registry.
+
+    Attributes:
+        max_views: How many may be live at once.
+        rings: Where the listed hosts are.
+        live_views: The views, by what they are views of.
+        idle_until: Ends of those that no watch waits on, the earliest first.
+        arcs_by_group: What the views take of each group's rings.
+        versions_by_age: Times and the versions then, the oldest first.
+        has_burst: Whether more changed since the last pass than is looked up one by one.
+        ready_views: Views with watches, by number, that are to be made anew.
+    """
+
+    def __init__(self, max_views: int = MAX_VIEWS) -> None:
+        """Start without hosts and views."""
+        self.max_views = max_views
         self.rings = Rings()
-        self.told: dict[str, Host] = {}  # hosts that are listed, as they are
-        self.lives: dict[View, Live] = {}
-        self.idle: dict[View, float] = {}  # those that no watch waits on, in the order of their ends
-        self.sides: dict[str | None, Sides] = {}
-        self.numbers = itertools.count()
-        self.now = 0.0  # the last time that was told
-        self.ages: deque[tuple[float, int]] = deque()  # times, and the versions then
-        self.left: dict[str, tuple[Host, Host]] = {}  # by id, as it was last, and as removed
-        self.pending: list[tuple[str, str, int]] = []  # changes: kind, zone and place
-        self.burst = False  # there were too many
-        self.split: set[str | None] = set()  # groups whose zones are others
-        self.queue: dict[int, Live] = {}  # dirty ones with watches, by number, while changes are gathered
-        self.ready: dict[int, Live] = {}  # then, until they are made anew
+        self.live_views: dict[View, LiveView] = {}
+        self.idle_until: dict[View, float] = {}
+        self.arcs_by_group: dict[str | None, GroupArcs] = {}
+        self.versions_by_age: deque[tuple[float, int]] = deque()
+        self.has_burst = False
+        self.ready_views: dict[int, LiveView] = {}
+        self._listed_hosts: HostsById = {}
+        self._numbers = itertools.count()
+        self._now = 0.0  # of the last input that had a time
+        self._removed_hosts: dict[str, tuple[Host, Host]] = {}  # by id, as it was last, and as removed
+        self._pending_changes: list[tuple[str, str, int]] = []  # kind, zone and place of each
+        self._rezoned_groups: set[str | None] = set()  # groups that have other zones now
+        self._gathering: dict[int, LiveView] = {}  # outdated ones with watches, until these are woken
 
     # Changes of hosts
 
     def put(self, host: Host) -> None:
-        self.touch(host.id)
+        """Take a new or changed host; one that is removed goes."""
+        self.note_change(host.id)
         known = self.rings.known.get(host.id)
         groups = {None, host.kind, known.kind if known is not None else None}
         zones = {group: self.rings.zones(group) for group in groups}
         if host.state == "removed":
             self.rings.drop(host.id)
-            self.told.pop(host.id, None)
+            self._listed_hosts.pop(host.id, None)
         else:
             self.rings.put(host.id, host.kind, host.zone, host.state == "up")
-            self.told[host.id] = host
-            self.touch(host.id)
-        self.split |= {group for group in groups if self.rings.zones(group) != zones[group]}
-
-    def touch(self, name: str) -> None:
-        known = self.rings.known.get(name)
-        if known is None or not self.lives or self.burst:
+            self._listed_hosts[host.id] = host
+            self.note_change(host.id)
+        self._rezoned_groups |= {group for group in groups if self.rings.zones(group) != zones[group]}
+
+    def note_change(self, host_id: str) -> None:
+        """Note that something changes where a host is now."""
+        known = self.rings.known.get(host_id)
+        if known is None or not self.live_views or self.has_burst:
             return
-        change = known.kind, known.zone, known.spot[0]
-        if not self.pending or self.pending[-1] != change:
-            self.pending.append(change)
-        if len(self.pending) > BURST:
-            self.burst = True
-            self.pending.clear()
-
-    def dispatch(self) -> None:
-        """What has changed since the last time makes the views dirty that it concerns."""
-        if self.burst:
-            for live in self.lives.values():
-                live.dirty.update(dict.fromkeys(live.view.groups))
-                self.enqueue(live)
-        for kind, zone, place in self.pending:
+        change = (known.kind, known.zone, known.spot[0])
+        if not self._pending_changes or self._pending_changes[-1] != change:
+            self._pending_changes.append(change)
+        if len(self._pending_changes) > BURST_CHANGES:
+            self.has_burst = True
+            self._pending_changes.clear()
+
+    def release_gathered(self) -> None:
+        """Make ready the views whose watches are to be woken."""
+        self._mark_outdated()
+        self.ready_views.update(self._gathering)
+        self._gathering.clear()
+
+    def _mark_outdated(self) -> None:
+        """Mark the views that are concerned by what has changed since the last time."""
+        if self.has_burst:
+            for live in self.live_views.values():
+                self._outdate(live, live.view.groups)
+        for kind, zone, place in self._pending_changes:
             for group in (None, kind):
-                for live in self.sides[group].concerned(zone, place) if group in self.sides else ():
-                    live.dirty[group] = None
-                    self.enqueue(live)
-        for group in self.split:
-            for live in self.sides[group].all() if group in self.sides else ():
-                live.dirty[group] = None
-                self.enqueue(live)
-        self.burst = False
-        self.pending.clear()
-        self.split.clear()
-
-    def gathered(self) -> None:
-        """The watches are to be woken."""
-        self.dispatch()
-        self.ready.update(self.queue)
-        self.queue.clear()
-
-    def enqueue(self, live: Live) -> None:
-        if live.keys:
-            self.queue[live.number] = live
+                if group in self.arcs_by_group:
+                    for live in self.arcs_by_group[group].affected_views(zone, place):
+                        self._outdate(live, (group,))
+        for group in self._rezoned_groups:
+            if group in self.arcs_by_group:
+                for live in self.arcs_by_group[group].views():
+                    self._outdate(live, (group,))
+        self.has_burst = False
+        self._pending_changes.clear()
+        self._rezoned_groups.clear()
+
+    def _outdate(self, live: LiveView, groups: Iterable[str | None]) -> None:
+        live.outdated_groups.update(dict.fromkeys(groups))
+        if live.watch_keys:
+            self._gathering[live.number] = live
 
     # Views
 
-    def ask(self, now: float, view: View, version: int) -> Live:
-        """The view as it is at this version, which is the present one. Raises TooMany."""
-        self.now = now
-        live = self.lives.get(view)
+    def current(self, now: float, view: View, version: int) -> LiveView:
+        """Return a view as it is at the present version.
+
+        Raises:
+            TooManyViewsError: It is not live, and no other can make place for it.
+        """
+        self._now = now
+        live = self.live_views.get(view)
         if live is None:
-            live = self.begin(view, version)
-        if not live.keys:
-            self.rest(live)
-        return self.refresh(live, version)
-
-    def begin(self, view: View, version: int) -> Live:
-        if len(self.lives) >= self.most:
-            oldest = next(iter(self.idle), None)
-            if oldest is None or self.idle[oldest] - KEEP > self.now - IDLE_LEAST:
-                raise TooMany(f"{self.most} views are live")
-            self.end(oldest)
-        self.dispatch()  # the new one knows all that
-        live = self.lives[view] = Live(view, next(self.numbers), version)
-        live.dirty.update(dict.fromkeys(view.groups))
-        self.refresh(live, version)
-        live.marks.clear()
+            live = self._begin(view, version)
+        if not live.watch_keys:
+            self._keep_idle(live)
+        return self._refresh(live, version)
+
+    def refresh_ready(self, host_limit: int, version: int) -> list[LiveView]:
+        """Make anew some of the views that are ready, about `host_limit` hosts in all, and return them."""
+        refreshed = []
+        while self.ready_views and host_limit > 0:
+            live = self.ready_views.pop(next(iter(self.ready_views)))
+            host_limit -= max(1, live.refresh_cost)
+            refreshed.append(self._refresh(live, version))
+        return refreshed
+
+    def rebuild_group(self, live: LiveView, group: str | None) -> tuple[HostsById, HostsById]:
+        """Make anew what a view holds of a group, and return its hosts there before and now."""
+        arcs = self.arcs_by_group.setdefault(group, GroupArcs())
+        listed = self._listed_hosts
+        new: HostsById = {}
+        for part in self.rings.parts(live.view, group):
+            arcs.put(live, part)
+            new.update({name: listed[name] for name in part.hosts})
+        old = live.hosts.get(group, {})
+        live.hosts[group] = new
+        return old, new
+
+    def total(self, view: View) -> int:
+        """Return how many hosts are up in a view's groups."""
+        return self.rings.total(view)
+
+    def _begin(self, view: View, version: int) -> LiveView:
+        if len(self.live_views) >= self.max_views:
+            oldest = next(iter(self.idle_until), None)
+            latest_end = self._now - MIN_IDLE_LIFETIME_S
+            if oldest is None or self.idle_until[oldest] - IDLE_LIFETIME_S > latest_end:
+                raise TooManyViewsError(self.max_views)
+            self._end(oldest)
+        self._mark_outdated()  # of what changed before, the new view knows all
+        live = LiveView(view, next(self._numbers), version)
+        self.live_views[view] = live
+        live.outdated_groups.update(dict.fromkeys(view.groups))
+        self._refresh(live, version)
+        live.changes.clear()
         return live
 
-    def refresh(self, live: Live, version: int) -> Live:
-        """It is made anew where it may have changed."""
-        self.dispatch()
-        if not live.dirty:
+    def _refresh(self, live: LiveView, version: int) -> LiveView:
+        """Make a view anew where it may have changed, and return it."""
+        self._mark_outdated()
+        if not live.outdated_groups:
             return live
-        old, new = self.remake(live, next(iter(live.dirty)))
-        if len(live.dirty) > 1:
-            pairs = [(old, new), *(self.remake(live, group) for group in list(live.dirty)[1:])]
-            old, new = ({name: host for pair in pairs for name, host in pair[n].items()} for n in (0, 1))
-        for name in [name for name in old if name not in new] if old.keys() - new.keys() else ():
-            live.mark(version, self.removed(old[name]))  # it is in none of the groups
+        old, new = self._rebuild_outdated(live)
+        if old.keys() - new.keys():
+            for host_id in [host_id for host_id in old if host_id not in new]:  # it is in no group now
+                live.record_change(version, self._as_removed(old[host_id]))
         # The loop over all is the interpreter's own: it is most of what a change costs.
-        for host in list(itertools.compress(new.values(), map(is_not, new.values(), map(old.get, new)))):
-            live.mark(version, host)
-        live.dirty.clear()
-        live.trim(self.horizon(version))
+        is_changed = map(is_not, new.values(), map(old.get, new))
+        for host in list(itertools.compress(new.values(), is_changed)):
+            live.record_change(version, host)
+        live.outdated_groups.clear()
+        live.trim(self._horizon(version))
         return live
 
-    def horizon(self, version: int) -> int:
-        """The version of REMEMBER ago, or of a little before."""
-        if not self.ages or self.now - self.ages[-1][0] >= REMEMBER / 10:
-            self.ages.append((self.now, version))
-        while len(self.ages) > 1 and self.ages[1][0] <= self.now - REMEMBER:
-            self.ages.popleft()
-        return self.ages[0][1] if self.ages[0][0] <= self.now - REMEMBER else -1
-
-    def removed(self, host: Host) -> Host:
-        """As it is told where it has left a view, though it may still exist: one object for all views."""
-        host = self.told.get(host.id, host)
-        known = self.left.get(host.id)
+    def _rebuild_outdated(self, live: LiveView) -> tuple[HostsById, HostsById]:
+        """Make the outdated groups anew; return the hosts of all of them before and now."""
+        pairs = [self.rebuild_group(live, group) for group in list(live.outdated_groups)]
+        if len(pairs) == 1:
+            return pairs[0]
+        old: HostsById = {}
+        new: HostsById = {}
+        for old_of_group, new_of_group in pairs:
+            old.update(old_of_group)
+            new.update(new_of_group)
+        return old, new
+
+    def _horizon(self, version: int) -> int:
+        """Return the version of CHANGE_LIFETIME_S ago, or of a little before; -1 where none is that old."""
+        ages = self.versions_by_age
+        if not ages or self._now - ages[-1][0] >= CHANGE_LIFETIME_S / HORIZON_STEPS:
+            ages.append((self._now, version))
+        while len(ages) > 1 and ages[1][0] <= self._now - CHANGE_LIFETIME_S:
+            ages.popleft()
+        return ages[0][1] if ages[0][0] <= self._now - CHANGE_LIFETIME_S else -1
+
+    def _as_removed(self, host: Host) -> Host:
+        """Return a host as removed, though it may only have left a view: one object for all views."""
+        host = self._listed_hosts.get(host.id, host)
+        known = self._removed_hosts.get(host.id)
         if known is None or known[0] is not host:
-            if len(self.left) >= LEFT_MOST:
-                self.left.clear()
-            known = self.left[host.id] = host, replace(host, state="removed")
+            if len(self._removed_hosts) >= MAX_REMOVED_HOSTS:
+                self._removed_hosts.clear()
+            known = (host, replace(host, state="removed"))
+            self._removed_hosts[host.id] = known
         return known[1]
 
-    def remake(self, live: Live, group: str | None) -> tuple[dict[str, Host], dict[str, Host]]:
-        """A group's hosts as they were and as they are now; its arcs with them."""
-        sides, told = self.sides.setdefault(group, Sides()), self.told
-        new: dict[str, Host] = {}
-        for part in self.rings.parts(live.view, group):
-            arcs = sides.own if part.own else sides.others
-            arcs.setdefault(live.view.zone, Arcs()).put(live, part)
-            new.update({name: told[name] for name in part.hosts})
-        old, live.hosts[group] = live.hosts.get(group, {}), new
-        return old, new
+    # Watches, and views that nobody watches
 
-    def woken(self, most: int, version: int) -> list[Live]:
-        """Some of those with watches that may have changed, made anew: about so many hosts in all."""
-        found = []
-        while self.ready and most > 0:
-            live = self.ready.pop(next(iter(self.ready)))
-            most -= max(1, live.cost)
-            found.append(self.refresh(live, version))
-        return found
-
-    # Watches, and none any longer
-
-    def park(self, live: Live, key: object) -> None:
-        live.keys[key] = None
-        self.idle.pop(live.view, None)
-
-    def leave(self, view: View, key: object) -> None:
-        live = self.lives.get(view)
-        if live is not None and key in live.keys:
-            del live.keys[key]
-            if not live.keys:
-                self.unqueue(live)
-                self.rest(live)
-
-    def unqueue(self, live: Live) -> None:
-        self.queue.pop(live.number, None)
-        self.ready.pop(live.number, None)
-
-    def rest(self, live: Live) -> None:
-        self.idle.pop(live.view, None)
-        self.idle[live.view] = self.now + KEEP
+    def add_watch(self, live: LiveView, key: object) -> None:
+        """Note that a watch waits on a view."""
+        live.watch_keys[key] = None
+        self.idle_until.pop(live.view, None)
+
+    def remove_watch(self, view: View, key: object) -> None:
+        """Note that a watch waits no longer; without any the view is idle."""
+        live = self.live_views.get(view)
+        if live is None or key not in live.watch_keys:
+            return
+        del live.watch_keys[key]
+        if not live.watch_keys:
+            self._unqueue(live)
+            self._keep_idle(live)
 
     def expire(self, now: float) -> None:
-        self.now = now
-        for view in list(itertools.takewhile(lambda view: self.idle[view] <= now, self.idle)):
-            self.end(view)
-
-    def end(self, view: View) -> None:
-        live = self.lives.pop(view)
-        self.idle.pop(view, None)
-        self.unqueue(live)
+        """End the views that were idle for too long."""
+        self._now = now
+        ends = self.idle_until
+        for view in list(itertools.takewhile(lambda view: ends[view] <= now, ends)):
+            self._end(view)
+
+    def _keep_idle(self, live: LiveView) -> None:
+        self.idle_until.pop(live.view, None)
+        self.idle_until[live.view] = self._now + IDLE_LIFETIME_S
+
+    def _unqueue(self, live: LiveView) -> None:
+        self._gathering.pop(live.number, None)
+        self.ready_views.pop(live.number, None)
+
+    def _end(self, view: View) -> None:
+        live = self.live_views.pop(view)
+        self.idle_until.pop(view, None)
+        self._unqueue(live)
         for group in view.groups:
-            sides = self.sides[group]
-            for arcs in (sides.own, sides.others):
-                if view.zone in arcs:
-                    arcs[view.zone].drop(live)
-                    if not arcs[view.zone].lengths and not arcs[view.zone].whole:
-                        del arcs[view.zone]
-            if not sides.own and not sides.others:
-                del self.sides[group]
-
-    def total(self, view: View) -> int:
-        return self.rings.total(view)
+            arcs = self.arcs_by_group[group]
+            arcs.discard(live)
+            if arcs.is_empty():
+                del self.arcs_by_group[group]
--- /dev/null
+++ b/api_gateway/registry/view_arcs.py
@@ -0,0 +1,125 @@
+"""Which views a change of a host concerns, without a pass over all views.
+
+What a view takes of a ring is an arc from its gateway's place to its last host. Only a change within an arc
+can change the view or, where the view takes all of a ring, any change there. So a change looks for the arcs
+that cover its place: those that begin at most the longest arc's length before it, found by bisection. With
+arcs of about one length that is about as many as are concerned, gateways * size / hosts.
+"""
+
+from __future__ import annotations
+
+import itertools
+from bisect import bisect_left
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from api_gateway.base.subsets import RING, Part
+from api_gateway.registry.live_view import LiveView
+
+
+class Arcs:
+    """What the views of one zone take of one ring."""
+
+    def __init__(self) -> None:
+        """Start without any view."""
+        self._starts: list[tuple[int, int]] = []  # place and number of each view with an arc, sorted
+        self._arc_by_number: dict[int, tuple[LiveView, int]] = {}  # each view with the length of its arc
+        self._full_ring_views: dict[int, LiveView] = {}  # those that take all of the ring, by number
+        self._longest_length = 0
+        self._puts_since_longest = 0  # since the longest arc was looked for
+
+    def is_empty(self) -> bool:
+        """Tell whether no view takes anything here."""
+        return not self._arc_by_number and not self._full_ring_views
+
+    def views(self) -> Iterator[LiveView]:
+        """Yield all views that take something of the ring."""
+        yield from self._full_ring_views.values()
+        yield from (live for live, _ in self._arc_by_number.values())
+
+    def put(self, live: LiveView, part: Part) -> None:
+        """Note what a view takes, in place of what it took before."""
+        if part.end is None:
+            self._discard_arc(live)
+            self._full_ring_views[live.number] = live
+            return
+        self._full_ring_views.pop(live.number, None)
+        if live.number not in self._arc_by_number:
+            start = (live.view.place, live.number)
+            self._starts.insert(bisect_left(self._starts, start), start)
+        length = (part.end[0] - live.view.place) % RING
+        self._arc_by_number[live.number] = (live, length)
+        self._longest_length = max(self._longest_length, length)
+        self._puts_since_longest += 1
+        if self._puts_since_longest > 2 * len(self._arc_by_number):
+            self._longest_length = max(length for _, length in self._arc_by_number.values())
+            self._puts_since_longest = 0
+
+    def discard(self, live: LiveView) -> None:
+        """Forget a view, if it takes anything here."""
+        self._discard_arc(live)
+        self._full_ring_views.pop(live.number, None)
+
+    def covering(self, place: int) -> Iterator[LiveView]:
+        """Yield the views that a change at a place of the ring may concern."""
+        yield from self._full_ring_views.values()
+        first = place - self._longest_length
+        ranges = [(max(first, 0), place)]
+        if first < 0:  # arcs that begin before the ring's zero
+            ranges.append((max(first + RING, place + 1), RING))
+        for low, high in ranges:
+            begin = bisect_left(self._starts, (low, 0))
+            end = bisect_left(self._starts, (high + 1, 0))
+            for index in range(begin, end):
+                start, number = self._starts[index]
+                live, length = self._arc_by_number[number]
+                if (place - start) % RING <= length:
+                    yield live
+
+    def _discard_arc(self, live: LiveView) -> None:
+        if self._arc_by_number.pop(live.number, None) is not None:
+            del self._starts[bisect_left(self._starts, (live.view.place, live.number))]
+
+
+@dataclass(slots=True)
+class GroupArcs:
+    """The arcs of one group of hosts, by the views' own zones.
+
+    Attributes:
+        same_zone_arcs: What views take of the ring of their own zone.
+        other_zone_arcs: What views take of the rings of the other zones.
+    """
+
+    same_zone_arcs: dict[str, Arcs] = field(default_factory=dict)
+    other_zone_arcs: dict[str, Arcs] = field(default_factory=dict)
+
+    def is_empty(self) -> bool:
+        """Tell whether no view takes anything of the group."""
+        return not self.same_zone_arcs and not self.other_zone_arcs
+
+    def put(self, live: LiveView, part: Part) -> None:
+        """Note what a view takes of one ring."""
+        arcs_by_zone = self.same_zone_arcs if part.own else self.other_zone_arcs
+        arcs_by_zone.setdefault(live.view.zone, Arcs()).put(live, part)
+
+    def discard(self, live: LiveView) -> None:
+        """Forget a view."""
+        zone = live.view.zone
+        for arcs_by_zone in (self.same_zone_arcs, self.other_zone_arcs):
+            if zone in arcs_by_zone:
+                arcs_by_zone[zone].discard(live)
+                if arcs_by_zone[zone].is_empty():
+                    del arcs_by_zone[zone]
+
+    def views(self) -> Iterator[LiveView]:
+        """Yield the views of the group; one may come twice."""
+        for arcs in itertools.chain(self.same_zone_arcs.values(), self.other_zone_arcs.values()):
+            yield from arcs.views()
+
+    def affected_views(self, zone: str, place: int) -> Iterator[LiveView]:
+        """Yield the views that a change of a host in `zone`, at `place` of its ring, may concern."""
+        if zone in self.same_zone_arcs:
+            yield from self.same_zone_arcs[zone].covering(place)
+        for view_zone, arcs in self.other_zone_arcs.items():
+            if view_zone != zone or not view_zone:
+                yield from arcs.covering(place)
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -198,9 +198,11 @@
         assert Counter(h.kind for h in whole.hosts) == dict.fromkeys(view.kinds, 3)
         assert whole.total == 3 * USED
         assert r.watch_view(1.0, view, view, whole.version, 60.0, "e") is None
-    made, remake = [], live.Views.remake
+    made, remake = [], live.LiveViews.rebuild_group
     monkeypatch.setattr(
-        live.Views, "remake", lambda self, one, group: made.append(group) or remake(self, one, group)
+        live.LiveViews,
+        "rebuild_group",
+        lambda self, one, group: made.append(group) or remake(self, one, group),
     )
     concerned = 0
     for n in range(50):  # before the first watch has waited for long enough
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -11,12 +11,12 @@
 from test_registry_service import Serving
 
 from api_gateway.base.subsets import RING, View, place_of
-from api_gateway.registry import answer_encoding, core
+from api_gateway.registry import answer_encoding, core, live_view, view_arcs
 from api_gateway.registry import service as module
 from api_gateway.registry import subsets as views
 from api_gateway.registry.config import read_config
 from api_gateway.registry.core import Registry, Stale
-from api_gateway.registry.subsets import TooMany
+from api_gateway.registry.subsets import TooManyViewsError
 
 
 def filled(count, zones="ab", kinds=("k",), most=8192):
@@ -54,7 +54,7 @@
     told = settle(r, 3.2)
     assert [(a.key, a.index, a.version) for a in told] == [("k", whole.version, r.version)]
     assert [(h.id, h.weight) for h in told[0].hosts] == [(inside, 2.0)]
-    assert not r.watches and not r.views.lives[view].keys
+    assert not r.watches and not r.views.live_views[view].watch_keys
 
 
 def test_what_enters_and_leaves_is_told_as_changes():
@@ -115,11 +115,11 @@
     change(r, 1.5, "h0", weight=3.0)
     larger = r.watch_view(2.0, "k", View(3, 30, "a"), at, 60.0, "e")
     assert larger.index is None and len(larger.hosts) == 30
-    settle(r, now := 2.0 + views.KEEP - 1.0)
+    settle(r, now := 2.0 + views.IDLE_LIFETIME_S - 1.0)
     assert r.watch_view(now, "k", View(3, 30, "a"), larger.version, 0.0, "e").index is not None
-    assert view not in r.views.lives
-    settle(r, 2.0 + 2 * views.KEEP)
-    assert not r.views.lives and not r.views.idle and not r.views.sides
+    assert view not in r.views.live_views
+    settle(r, 2.0 + 2 * views.IDLE_LIFETIME_S)
+    assert not r.views.live_views and not r.views.idle_until and not r.views.arcs_by_group
     assert r.watch_view(200.0, "k", view, at, 60.0, "e").index is None
 
 
@@ -129,44 +129,44 @@
     for n in range(5):
         assert r.watch_view(2.0, n, view, at, 60.0, "e") is None
     settle(r, 61.9)
-    assert view in r.views.lives
+    assert view in r.views.live_views
     for n in range(5):
         r.forget(n)
-    assert not r.watches and not r.views.lives[view].keys
-    settle(r, 63.0 + views.KEEP)
-    assert not r.views.lives
+    assert not r.watches and not r.views.live_views[view].watch_keys
+    settle(r, 63.0 + views.IDLE_LIFETIME_S)
+    assert not r.views.live_views
 
 
 def test_changes_remembered_within_a_view_are_bounded(monkeypatch):
-    monkeypatch.setattr(views, "MARKS_LEAST", 10)
+    monkeypatch.setattr(live_view, "MIN_CHANGES_KEPT", 10)
     r, view = filled(40), View(3, 5, "a")
     first = r.view(1.0, "k", view).version
     for n in range(200):
         name = f"h{n % 40}"
         change(r, 2.0 + n, name, state="draining" if r.entries[name].host.state == "up" else "up")
         r.watch_view(2.0 + n, "k", view, r.version, 0.0, "e")
-    live = r.views.lives[view]
-    assert len(live.marks) <= 4 * 5 and r.watch_view(300.0, "k", view, first, 0.0, "e").index is None
-    assert r.watch_view(300.0, "k", view, live.base, 0.0, "e").index == live.base
+    live = r.views.live_views[view]
+    assert len(live.changes) <= 4 * 5 and r.watch_view(300.0, "k", view, first, 0.0, "e").index is None
+    assert r.watch_view(300.0, "k", view, live.oldest_version, 0.0, "e").index == live.oldest_version
 
 
 def test_changes_within_a_view_are_forgotten_in_time():
     r, view = filled(400), View(3, 40, "a")
     r.view(1.0, "k", view)
-    live, now, names = r.views.lives[view], 1.0, sorted(members(r, view))
+    live, now, names = r.views.live_views[view], 1.0, sorted(members(r, view))
     at = []  # by the minute
     for n in range(60):
         now += 30.0
         change(r, now, names[n % 40], weight=1.0 + n)
         at.append((now, r.watch_view(now, None, view, r.version, 0.0, "e").version))
-        assert len(live.marks) <= (views.REMEMBER + views.REMEMBER / 10) / 30 + 2
+        assert len(live.changes) <= (views.CHANGE_LIFETIME_S + views.CHANGE_LIFETIME_S / 10) / 30 + 2
     for then, version in at:
         told = r.watch_view(now, None, view, version, 0.0, "e")
-        if then > now - views.REMEMBER:
+        if then > now - views.CHANGE_LIFETIME_S:
             assert told.index == version and len(told.hosts) == (now - then) / 30
-        elif then < now - 1.2 * views.REMEMBER:
+        elif then < now - 1.2 * views.CHANGE_LIFETIME_S:
             assert told.index is None
-    assert len(r.views.ages) <= 12
+    assert len(r.views.versions_by_age) <= 12
 
 
 def test_a_zone_that_goes_is_told_to_views_as_changes_though_whole_lists_forget_it(monkeypatch):
@@ -209,17 +209,17 @@
     r = filled(50, most=3)
     for n in range(3):
         r.view(1.0, None, View(n, 5))
-    with pytest.raises(TooMany):
+    with pytest.raises(TooManyViewsError):
         r.view(2.0, None, View(3, 5))
     assert r.watch_view(2.0, "k", View(0, 5), r.version, 60.0, "e") is None
-    r.view(1.5 + views.IDLE_LEAST, None, View(3, 5))
-    assert set(r.views.lives) == {View(0, 5), View(2, 5), View(3, 5)}  # the one that is watched stays
-    r.views.leave(View(1, 5), "k")  # of one that is not there any longer
+    r.view(1.5 + views.MIN_IDLE_LIFETIME_S, None, View(3, 5))
+    assert set(r.views.live_views) == {View(0, 5), View(2, 5), View(3, 5)}  # the one that is watched stays
+    r.views.remove_watch(View(1, 5), "k")  # of one that is not there any longer
 
 
 def test_a_burst_is_told_as_a_whole_and_in_slices(monkeypatch):
     monkeypatch.setattr(core, "SLICE", 100)
-    monkeypatch.setattr(views, "BURST", 20)
+    monkeypatch.setattr(views, "BURST_CHANGES", 20)
     r = filled(600, zones="abc")
     all_ = [View(n, 30, "abc"[n % 3]) for n in range(40)]
     for view in all_:
@@ -227,7 +227,7 @@
     before = {view: members(r, view) for view in all_}
     for n in range(0, 600, 3):
         change(r, 2.0, f"h{n}", state="draining")
-    assert r.views.burst and r.wake_at == 2.0 + core.GATHER
+    assert r.views.has_burst and r.wake_at == 2.0 + core.GATHER
     told = []
     while r.due() <= 2.1:
         some = r.tick(2.1)
@@ -243,9 +243,11 @@
     all_ = [View(n, 48, "abcdef"[n % 6]) for n in range(500)]
     for view in all_:
         r.view(1.0, None, view)
-    made, remake = [], views.Views.remake
+    made, remake = [], views.LiveViews.rebuild_group
     monkeypatch.setattr(
-        views.Views, "remake", lambda self, live, *rest: made.append(live.view) or remake(self, live, *rest)
+        views.LiveViews,
+        "rebuild_group",
+        lambda self, live, *rest: made.append(live.view) or remake(self, live, *rest),
     )
     before = {view: members(r, view) for view in all_}
     for n in range(20):
@@ -284,17 +286,17 @@
 
 
 def test_arcs_are_found_wherever_they_lie_on_the_ring():
-    rng, arcs, told = random.Random(3), views.Arcs(), {}
+    rng, arcs, told = random.Random(3), view_arcs.Arcs(), {}
     for _ in range(600):
         number = rng.randrange(40)
-        live = told[number][0] if number in told else views.Live(View(number, 5), number, 1)
+        live = told[number][0] if number in told else live_view.LiveView(View(number, 5), number, 1)
         if rng.random() < 0.2:
-            arcs.drop(live)
+            arcs.discard(live)
             told.pop(number, None)
         else:
             length = rng.choice([0, rng.randrange(RING // 50), rng.randrange(RING), None])
             end = None if length is None else ((live.view.place + length) % RING, "x")
-            arcs.put(live, views.Part(None, True, (), end))
+            arcs.put(live, view_arcs.Part(None, True, (), end))
             told[number] = live, length
         place = rng.choice([0, RING - 1, rng.randrange(RING), live.view.place])
         assert sorted(found.number for found in arcs.covering(place)) == sorted(
@@ -327,11 +329,11 @@
 def play(seed, monkeypatch, steps=300):
     """What a client puts together is the view at the version it was told, whatever comes when."""
     rng = random.Random(seed)
-    monkeypatch.setattr(views, "BURST", rng.choice([0, 3, 512]))
-    monkeypatch.setattr(views, "MARKS_LEAST", rng.choice([1, 256]))
-    monkeypatch.setattr(views, "KEEP", 5.0)
-    monkeypatch.setattr(views, "REMEMBER", rng.choice([1.0, 10.0, 600.0]))
-    monkeypatch.setattr(views, "LEFT_MOST", rng.choice([2, 4096]))
+    monkeypatch.setattr(views, "BURST_CHANGES", rng.choice([0, 3, 512]))
+    monkeypatch.setattr(live_view, "MIN_CHANGES_KEPT", rng.choice([1, 256]))
+    monkeypatch.setattr(views, "IDLE_LIFETIME_S", 5.0)
+    monkeypatch.setattr(views, "CHANGE_LIFETIME_S", rng.choice([1.0, 10.0, 600.0]))
+    monkeypatch.setattr(views, "MAX_REMOVED_HOSTS", rng.choice([2, 4096]))
     monkeypatch.setattr(core, "SLICE", rng.choice([1, 30, 16384]))
     monkeypatch.setattr(core, "FORGET", 8.0)
     monkeypatch.setattr(core, "MOST_GONE", 6)
@@ -404,7 +406,7 @@
                     if answer is not None:
                         take(client, answer)
         assert {c for c in clients if c.asked} == set(r.watches)
-        assert {key for live in r.views.lives.values() for key in live.keys} == set(r.watches)
+        assert {key for live in r.views.live_views.values() for key in live.watch_keys} == set(r.watches)
     while r.due() <= now or r.wake_at < math.inf:  # then none of those that still wait has missed anything
         now = max(now, r.due())
         for answer in r.tick(now):
@@ -421,9 +423,9 @@
 
 def planted_entering_unseen(monkeypatch):
     """Only views that hold a host hear of it."""
-    covering = views.Arcs.covering
+    covering = view_arcs.Arcs.covering
     monkeypatch.setattr(
-        views.Arcs,
+        view_arcs.Arcs,
         "covering",
         lambda self, place: (
             live
@@ -434,47 +436,48 @@
 
 
 def planted_leaving_untold(monkeypatch):
-    mark = views.Live.mark
+    mark = live_view.LiveView.record_change
     monkeypatch.setattr(
-        views.Live,
-        "mark",
+        live_view.LiveView,
+        "record_change",
         lambda self, version, told: None if told.state == "removed" else mark(self, version, told),
     )
 
 
 def planted_base(monkeypatch):
     monkeypatch.setattr(
-        views.Live,
+        live_view.LiveView,
         "trim",
         lambda self, horizon: [
-            self.marks.pop(next(iter(self.marks))) for _ in range(len(self.marks) - views.MARKS_LEAST)
+            self.changes.pop(next(iter(self.changes)))
+            for _ in range(len(self.changes) - live_view.MIN_CHANGES_KEPT)
         ],
     )
 
 
 def planted_old_place(monkeypatch):
     """A host that changes its zone or kind is looked up where it is now, not where it was."""
-    touch = views.Views.touch
+    touch = views.LiveViews.note_change
     monkeypatch.setattr(
-        views.Views,
-        "touch",
+        views.LiveViews,
+        "note_change",
         lambda self, name: (
             touch(self, name)
-            if name in self.told
-            and self.rings.known[name].kind == self.told[name].kind
-            and self.rings.known[name].zone == self.told[name].zone
+            if name in self._listed_hosts
+            and self.rings.known[name].kind == self._listed_hosts[name].kind
+            and self.rings.known[name].zone == self._listed_hosts[name].zone
             else None
         ),
     )
-    put = views.Views.put
+    put = views.LiveViews.put
 
     def late(self, told):
-        kept = self.told.pop(told.id, None)
+        kept = self._listed_hosts.pop(told.id, None)
         put(self, told)
         if told.state == "removed" and kept is not None:
-            self.touch(told.id)
+            self.note_change(told.id)
 
-    monkeypatch.setattr(views.Views, "put", late)
+    monkeypatch.setattr(views.LiveViews, "put", late)
 
 
 @pytest.mark.parametrize(
@@ -601,7 +604,7 @@
 async def test_what_is_no_view_is_refused(query, word):
     async with Serving() as serving:
         status, told = await serving.call("GET", "/v1/endpoints?" + query)
-        assert status == 400 and word in told["error"] and not serving.service.registry.views.lives
+        assert status == 400 and word in told["error"] and not serving.service.registry.views.live_views
 
 
 @on_loop
@@ -648,7 +651,7 @@
 @on_loop
 async def test_more_views_than_may_be_are_told_to_come_later(monkeypatch):
     async with Serving() as serving:
-        serving.service.registry.views.most = 2
+        serving.service.registry.views.max_views = 2
         for n in range(2):
             assert (await serving.call("GET", f"/v1/endpoints?view={n},5"))[0] == 200
         async with serving.session.get("/v1/endpoints?view=2,5") as answer:
@@ -656,13 +659,13 @@
         async with serving.session.get("/v1/endpoints?view=2,5&index=41&wait=1000") as answer:
             assert answer.status == 503
         assert (await serving.call("GET", "/v1/endpoints"))[0] == 200
-        monkeypatch.setattr(views, "IDLE_LEAST", 0.0)
+        monkeypatch.setattr(views, "MIN_IDLE_LIFETIME_S", 0.0)
         assert (await serving.call("GET", "/v1/endpoints?view=2,5"))[0] == 200
 
 
 @on_loop
 async def test_watchers_that_vanish_leave_no_watch_and_their_view_goes(monkeypatch):
-    monkeypatch.setattr(views, "KEEP", 0.3)
+    monkeypatch.setattr(views, "IDLE_LIFETIME_S", 0.3)
     async with Serving() as serving:
         for n in range(9):
             await serving.register(f"h{n}")
@@ -673,11 +676,11 @@
         await until(lambda: len(serving.service.waiting) == 9)
         await asyncio.sleep(0.8)
         registry = serving.service.registry
-        assert len(registry.views.lives) == 1  # it is watched
+        assert len(registry.views.live_views) == 1  # it is watched
         for watch in watches:
             watch.cancel()
         await asyncio.gather(*watches, return_exceptions=True)
-        await until(lambda: not registry.watches and not registry.views.lives)
+        await until(lambda: not registry.watches and not registry.views.live_views)
         assert not serving.service.waiting
 
 
