--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -702,7 +702,7 @@
     "membership.messages.MAX_DATAGRAM_BYTES",
     "membership.messages.MAX_METADATA_BYTES",
     "membership.messages.MAX_ACCUSERS",
-    "registry.service.MOST_BODY",
+    "registry.service.MAX_REGISTRATION_BYTES",
     "base.entry_stream.MAX_VALUE_CHARS",
     "base.subsets.MAX_NAME_CHARS",
     "base.subsets.MAX_NUMBER_DIGITS",
