--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -32,7 +32,7 @@
 )
 
 from api_gateway import interface as api
-from api_gateway.base.accepting import LASTING, TRIES_AT_ONCE
+from api_gateway.base.accepting import IMMEDIATE_RETRIES, LASTING
 from api_gateway.control import server as control_net
 from api_gateway.control.host_overrides import Bans
 from api_gateway.downstream.listener import ReservedDescriptor
@@ -322,7 +322,7 @@
         listener, pauses = node.node.clients.listener, []
         pause = listener.pause
         listener.pause = lambda *seconds: (pauses.append(seconds), pause(*seconds))
-        listener.sockets[0] = Empty(listener.sockets[0], TRIES_AT_ONCE - 1, errno.ENFILE)
+        listener.sockets[0] = Empty(listener.sockets[0], IMMEDIATE_RETRIES - 1, errno.ENFILE)
         assert await node.ask(command()) == SERVED
         assert listener.sockets[0].left == 0 and not pauses
 
@@ -529,7 +529,7 @@
 from pathlib import Path
 from api_gateway import interface as api
 from api_gateway.control import server as control_net
-from api_gateway.base.accepting import LASTING, TRIES_AT_ONCE
+from api_gateway.base.accepting import LASTING, IMMEDIATE_RETRIES
 from api_gateway.upstream import pool as hosts
 from api_gateway.control.host_overrides import Bans
 from api_gateway.downstream.listener import ReservedDescriptor
