--- a/api_gateway/base/accepting.py
+++ b/api_gateway/base/accepting.py
@@ -19,7 +19,7 @@
 ACCEPTS_PER_TURN = 1  # connections accepted before the event loop turns to requests in flight
 IMMEDIATE_RETRIES = 5  # failures in a row up to which accept is tried in the next turn of the loop
 RETRY_INTERVAL_S = 0.01  # between two retries from then on, until a shortage lasts
-LASTING = 0.3  # seconds after which a shortage counts as lasting
+LASTING_SHORTAGE_S = 0.3  # seconds after which a shortage counts as lasting
 LASTING_RETRY_INTERVAL_S = 0.1  # between two retries from then on
 
 # The process or the machine has nothing left to open a connection with.
@@ -76,7 +76,7 @@
         self.sockets = [sock]
         self.factory = factory
         self.loop = asyncio.get_running_loop()
-        self.coming: set[asyncio.Task[None]] = set()
+        self.connecting_tasks: set[asyncio.Task[None]] = set()
         self.reading = False  # whether the event loop watches the listening socket
         self.retry: asyncio.TimerHandle | None = None
         self.short_since: float | None = None  # when the current shortage began, by the monotonic clock
@@ -129,7 +129,7 @@
         if self.failures == IMMEDIATE_RETRIES:
             log.warning("a connection waits in the backlog: accept failed with %s", err)
         lasted = now - self.short_since
-        self.pause(RETRY_INTERVAL_S if lasted < LASTING else LASTING_RETRY_INTERVAL_S)
+        self.pause(RETRY_INTERVAL_S if lasted < LASTING_SHORTAGE_S else LASTING_RETRY_INTERVAL_S)
         if err.errno in SHORTAGE_ERRORS:
             self.on_shortage(err, lasted)
 
@@ -139,8 +139,8 @@
     def attach(self, sock: socket.socket) -> None:
         """Make the protocol of a connection, in a task of its own."""
         task = self.loop.create_task(self.connect(sock))
-        self.coming.add(task)
-        task.add_done_callback(self.coming.discard)
+        self.connecting_tasks.add(task)
+        task.add_done_callback(self.connecting_tasks.discard)
 
     async def connect(self, sock: socket.socket) -> None:
         """Give an accepted connection to a protocol."""
--- a/api_gateway/base/endpoint_list.py
+++ b/api_gateway/base/endpoint_list.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointListing:
     """An endpoint list as the decision module takes it, and where each endpoint listens."""
 
     hosts: api.EndpointList
@@ -57,7 +57,7 @@
     is_subset: bool = False  # whether it is the subset that was requested
 
 
-def read_list(document: dict[str, Any], mode: str | None = None) -> Listing:
+def read_list(document: dict[str, Any], mode: str | None = None) -> EndpointListing:
     """Read a list in discovery's form.
 
     An entry that cannot be read costs that entry of a full list, where an endpoint that is not named gets
@@ -85,7 +85,7 @@
     return with_endpoints(listing, entries.values())
 
 
-def with_endpoints(listing: Listing, entries: Iterable[AddressedEndpoint]) -> Listing:
+def with_endpoints(listing: EndpointListing, entries: Iterable[AddressedEndpoint]) -> EndpointListing:
     """Return a list with these endpoints in place of its own."""
     entries = list(entries)
     return replace(
@@ -95,7 +95,7 @@
     )
 
 
-def read_head(document: dict[str, Any], mode: str | None = None) -> Listing:
+def read_head(document: dict[str, Any], mode: str | None = None) -> EndpointListing:
     """Read what a list says beside its endpoints.
 
     Args:
@@ -113,7 +113,7 @@
         total = read_integer(document.get("total", 0)) if is_subset else 0
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
         raise ValueError(f"not a list of hosts: {type(err).__name__} {err}") from err
-    return Listing(api.EndpointList(list_mode, version, (), total), {}, epoch, is_subset)
+    return EndpointListing(api.EndpointList(list_mode, version, (), total), {}, epoch, is_subset)
 
 
 class UnreadableEntries:
--- a/api_gateway/base/errors.py
+++ b/api_gateway/base/errors.py
@@ -11,7 +11,7 @@
 
 
 @contextmanager
-def in_one_line(path: str) -> Iterator[None]:
+def config_errors_in_one_line(path: str) -> Iterator[None]:
     """Turn whatever is wrong with a file into a ConfigError of one line.
 
     Args:
--- a/api_gateway/base/ratelimit.py
+++ b/api_gateway/base/ratelimit.py
@@ -24,7 +24,7 @@
         self.next_line_at = 0.0  # monotonic
         self.left_out_count = 0
 
-    def say(self, level: int, text: str, *args: Any) -> None:
+    def write(self, level: int, text: str, *args: Any) -> None:
         """Write a line, or count it as left out. Arguments are as those of logging.Logger.log()."""
         now = monotonic()
         if now < self.next_line_at:
--- a/api_gateway/base/resp.py
+++ b/api_gateway/base/resp.py
@@ -17,15 +17,15 @@
 # Bytes of a head, a number, a simple string or an error.
 MAX_LINE_BYTES = 4096
 # Bytes of a string above which it is passed on in pieces.
-SMALL = 64 * 1024
+STREAMING_THRESHOLD_BYTES = 64 * 1024
 # Bytes that a value may have by the protocol.
-MOST_LARGE = 4 * 1024 * 1024
+MAX_VALUE_BYTES = 4 * 1024 * 1024
 # What `gets` returns when more bytes are needed; None and False are values. Of any type, as these.
-NO_REPLY: Any = object()
+INCOMPLETE: Any = object()
 # Given to hiredis in the place of a large string.
 LARGE_STRING_PLACEHOLDER = b"$0\r\n\r\n"
 # Ends each line and each string.
-END = b"\r\n"
+CRLF = b"\r\n"
 # The heads that are most frequent, and how many bytes follow each: the string and its END.
 FREQUENT_HEADS = {b"$%d" % length: length + 2 for length in range(512)} | {b"$-1": 0}
 # The digit "0" as a byte: it begins no number of more than one digit.
@@ -34,7 +34,7 @@
 MAX_COUNT_DIGITS = 9
 
 
-class Reader:
+class RespReader:
     """Reads RESP2 values from a stream that comes in pieces.
 
     Nothing that hiredis could take for the end of a string reaches it before it is known to be one.
@@ -61,7 +61,7 @@
         self.max_string_bytes = max_string_bytes
         self.large_array_parts = part_count
         self.parts_behind_large = part_count - part_index - 1
-        self.reader = hiredis.Reader(notEnoughData=NO_REPLY)
+        self.reader = hiredis.Reader(notEnoughData=INCOMPLETE)
         self.gets: Callable[[], Any] = self.reader.gets
         self.broken = False  # the stream cannot go on
         self.partial_line = b""  # a line that is not complete yet
@@ -70,7 +70,7 @@
         self.array_parts = 0
         self.parts_due = 0
         # The large string.
-        self.begun = 0
+        self.large_string_bytes = 0
         self.buffered = b""
         self.large_bytes_left = 0  # still to arrive of one that is passed on, END included
         self.large_end = b""  # what has arrived of its END
@@ -78,9 +78,9 @@
 
     def feed(self, data: bytes) -> None:
         """Take the next bytes of the stream."""
-        if self.begun or self.broken or self.large_bytes_left or self.partial_line:
-            if self.begun or self.broken:
-                self.buffered += data if self.begun else b""
+        if self.large_string_bytes or self.broken or self.large_bytes_left or self.partial_line:
+            if self.large_string_bytes or self.broken:
+                self.buffered += data if self.large_string_bytes else b""
                 return
             data = self._resume(data)
         at = self.bytes_to_skip
@@ -88,19 +88,19 @@
         if at and not may_end_at(data, at):
             self._fail(b"")
             return
-        while at < size and (end := data.find(END, at)) >= 0:
+        while at < size and (end := data.find(CRLF, at)) >= 0:
             line = data[at:end]
             length = FREQUENT_HEADS.get(line)
             if length is not None and length <= self.max_string_bytes:
                 self.parts_due -= 1
             else:
                 length = self._following_bytes(line)
-                if length is None or length > SMALL + 2 and self.is_large_part():
+                if length is None or length > STREAMING_THRESHOLD_BYTES + 2 and self.is_large_part():
                     self._stop_at(data, at, end, length)
                     return
             head = at
             at = end + 2 + length
-            if length and not data.startswith(END, at - 2) and not may_end_at(data, at):
+            if length and not data.startswith(CRLF, at - 2) and not may_end_at(data, at):
                 self._fail(data[:head])
                 return
         self.bytes_to_skip = max(0, at - size)
@@ -116,8 +116,8 @@
         The last call has END, behind the string; no piece of the string itself equals it.
         """
         self.sink = sink
-        self.large_bytes_left = self.begun + 2
-        self.begun = 0
+        self.large_bytes_left = self.large_string_bytes + 2
+        self.large_string_bytes = 0
         self.large_end = b""
         data = self.buffered
         self.buffered = b""
@@ -130,7 +130,7 @@
     def is_in_large_part(self) -> bool:
         """Return whether a part that may be a large string was announced and is not complete."""
         return self.is_large_part() and (
-            self.bytes_to_skip > 0 or self.large_bytes_left > 0 or self.begun > 0
+            self.bytes_to_skip > 0 or self.large_bytes_left > 0 or self.large_string_bytes > 0
         )
 
     def has_data(self) -> bool:
@@ -139,7 +139,7 @@
             self.broken
             or bool(self.partial_line)
             or self.bytes_to_skip > 0
-            or self.begun > 0
+            or self.large_string_bytes > 0
             or self.large_bytes_left > 0
             or self.reader.has_data()
         )
@@ -156,7 +156,7 @@
             self._fail(data[:at])
             return
         self.reader.feed(data[:at])
-        self.begun = length - 2
+        self.large_string_bytes = length - 2
         self.buffered = data[end + 2 :]
         self.partial_line = b""
         self.bytes_to_skip = 0
@@ -172,7 +172,7 @@
     def _gets_last(self) -> Any:
         """Return the next value of a broken stream; after the last one raise hiredis.ProtocolError."""
         value = self.reader.gets()
-        if value is NO_REPLY:
+        if value is INCOMPLETE:
             raise hiredis.ProtocolError("the stream cannot go on")
         return value
 
@@ -186,7 +186,7 @@
             length = parse_count(line[1:])
             if length is None:
                 return None
-            if length > self.max_string_bytes and not (length <= MOST_LARGE and self.is_large_part()):
+            if length > self.max_string_bytes and not (length <= MAX_VALUE_BYTES and self.is_large_part()):
                 return None
             return length + 2 if length >= 0 else 0
         return 0 if kind in (b"+", b"-", b":") and len(line) <= MAX_LINE_BYTES else None
@@ -217,19 +217,19 @@
         self.large_end += taken[string_bytes:] if string_bytes > 0 else taken
         if string_bytes > 0:
             self._emit(taken[:string_bytes])
-        if not END.startswith(self.large_end):
+        if not CRLF.startswith(self.large_end):
             self._fail(b"")
             return b""
         if self.large_bytes_left:
             return b""
-        self.sink(END)
+        self.sink(CRLF)
         self.reader.feed(LARGE_STRING_PLACEHOLDER)
         return data[len(taken) :]
 
     def _emit(self, string: bytes) -> None:
         """Pass a piece to the sink; in two if it equals END, which tells the sink the end of the string."""
         assert self.sink is not None
-        for piece in (string[:1], string[1:]) if string == END else (string,):
+        for piece in (string[:1], string[1:]) if string == CRLF else (string,):
             self.sink(piece)
 
 
@@ -245,4 +245,4 @@
 
     If `at` is 1, its CR may have arrived before `data`.
     """
-    return END.startswith(data[at - 2 : at]) if at > 1 else data[:1] in (b"\n", b"")
+    return CRLF.startswith(data[at - 2 : at]) if at > 1 else data[:1] in (b"\n", b"")
--- a/api_gateway/base/shared_file.py
+++ b/api_gateway/base/shared_file.py
@@ -12,7 +12,7 @@
 FileSignature = tuple[int, int, int]
 
 
-class Kept:
+class SharedFile:
     """A text file, with `.new` and `.lock` files beside it.
 
     A process dies at any moment without harm: the lock goes with it, and a reader sees either text whole.
--- a/api_gateway/base/subsets.py
+++ b/api_gateway/base/subsets.py
@@ -22,7 +22,7 @@
 from typing import Any
 from urllib.parse import quote, unquote, urlencode
 
-RING = 2**63
+RING_SIZE = 2**63
 GOLDEN = 5700357409661599243  # the golden section of a ring: steps of it fill a ring evenly, however many
 MIN_GROUP_SIZE = 6  # endpoints of each kind, as far as there are so many
 MAX_SUBSET_SIZE = 65536
@@ -36,14 +36,14 @@
 Spot = tuple[int, str]  # an endpoint's position and its id, which breaks ties
 
 
-def place_of(name: str) -> int:
+def position_of_endpoint(name: str) -> int:
     """Return an endpoint's position, of 63 bits, by its id."""
     text = f"{name}\x1fplace".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class SubsetSpec:
     """What a gateway asks for: its subset. Equal values are one subset, as kinds are sorted, each once.
 
     Raises:
@@ -57,7 +57,7 @@
 
     def __post_init__(self) -> None:
         """Check the values and sort the kinds."""
-        if type(self.index) is not int or not 0 <= self.index < RING:
+        if type(self.index) is not int or not 0 <= self.index < RING_SIZE:
             raise ValueError(f"the index of a view is {str(self.index)[:40]!r}, not a whole number from 0 on")
         if type(self.size) is not int or not 1 <= self.size <= MAX_SUBSET_SIZE:
             raise ValueError(
@@ -74,13 +74,13 @@
                 )
 
     @property
-    def place(self) -> int:
+    def position(self) -> int:
         """Position of the gateway.
 
         Any run of numbers is spread evenly over the ring, and so is every n-th of them, as those of one of n
         zones, where n is below ten; some strides beyond are less even.
         """
-        return self.index * GOLDEN % RING
+        return self.index * GOLDEN % RING_SIZE
 
     @property
     def groups(self) -> tuple[str | None, ...]:
@@ -88,7 +88,7 @@
         return self.kinds or (None,)
 
     @property
-    def share(self) -> int:
+    def group_size(self) -> int:
         """Available endpoints wanted of each group."""
         return max(MIN_GROUP_SIZE, -(-self.size // len(self.kinds))) if self.kinds else self.size
 
@@ -105,7 +105,7 @@
     return not any("\ud800" <= char <= "\udfff" for char in name)
 
 
-def read_view(view: str, kinds: str | None = None) -> View:
+def read_subset_spec(view: str, kinds: str | None = None) -> SubsetSpec:
     """Read a subset from the values in a query.
 
     Args:
@@ -121,11 +121,11 @@
         if not (text.isascii() and text.isdecimal()) or len(text) > MAX_NUMBER_DIGITS:
             raise ValueError(f"view is {view[:40]!r}, not INDEX,SIZE or INDEX,SIZE,ZONE")
     names = () if kinds is None else tuple(unquote(kind) for kind in kinds.split(","))
-    return View(int(index), int(size), zone, names)
+    return SubsetSpec(int(index), int(size), zone, names)
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class SubsetPart:
     """What a subset takes of one ring: of its own zone's (own), or of that of all others."""
 
     group: str | None
@@ -135,7 +135,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class RingEntry:
     """An endpoint as it lies in the rings."""
 
     spot: Spot
@@ -155,7 +155,7 @@
         self.draining: list[Any] = []
 
 
-class Rings:
+class EndpointRings:
     """All endpoints. A change costs two searches and two shifts of a list, whatever the subsets are.
 
     Spots may have another form in a subclass that overrides position_key(), position_of(), id_of() and
@@ -164,7 +164,7 @@
 
     def __init__(self) -> None:
         """Initialise without endpoints."""
-        self.known: dict[str, Known] = {}  # by id
+        self.known: dict[str, RingEntry] = {}  # by id
         self.groups: dict[str | None, dict[str, Ring]] = {None: {}}  # by kind (None: all), by zone
 
     def put(self, name: str, kind: str, zone: str, up: bool) -> None:
@@ -173,8 +173,8 @@
         if last is not None and (last.kind, last.zone, last.up) == (kind, zone, up):
             return
         self.drop(name)
-        spot = (place_of(name), name) if last is None else last.spot
-        self.known[name] = Known(spot, kind, zone, up)
+        spot = (position_of_endpoint(name), name) if last is None else last.spot
+        self.known[name] = RingEntry(spot, kind, zone, up)
         for group in (None, kind):
             ring = self.groups.setdefault(group, {}).setdefault(zone, Ring())
             insort(ring.up if up else ring.draining, spot)
@@ -219,11 +219,11 @@
         """Return spots as a Part holds them: their ids."""
         return list(map(itemgetter(1), spots))
 
-    def total(self, view: View) -> int:
+    def total(self, view: SubsetSpec) -> int:
         """Return the count of available endpoints in the groups of a subset."""
         return sum(len(ring.up) for group in view.groups for ring in self.groups.get(group, {}).values())
 
-    def members(self, view: View) -> set[str]:
+    def members(self, view: SubsetSpec) -> set[str]:
         """Return a subset: the available ones and the draining among them, at most twice its size."""
         return {name for group in view.groups for part in self.parts(view, group) for name in part.hosts}
 
@@ -231,7 +231,7 @@
         """Return the count of named zones with available endpoints of a group, in time linear in zones."""
         return sum(bool(zone and ring.up) for zone, ring in self.groups.get(group, {}).items())
 
-    def parts(self, view: View, group: str | None) -> Iterator[Part]:
+    def parts(self, view: SubsetSpec, group: str | None) -> Iterator[SubsetPart]:
         """Yield what a subset takes of a group.
 
         That is half of its size in the own zone and the rest in the others, or as ZoneSplit says where zones
@@ -244,7 +244,7 @@
         another zone has its first endpoint or has lost its last.
         """
         zones = self.groups.get(group, {})
-        size = view.share
+        size = view.group_size
         own_rings = [zones[view.zone]] if view.zone and view.zone in zones else []
         other_rings = [ring for zone, ring in zones.items() if not view.zone or zone != view.zone]
         half = -(-size // 2) if view.zone else 0
@@ -264,12 +264,12 @@
 class ZoneSide:
     """The endpoints of one group in the own zone, or in all others, from a subset's position on."""
 
-    def __init__(self, rings_of_all: Rings, rings: list[Ring], view: View) -> None:
+    def __init__(self, rings_of_all: EndpointRings, rings: list[Ring], view: SubsetSpec) -> None:
         """Initialise the side of some rings of all."""
         self.rings_of_all = rings_of_all
         self.rings = rings
-        self.position = view.place
-        self.size = view.share
+        self.position = view.position
+        self.size = view.group_size
         self.available = sum(len(ring.up) for ring in rings)
         self.found: list[Any] = []  # spots of the first available ones, as far as they were sought
         self.end = 0.0  # length of an arc within which any change matters
@@ -289,7 +289,7 @@
 
     def distance(self, spot: Any) -> int:
         """Return how far after the subset's position a spot lies."""
-        return (self.rings_of_all.position_of(spot) - self.position) % RING
+        return (self.rings_of_all.position_of(spot) - self.position) % RING_SIZE
 
     def arc_length(self, count: int) -> float:
         """Return the length of the arc to the last of the first `count` available; inf: there are fewer."""
@@ -297,7 +297,7 @@
             return math.inf
         return self.distance(self.first_available(count)[count - 1]) if count else 0.0
 
-    def part(self, group: str | None, *, is_own: bool, limit: int, reach: int) -> Part:
+    def part(self, group: str | None, *, is_own: bool, limit: int, reach: int) -> SubsetPart:
         """Return the first `limit` available ones, and the draining among the first `reach` of all."""
         found = self.first_available(limit)[:limit]
         has_end = limit < self.available
@@ -310,14 +310,14 @@
                     break
                 found.append(spot)
         members = tuple(self.rings_of_all.members_of(found))
-        return Part(group, is_own, members, self._last_relevant(limit) if has_end else None)
+        return SubsetPart(group, is_own, members, self._last_relevant(limit) if has_end else None)
 
     def _last_relevant(self, count: int) -> Spot | None:
         """Return up to where a change matters, if `count` available ones are taken."""
-        if self.end >= RING - 1:
+        if self.end >= RING_SIZE - 1:
             return None
         if self.end > self.arc_length(count):
-            return (self.position + math.ceil(self.end)) % RING, ""
+            return (self.position + math.ceil(self.end)) % RING_SIZE, ""
         if not count:
             return self.position, ""
         spot = self.first_available(count)[count - 1]
--- a/api_gateway/budgets/config.py
+++ b/api_gateway/budgets/config.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct
 
 from api_gateway.base.endpoint_list import Address, read_address
-from api_gateway.base.errors import ConfigError, in_one_line
+from api_gateway.base.errors import ConfigError, config_errors_in_one_line
 from api_gateway.budgets.terms import Terms, Weight, validate_terms
 
 
@@ -49,7 +49,7 @@
     path = env.get("BUDGETS_CONFIG")
     if not path:
         raise ConfigError("BUDGETS_CONFIG is not set")
-    with in_one_line(path):
+    with config_errors_in_one_line(path):
         file = msgspec.json.decode(Path(path).read_bytes(), type=ConfigFile)
         validate_terms(file.terms)
         log = Path(file.log) if file.log else None
--- a/api_gateway/control/config_candidate.py
+++ b/api_gateway/control/config_candidate.py
@@ -22,7 +22,7 @@
     OBJECT_LIST,
     JsonObject,
 )
-from api_gateway.gateway.config import kind
+from api_gateway.gateway.config import json_kind
 
 # Characters of a value that an answer repeats, and digits of a number.
 MAX_SHOWN_LENGTH = 80
@@ -170,8 +170,8 @@
     key = KEY_BY_PATH.get(key_pattern) or KEY_BY_PATH.get(join(pattern, "*"))
     if key is None and name not in current:
         yield Fault(key_path, value, "no such key")
-    elif key is None and kind(value) != kind(current[name]):
-        yield Fault(key_path, value, f"{kind(current[name])}, as it is")
+    elif key is None and json_kind(value) != json_kind(current[name]):
+        yield Fault(key_path, value, f"{json_kind(current[name])}, as it is")
     elif key is not None and not is_same(value, current.get(name)) and not key.kind.is_valid(value):
         yield Fault(key_path, value, key.kind.allowed)
     elif key_pattern in FIXED_PATHS:
--- a/api_gateway/control/config_changes.py
+++ b/api_gateway/control/config_changes.py
@@ -15,12 +15,10 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from api_gateway.base.endpoint_list import Listing, write_address
+from api_gateway.base.endpoint_list import EndpointListing, write_address
 from api_gateway.base.errors import ConfigError
 from api_gateway.control import config_candidate
 from api_gateway.control.config_history import (
-    MAX_BYTES,
-    MAX_VERSIONS,
     ConfigHistory,
     ConfigHistoryFile,
     ConfigVersion,
@@ -49,14 +47,11 @@
 # Seconds that an operator may ask for to confirm a change.
 CONFIRM_LEAST = 1.0
 CONFIRM_MOST = 3600.0
-# The capacity page names the limits of the history by this module.
-MOST_VERSIONS = MAX_VERSIONS
-MOST_BYTES = MAX_BYTES
 
 log = logging.getLogger(__name__)
 
 
-class Changes:
+class ConfigChanges:
     """Brings configurations of one gateway process into force, and follows the processes beside it.
 
     It owns the history and the timer of a pending confirmation; the node owns the configuration itself.
@@ -78,7 +73,7 @@
 
     # The history, and what other processes wrote there
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Go on from the stored version, unless what this process was started with has changed since."""
         own = self.history
         try:
@@ -97,7 +92,7 @@
         else:
             self.adopt_history(found or own)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Follow what another process has brought into force; cheap where the file has not changed."""
         if self.history_file.has_changed() and (found := self.history_file.load()) is not None:
             self.adopt_history(found)
@@ -123,12 +118,12 @@
             self.commit(config, newest, None)
         self.schedule_expiry()
 
-    def commit(self, config: Config, version: ConfigVersion, listing: Listing | None) -> None:
+    def commit(self, config: Config, version: ConfigVersion, listing: EndpointListing | None) -> None:
         """Bring a configuration into force between two events of the loop; nothing here can fail."""
         previous = self.current
         self.current = version
         if list(config_candidate.differences(previous.content, version.content)):
-            self.node.adopt(config, listing)
+            self.node.adopt_config(config, listing)
         log.info(
             "configuration version in force version=%d origin=%s classes=%d plans=%d discovery=%s",
             version.number,
@@ -142,7 +137,7 @@
 
     def status(self) -> JsonObject:
         """Return the version in force, the newest one if that is another, and what waits to be confirmed."""
-        self.look()
+        self.poll()
         newest = self.history.newest.number
         pending = self.history.pending
         status = self.current.to_json()
@@ -163,7 +158,7 @@
 
     def list_versions(self) -> list[JsonObject]:
         """Return all versions of the history, the oldest first."""
-        self.look()
+        self.poll()
         pending_number = self.history.pending and self.history.pending.number
         return [
             {
@@ -183,10 +178,10 @@
         Raises:
             ChangeRejectedError: With each fault of the candidate.
         """
-        self.look()
+        self.poll()
         tree, faults = config_candidate.parse(body)
         if not faults:
-            faults = config_candidate.check(tree, {**self.node.config.tree, **self.current.content})
+            faults = config_candidate.check(tree, {**self.node.config.document, **self.current.content})
         content: JsonObject = {}
         if not faults:
             content = {name: tree[name] for name in CHANGEABLE_PATHS if name in tree}
@@ -233,7 +228,7 @@
         Raises:
             ChangeRejectedError: Nothing has changed.
         """
-        self.look()
+        self.poll()
         found = self.history.find(number)
         if found is None:
             raise ChangeRejectedError(404, f"the history holds no version {number}")
@@ -249,14 +244,14 @@
             ChangeRejectedError: This version does not wait.
             OSError: The confirmation cannot be stored; the version goes on waiting.
         """
-        self.look()
+        self.poll()
         pending = self.history.pending
         if pending is not None and pending.number == number and self.node.clock() >= pending.deadline:
             self.expire()
             pending = None
         if pending is not None and pending.number == number:
             with self.history_file.locked():
-                self.look()
+                self.poll()
                 if self.history.pending == pending:
                     confirmed = replace(self.history, pending=None)
                     self.history_file.save(confirmed)
@@ -316,7 +311,7 @@
             text = f"{step}: {type(err).__name__} {err}; nothing changes"
             raise ChangeRejectedError(503, text, step=step) from err
 
-    def signal(self) -> None:
+    def reload(self) -> None:
         """Read the configuration file again after SIGHUP.
 
         It comes into force whatever waits for a confirmation or is being prepared. A file that cannot be used
@@ -356,7 +351,7 @@
         updated = None
         try:
             with self.history_file.locked():
-                self.look()
+                self.poll()
                 updated = update(self.history)
                 self.history_file.save(updated)
         except OSError as err:
@@ -371,7 +366,7 @@
         pending = self.history.pending
         if pending is not None:
             left = max(0.0, pending.deadline - self.node.clock())
-            self.confirmation_timer = self.node.later(left + TIMER_MARGIN_S, self.expire)
+            self.confirmation_timer = self.node.call_later(left + TIMER_MARGIN_S, self.expire)
 
     def expire(self) -> None:
         """Go back to what was in force before a version that nobody confirmed.
--- a/api_gateway/control/config_history.py
+++ b/api_gateway/control/config_history.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from api_gateway.base.shared_file import Kept
+from api_gateway.base.shared_file import SharedFile
 from api_gateway.control.config_schema import is_number
 from api_gateway.control.errors import CorruptHistoryError
 
@@ -237,7 +237,7 @@
             folder: Where the processes of this gateway keep their files.
             gateway_name: Begins the file's name.
         """
-        self.shared_file = Kept(folder / f"{gateway_name}-config.json" if folder else None)
+        self.shared_file = SharedFile(folder / f"{gateway_name}-config.json" if folder else None)
 
     @property
     def path(self) -> Path | None:
--- a/api_gateway/control/config_preparation.py
+++ b/api_gateway/control/config_preparation.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from api_gateway.base.endpoint_list import Listing, write_address
-from api_gateway.base.errors import in_one_line
+from api_gateway.base.endpoint_list import EndpointListing, write_address
+from api_gateway.base.errors import config_errors_in_one_line
 from api_gateway.control.config_history import (
     ConfigHistory,
     JsonObject,
@@ -20,11 +20,11 @@
 )
 from api_gateway.control.config_schema import CHANGEABLE_PATHS
 from api_gateway.control.errors import ChangeRejectedError
-from api_gateway.gateway.config import Config, rebuild
-from api_gateway.policy import Gateway
+from api_gateway.gateway.config import Config, rebuild_config
+from api_gateway.policy import DecisionEngine
 
 if TYPE_CHECKING:
-    from api_gateway.control.config_changes import Changes
+    from api_gateway.control.config_changes import ConfigChanges
     from api_gateway.gateway.node import GatewayNode
 
 
@@ -32,8 +32,8 @@
     """Return the parts of a configuration that may change, whether the file or the environment gave them."""
     content: JsonObject = {
         "discovery": write_address(config.discovery),
-        "limits": config.tree["limits"],
-        "settings": config.tree["settings"],
+        "limits": config.document["limits"],
+        "settings": config.document["settings"],
     }
     if config.counter:
         content["counter"] = write_address(config.counter)
@@ -42,7 +42,7 @@
 
 def source_digest(config: Config) -> str:
     """Return the digest of what the configuration file itself says of the parts that may change."""
-    source = {name: config.tree.get(name) for name in CHANGEABLE_PATHS}
+    source = {name: config.document.get(name) for name in CHANGEABLE_PATHS}
     return content_digest(json.dumps(source, sort_keys=True))
 
 
@@ -52,8 +52,8 @@
     Raises:
         ConfigError: It makes no configuration.
     """
-    with in_one_line("configuration"):
-        return rebuild(current, {**current.tree, **content})
+    with config_errors_in_one_line("configuration"):
+        return rebuild_config(current, {**current.document, **content})
 
 
 def reject_if_stopping(node: GatewayNode) -> None:
@@ -82,37 +82,37 @@
     origin: str
     restored: int | None = None
     confirm_within: float | None = None
-    listing: Listing | None = None
+    listing: EndpointListing | None = None
 
 
-async def try_decision_module(changes: Changes, change: ChangeInProgress) -> None:
+async def try_decision_module(changes: ConfigChanges, change: ChangeInProgress) -> None:
     """Let a trial instance of the decision module take the change."""
-    trial = Gateway(change.previous.settings, 1, changes.node.clock())
-    trial.retune(changes.node.clock(), change.config.settings)
+    trial = DecisionEngine(change.previous.settings, 1, changes.node.clock())
+    trial.apply_settings(changes.node.clock(), change.config.settings)
 
 
-async def check_capacity(changes: Changes, change: ChangeInProgress) -> None:
+async def check_capacity(changes: ConfigChanges, change: ChangeInProgress) -> None:
     """Reject limits that are below what is in use."""
-    shortage = changes.node.short_of(change.config)
+    shortage = changes.node.capacity_shortage(change.config)
     if shortage:
         raise ChangeRejectedError(409, f"{shortage}; nothing changes", step="room")
 
 
-async def contact_discovery(changes: Changes, change: ChangeInProgress) -> None:
+async def contact_discovery(changes: ConfigChanges, change: ChangeInProgress) -> None:
     """Fetch the endpoint list from a new discovery address."""
     if change.config.discovery != change.previous.discovery:
-        change.listing = await changes.node.discovery.contact(change.config.discovery)
+        change.listing = await changes.node.discovery.fetch_list_from(change.config.discovery)
 
 
-async def contact_counter(changes: Changes, change: ChangeInProgress) -> None:
+async def contact_counter(changes: ConfigChanges, change: ChangeInProgress) -> None:
     """Connect to a new counter address."""
     if change.config.counter is not None and change.config.counter != change.previous.counter:
         counter = changes.node.counter
         assert counter is not None  # one that comes needs a new process, as the check says
-        await counter.contact(change.config.counter)
+        await counter.ping(change.config.counter)
 
 
-async def store_history(changes: Changes, change: ChangeInProgress) -> None:
+async def store_history(changes: ConfigChanges, change: ChangeInProgress) -> None:
     """Add the change to the stored history: the last step, in the same turn as the commit.
 
     A process that dies from here on leaves the new version to the next one.
@@ -123,7 +123,7 @@
     """
     reject_if_stopping(changes.node)
     with changes.history_file.locked():
-        changes.look()
+        changes.poll()
         if changes.history is not change.history:
             raise ChangeRejectedError(409, f"version {changes.history.newest.number} came first")
         now = changes.node.clock()
@@ -138,7 +138,7 @@
 
 
 # By the names that answers to operators give.
-STEPS: dict[str, Callable[[Changes, ChangeInProgress], Awaitable[None]]] = {
+STEPS: dict[str, Callable[[ConfigChanges, ChangeInProgress], Awaitable[None]]] = {
     "module": try_decision_module,
     "room": check_capacity,
     "discovery": contact_discovery,
--- a/api_gateway/control/config_schema.py
+++ b/api_gateway/control/config_schema.py
@@ -14,7 +14,7 @@
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import read_address
-from api_gateway.settings_parser import DISCOVERY, EFFECT, REPORT
+from api_gateway.settings_parser import DISCOVERY_MODES, IDEMPOTENCY_OF_EFFECT, LOAD_REPORT_FIELDS
 
 # Bytes of a candidate.
 MOST_BODY = 512 * 1024
@@ -185,13 +185,13 @@
     changeable("settings.index", NON_NEGATIVE_INTEGER, EACH_DECISION),
     changeable("settings.group_size", POSITIVE_INTEGER, EACH_DECISION),
     changeable("settings.locality", TEXT, EACH_DECISION),
-    changeable("settings.registry_mode", one_of(*DISCOVERY), EACH_DECISION),
+    changeable("settings.registry_mode", one_of(*DISCOVERY_MODES), EACH_DECISION),
     changeable("settings.weights", TEXT, EACH_DECISION),
     changeable("settings.services", NON_EMPTY_OBJECT_LIST, FROM_NEXT_REQUEST),
     changeable("settings.services.*.name", TEXT, FROM_NEXT_REQUEST),
     changeable("settings.services.*.slo", POSITIVE_DURATION_NS, FROM_NEXT_REQUEST),
     changeable("settings.services.*.deadline", POSITIVE_DURATION_NS, FROM_NEXT_REQUEST),
-    changeable("settings.services.*.effect", one_of(*EFFECT), FROM_NEXT_REQUEST),
+    changeable("settings.services.*.effect", one_of(*IDEMPOTENCY_OF_EFFECT), FROM_NEXT_REQUEST),
     changeable("settings.services.*.dedup_scope", one_of(*api.DEDUP_SCOPES), FROM_NEXT_REQUEST),
     changeable("settings.services.*.memory_span", DURATION_NS, FROM_NEXT_REQUEST),
     changeable("settings.services.*.gain", NON_NEGATIVE, FROM_NEXT_REQUEST),
@@ -237,7 +237,9 @@
     changeable("settings.prices", OBJECT, EACH_DECISION),
     changeable("settings.prices.*", number_kind("a number"), EACH_DECISION),
     changeable("settings.reporting", OBJECT, EACH_DECISION),
-    changeable("settings.reporting.names", NAME_LIST, f"of {', '.join(REPORT)}; others are passed over"),
+    changeable(
+        "settings.reporting.names", NAME_LIST, f"of {', '.join(LOAD_REPORT_FIELDS)}; others are passed over"
+    ),
     changeable("settings.specifics", OBJECT, "taken whole"),
     changeable("settings.specifics.shared_counter", FLAG, "needs an address of the counter"),
     changeable("settings.specifics.counter_price", NON_NEGATIVE, EACH_DECISION),
--- a/api_gateway/control/host_overrides.py
+++ b/api_gateway/control/host_overrides.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from api_gateway import interface as api
-from api_gateway.base.shared_file import Kept
+from api_gateway.base.shared_file import SharedFile
 from api_gateway.control.errors import ControlError
 
 # Seconds for which the end of an override is stored: the host is past its slow start long before.
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 
-class UnknownHost(ControlError):
+class UnknownHostError(ControlError):
     """No endpoint list has named this host."""
 
     def __init__(self, endpoint_id: str) -> None:
@@ -58,7 +58,7 @@
     return api.EndpointOverride(endpoint_id, entry["out"], float(at))
 
 
-class Bans:
+class HostOverrides:
     """The overrides as the processes of one gateway share them.
 
     Without a folder they last as long as the process.
@@ -71,11 +71,11 @@
             folder: Where the processes of this gateway keep their files.
             name: The gateway's, which begins the file's name.
         """
-        self.shared_file = Kept(folder / f"{name}-hosts-out.json" if folder else None)
+        self.shared_file = SharedFile(folder / f"{name}-hosts-out.json" if folder else None)
         self.overrides: dict[str, api.EndpointOverride] = {}
         self.read_failed = False
 
-    def changed(self) -> bool:
+    def has_changed(self) -> bool:
         """Return whether another process has written since this one last read or wrote."""
         return self.shared_file.has_changed()
 
@@ -106,7 +106,7 @@
             log.error("host overrides corrupt, last ones stay path=%s error=%s", self.shared_file.path, err)
         self.read_failed = False
 
-    def say(self, override: api.EndpointOverride) -> None:
+    def store(self, override: api.EndpointOverride) -> None:
         """Store an override beside those of other processes.
 
         Raises:
--- a/api_gateway/control/server.py
+++ b/api_gateway/control/server.py
@@ -22,7 +22,7 @@
 from api_gateway.control.config_changes import CONFIRM_LEAST, CONFIRM_MOST
 from api_gateway.control.config_schema import MOST_BODY, MOST_TOLD, is_number
 from api_gateway.control.errors import ChangeRejectedError
-from api_gateway.control.host_overrides import UnknownHost
+from api_gateway.control.host_overrides import UnknownHostError
 
 if TYPE_CHECKING:
     from api_gateway.gateway.node import GatewayNode
@@ -83,7 +83,7 @@
             transport.abort()
 
 
-class Control:
+class ControlServer:
     """Answers the calls of operators for one gateway process.
 
     The node and its changes act before they return, so an answer says what has happened.
@@ -162,7 +162,7 @@
     def override_host(self, request: web.BaseRequest, *, ejected: bool) -> Answer:
         """Set the override of the host that the query names."""
         host = query_values(request, "host")[0]
-        self.node.hand(host, ejected)
+        self.node.set_override(host, ejected)
         return 200, {"host": host, "out": ejected}
 
     def begin_drain(self, request: web.BaseRequest) -> Answer:
@@ -176,7 +176,7 @@
     def set_drain(self, request: web.BaseRequest, *, draining: bool) -> Answer:
         """Begin or end a drain; a process that is stopping rejects both."""
         query_values(request)
-        if not self.node.drain(draining):
+        if not self.node.set_draining(draining):
             return 409, {"error": "this process is at its end"}
         return 200, {"state": self.node.state}
 
@@ -185,7 +185,7 @@
         query_values(request)
         if self.node.member is None:
             return 404, {"error": "this process is in no cluster"}
-        return 200, self.node.member.told()
+        return 200, self.node.member.status()
 
     def get_config(self, request: web.BaseRequest) -> Answer:
         """Answer the configuration in force."""
@@ -238,7 +238,7 @@
         return 400, {"error": str(error)}
     if isinstance(error, ChangeRejectedError):
         return error.status, error.answer
-    if isinstance(error, UnknownHost):
+    if isinstance(error, UnknownHostError):
         return 404, {"error": f"no list has named host {error}"}
     if isinstance(error, TimeoutError):
         return 408, {"error": f"no whole body within {BODY_TIMEOUT_S:.0f} s"}
--- a/api_gateway/counter_client.py
+++ b/api_gateway/counter_client.py
@@ -169,11 +169,11 @@
         for line in lines:
             is_line = len(line) <= MAX_ANSWER_BYTES and line[-1:] == b"\r"
             if not is_line or not self._handle_answer(line[:-1]):
-                self._protocol_log.say(logging.WARNING, "counter: unexpected answer %r", line[:80])
+                self._protocol_log.write(logging.WARNING, "counter: unexpected answer %r", line[:80])
                 self.abort_after_malformed_answer()
                 return
         if len(self._partial_line) > MAX_ANSWER_BYTES:
-            self._protocol_log.say(logging.WARNING, "counter: an answer without end")
+            self._protocol_log.write(logging.WARNING, "counter: an answer without end")
             self.abort_after_malformed_answer()
 
     def write(self, call: Call) -> bool:
@@ -215,7 +215,7 @@
         now = monotonic()
         if self.unanswered_calls and now - self.unanswered_calls[0].started_at > ANSWER_TIMEOUT_S:
             # A machine that vanished says nothing, and its connections stay open for good.
-            self._protocol_log.say(
+            self._protocol_log.write(
                 logging.WARNING, "counter: no answer for %.0f s, connecting again", ANSWER_TIMEOUT_S
             )
             self.abort()
@@ -296,26 +296,26 @@
             self.abort()
 
 
-class Counter:
+class CounterClient:
     """The gateway's client of the counter service.
 
     Attributes:
         timeout: Seconds that a call waits for its answer.
-        lines: The connections; a counter name belongs to one of them.
+        connections: The connections; a counter name belongs to one of them.
     """
 
     def __init__(self, address: Address, timeout: float) -> None:
         """Make a client that is not connected; `start` connects it."""
         self.timeout = timeout
-        self.lines = [CounterConnection(address) for _ in range(CONNECTION_COUNT)]
+        self.connections = [CounterConnection(address) for _ in range(CONNECTION_COUNT)]
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
         """Open the connections and keep them open. Calls made at once wait for the first of them."""
         loop = asyncio.get_running_loop()
-        for connection in self.lines:
+        for connection in self.connections:
             connection.expect_connection()
-        work = [*(connection.run() for connection in self.lines), self._check_connections()]
+        work = [*(connection.run() for connection in self.connections), self._check_connections()]
         self._tasks = [loop.create_task(coroutine) for coroutine in work]
 
     def add(self, name: int, amount: float, lifetime: float, on_result: ResultCallback) -> None:
@@ -332,12 +332,12 @@
         call = Call(name, command, on_result)
         loop = asyncio.get_running_loop()
         # One connection a name keeps its answers in order.
-        if self.lines[name % CONNECTION_COUNT].write(call):
+        if self.connections[name % CONNECTION_COUNT].write(call):
             call.timer = loop.call_later(self.timeout, call.give_up)
         else:
             loop.call_soon(call.give_up)
 
-    def retune(self, address: Address, timeout: float) -> None:
+    def reconfigure(self, address: Address, timeout: float) -> None:
         """Apply a changed configuration.
 
         Args:
@@ -345,11 +345,11 @@
             timeout: Seconds that a call waits for its answer.
         """
         self.timeout = timeout
-        for connection in self.lines:
+        for connection in self.connections:
             if connection.address != address:
                 connection.move(address)
 
-    async def contact(self, address: Address) -> None:
+    async def ping(self, address: Address) -> None:
         """Send a `ping`, which costs nothing, to another address.
 
         Raises:
@@ -368,11 +368,11 @@
         """Close the connections for good."""
         for task in self._tasks:
             task.cancel()
-        for connection in self.lines:
+        for connection in self.connections:
             connection.abort()
 
     async def _check_connections(self) -> None:
         while True:
-            await asyncio.sleep(min(connection.keep_alive for connection in self.lines) / 4)
-            for connection in self.lines:
+            await asyncio.sleep(min(connection.keep_alive for connection in self.connections) / 4)
+            for connection in self.connections:
                 connection.check()
--- a/api_gateway/discovery/client.py
+++ b/api_gateway/discovery/client.py
@@ -17,14 +17,14 @@
 from typing import TYPE_CHECKING, Any
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Address, Listing, read_list
+from api_gateway.base.endpoint_list import Address, EndpointListing, read_list
 from api_gateway.base.ratelimit import LimitedLog
 from api_gateway.discovery.drain_memory import DrainMemory
 from api_gateway.discovery.fetcher import BrokenConnectionError, Fetcher, format_host
 from api_gateway.discovery.polling import FULL_LIST_TIMEOUT_S, Params, PollSchedule
 
 if TYPE_CHECKING:  # only with the key `view`
-    from api_gateway.discovery.subsets import Viewing
+    from api_gateway.discovery.subsets import EndpointSubset
 
 PATH = "/v1/endpoints"
 SUBSET_POLL_INTERVAL_S = 0.02  # between checks whether a list has been read to its end
@@ -43,7 +43,7 @@
     return "&".join(f"{name}={value}" for name, value in params.items())
 
 
-async def fetch_list(fetcher: Fetcher, address: Address, params: Params, limit: float) -> Listing:
+async def fetch_list(fetcher: Fetcher, address: Address, params: Params, limit: float) -> EndpointListing:
     """Fetch a list or its changes within `limit` seconds.
 
     Raises:
@@ -64,12 +64,12 @@
         self,
         address: Address,
         version: int | None,
-        on_list: Callable[[Listing], None],
+        on_list: Callable[[EndpointListing], None],
         on_failure: Callable[[], None],
         gateways: int = 1,
         seed: int = 0,
         grace: float | None = None,
-        viewing: Viewing | None = None,
+        viewing: EndpointSubset | None = None,
     ) -> None:
         """Initialise the discovery.
 
@@ -85,7 +85,7 @@
             viewing: The subset of the endpoints that this gateway uses; None: it uses all.
         """
         self.address = address
-        self.viewing = viewing
+        self.subset = viewing
         # With a subset, too, the known list serves while the first call is delayed; no watch goes on from it.
         self.delays_first_call = viewing is not None and version is not None
         self.version = None if viewing else version
@@ -102,7 +102,7 @@
         self.first_answer = asyncio.Event()
         self.drains = DrainMemory()
 
-    def retune(self, grace: float) -> None:
+    def set_drain_grace(self, grace: float) -> None:
         """Take over another grace period of a drain, in seconds, where an agent answers."""
         self.schedule.set_grace(grace)
 
@@ -115,15 +115,15 @@
         """Return the seconds since the last answer; None: there was none."""
         return None if self.last_answer_at is None else monotonic() - self.last_answer_at
 
-    def told_of(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return what operators see of the list, as JSON."""
         age = self.age()
         return {
             "version": self.version,
             "age": None if age is None else round(age, 1),
             "from": self.url,
-            "failures": self.backoff.fails,
-            **({"view": self.viewing.told_of()} if self.viewing else {}),
+            "failures": self.backoff.failure_count,
+            **({"view": self.subset.status()} if self.subset else {}),
         }
 
     # Calls
@@ -145,8 +145,8 @@
             if params and listing.hosts.mode == "delta" and listing.hosts.version < (version or 0):
                 raise ValueError(f"changes up to version {listing.hosts.version}, where {version} was known")
             self.validate(listing)
-            if self.viewing:
-                await self.viewing.bring(listing)
+            if self.subset:
+                await self.subset.bring(listing)
             self.accept_list(listing)
             self.last_answer_at = monotonic()
             self.first_answer.set()
@@ -158,22 +158,20 @@
         address: Address,
         params: Params,
         limit: float,
-        on_partial_list: Callable[[Listing], None] | None = None,
-    ) -> Listing:
+        on_partial_list: Callable[[EndpointListing], None] | None = None,
+    ) -> EndpointListing:
         """Fetch a list without any effect but what `on_partial_list` has."""
-        if self.viewing:
-            return await self.viewing.ask(
-                fetcher, address, PATH, format_query(params), limit, on_partial_list
-            )
+        if self.subset:
+            return await self.subset.ask(fetcher, address, PATH, format_query(params), limit, on_partial_list)
         return await fetch_list(fetcher, address, params, limit)
 
-    def _on_partial_list(self, listing: Listing) -> None:
+    def _on_partial_list(self, listing: EndpointListing) -> None:
         """Take what precedes the endpoints of a full list, or drains in it, before the rest is read."""
         self.validate(listing)
         if listing.hosts.endpoints:
             self.on_list(replace(listing, hosts=replace(listing.hosts, mode="delta")))
 
-    async def contact(self, address: Address) -> Listing:
+    async def fetch_list_from(self, address: Address) -> EndpointListing:
         """Fetch the full list at another address, without effect here. Raises what went wrong."""
         fetcher = Fetcher()
         try:
@@ -183,15 +181,15 @@
 
     # Lists that take effect
 
-    def validate(self, listing: Listing) -> None:
+    def validate(self, listing: EndpointListing) -> None:
         """Raise what speaks against taking a list."""
 
-    def accept_list(self, listing: Listing) -> None:
+    def accept_list(self, listing: EndpointListing) -> None:
         """Let a list take effect and pass it on."""
         self.version = listing.hosts.version
-        if self.viewing:
+        if self.subset:
             older = self.drains.is_older(listing)
-            listing = self.viewing.take(
+            listing = self.subset.take(
                 listing,
                 lambda endpoint: self.drains.correct_endpoint(endpoint, older),
                 list(self.drains.started_at),
@@ -199,43 +197,43 @@
         self.record_list(listing)
         self.on_list(self.drains.correct(listing))
 
-    def record_list(self, listing: Listing) -> None:
+    def record_list(self, listing: EndpointListing) -> None:
         """Note a list that takes effect."""
 
-    def begin(self, listing: Listing) -> Listing:
+    def adopt_known_list(self, listing: EndpointListing) -> EndpointListing:
         """Return a list that is known from before, as it holds here."""
-        return self.drains.correct(self.viewing.cut(listing) if self.viewing else listing)
+        return self.drains.correct(self.subset.cut(listing) if self.subset else listing)
 
     # The subset
 
-    def holds(self, host: str) -> bool:
+    def may_have_endpoint(self, host: str) -> bool:
         """Return whether an endpoint may exist that is outside the subset."""
-        return self.viewing is not None and self.viewing.holds(host)
+        return self.subset is not None and self.subset.may_enter(host)
 
-    def widen(self, size: int) -> None:
+    def resize_subset(self, size: int) -> None:
         """Make the subset `size` available endpoints large, as far as its bounds allow."""
-        if self.viewing and self.viewing.resize(size):
-            self._on_subset_change(self.viewing)
+        if self.subset and self.subset.resize(size):
+            self._on_subset_change(self.subset)
 
-    def place(self, index: int, zone: str) -> None:
+    def relocate_subset(self, index: int, zone: str) -> None:
         """Take the subset for another gateway index and zone from here on."""
-        if self.viewing and self.viewing.move(index, zone):
-            self._on_subset_change(self.viewing)
+        if self.subset and self.subset.move(index, zone):
+            self._on_subset_change(self.subset)
 
-    def _on_subset_change(self, viewing: Viewing) -> None:
+    def _on_subset_change(self, viewing: EndpointSubset) -> None:
         """Schedule a turn for the changed subset, as the decision module may be in the middle of one."""
         if viewing.shelf is None:
-            self.fetch()
+            self.fetch_full_list()
         elif self.subset_change is None:
             self.subset_change = asyncio.get_running_loop().call_soon(self._apply_subset_change, viewing)
 
-    def _apply_subset_change(self, viewing: Viewing) -> None:
+    def _apply_subset_change(self, viewing: EndpointSubset) -> None:
         self.subset_change = None
         if viewing.reading:  # a list that takes effect once it is complete
             loop = asyncio.get_running_loop()
             self.subset_change = loop.call_later(SUBSET_POLL_INTERVAL_S, self._apply_subset_change, viewing)
         elif viewing.shelf is not None:  # else another service has sent a subset meanwhile
-            no_changes = Listing(api.EndpointList("delta", self.drains.last_version, ()), {})
+            no_changes = EndpointListing(api.EndpointList("delta", self.drains.last_version, ()), {})
             listing = viewing.shift(no_changes)
             self.record_list(listing)
             self.on_list(self.drains.correct(listing))
@@ -255,8 +253,10 @@
         except Exception as err:  # whatever it is, the watch must outlive it
             self._on_call_failed(err, started_at, is_watch=wait > 0)
             return False
-        if self.backoff.fails:
-            self.recovery_log.say(logging.INFO, "discovery answers again failures=%d", self.backoff.fails)
+        if self.backoff.failure_count:
+            self.recovery_log.write(
+                logging.INFO, "discovery answers again failures=%d", self.backoff.failure_count
+            )
         self.schedule.record_success()
         if not has_news and monotonic() - started_at < wait / 2:
             await asyncio.sleep(EMPTY_WATCH_DELAY_S)
@@ -274,8 +274,8 @@
         )
         if is_unreadable:  # what changed there is in the full list
             self.version = None
-        if not self.backoff.fails:
-            self.failure_log.say(
+        if not self.backoff.failure_count:
+            self.failure_log.write(
                 logging.WARNING,
                 "discovery call failed, the last list stays, retrying with backoff error=%s detail=%s",
                 type(err).__name__,
@@ -297,7 +297,7 @@
                 if not self.schedule.take_immediate_retry(monotonic()):
                     await asyncio.sleep(delay)
 
-    def watch(self, on: bool, pause: float | None = None) -> None:
+    def set_watching(self, on: bool, pause: float | None = None) -> None:
         """Start or stop watching.
 
         Args:
@@ -305,7 +305,7 @@
             pause: Seconds before its first call; None: drawn at random.
         """
         if on and self.watch_task is None:
-            delay = self.backoff.start() if pause is None else pause
+            delay = self.backoff.first_delay() if pause is None else pause
             self.watch_task = asyncio.get_running_loop().create_task(self.run(delay))
         elif not on and self.watch_task is not None:
             self.watch_task.cancel()
@@ -314,10 +314,10 @@
     def restart(self) -> None:
         """Begin a running watch anew: its call in flight is given up before the next is made."""
         if self.watch_task is not None:
-            self.watch(False)
-            self.watch(True, 0.0)
+            self.set_watching(False)
+            self.set_watching(True, 0.0)
 
-    def move(self, address: Address, listing: Listing | None = None) -> None:
+    def move_to(self, address: Address, listing: EndpointListing | None = None) -> None:
         """Go on at another address, from the list that was fetched there or else with the full one."""
         self.address = address
         self.version = None
@@ -325,24 +325,24 @@
             self.accept_list(listing)
         self.restart()
 
-    def fetch(self) -> None:
+    def fetch_full_list(self) -> None:
         """Fetch the full list, in place of the call that is in flight."""
         self.version = None
         self.restart()
 
-    async def first(self) -> None:
+    async def wait_for_first_list(self) -> None:
         """Wait for the first answer, for no longer than a service that is there takes."""
         with suppress(TimeoutError):
             async with asyncio.timeout(self.schedule.timeouts.overrun_range[1]):
                 await self.first_answer.wait()
-        if self.viewing and self.viewing.reading:  # the answer is arriving
+        if self.subset and self.subset.reading:  # the answer is arriving
             with suppress(TimeoutError):
                 async with asyncio.timeout(FULL_LIST_TIMEOUT_S):
                     await self.first_answer.wait()
 
     async def close(self) -> None:
         """Stop watching and close the connection."""
-        self.watch(False)
+        self.set_watching(False)
         if self.subset_change is not None:
             self.subset_change.cancel()
         self.fetcher.close()
--- a/api_gateway/discovery/compact_store.py
+++ b/api_gateway/discovery/compact_store.py
@@ -16,7 +16,7 @@
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import Address, AddressedEndpoint
-from api_gateway.base.subsets import Ring, Rings, place_of
+from api_gateway.base.subsets import EndpointRings, Ring, position_of_endpoint
 
 RECORDS_PER_TURN = 1000  # scanned in one turn of the event loop: some 1 ms
 POSITION_BYTES = 8
@@ -37,7 +37,7 @@
     index: int  # in that list
 
 
-class CompactEndpointStore(Rings):
+class CompactEndpointStore(EndpointRings):
     """All endpoints of some kinds, by group, zone and state.
 
     `touched_groups` are those in which something has changed since its owner emptied it. `list_number` counts
@@ -82,7 +82,7 @@
     def record_prefix(self, endpoint_id: str) -> bytes:
         """Return what the record of an endpoint begins with."""
         escaped = endpoint_id.encode("utf-8", "surrogatepass").replace(b"\0", ESCAPED_ZERO)
-        return self.position_key(place_of(endpoint_id)) + escaped + ID_END
+        return self.position_key(position_of_endpoint(endpoint_id)) + escaped + ID_END
 
     @staticmethod
     def encoded_endpoint(record: bytes) -> bytes:
--- a/api_gateway/discovery/drain_memory.py
+++ b/api_gateway/discovery/drain_memory.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Listing
+from api_gateway.base.endpoint_list import EndpointListing
 
 MAX_REMEMBERED_DRAINS = 1024  # endpoints; the oldest is forgotten first
 
@@ -21,11 +21,11 @@
         self.last_version = 0
         self.started_at: dict[str, float] = {}  # start times of remembered endpoints, by id, oldest first
 
-    def is_older(self, listing: Listing) -> bool:
+    def is_older(self, listing: EndpointListing) -> bool:
         """Return whether this is a full list that is no newer than the last one."""
         return listing.hosts.mode != "delta" and listing.hosts.version <= self.last_version
 
-    def correct(self, listing: Listing) -> Listing:
+    def correct(self, listing: EndpointListing) -> EndpointListing:
         """Return the list as it holds here and remember what it says."""
         older = self.is_older(listing)
         endpoints = tuple(self.correct_endpoint(endpoint, older) for endpoint in listing.hosts.endpoints)
--- a/api_gateway/discovery/fetcher.py
+++ b/api_gateway/discovery/fetcher.py
@@ -69,7 +69,7 @@
         raise ValueError("nested too deeply") from err
 
 
-class Line:
+class FetchConnection:
     """One connection, whose calls follow one another. It owns the reader and the writer."""
 
     def __init__(self, address: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -169,7 +169,7 @@
 
     def __init__(self) -> None:
         """Initialise the fetcher."""
-        self.idle_connection: Line | None = None
+        self.idle_connection: FetchConnection | None = None
         self.reclaim_descriptor = reclaim_nothing
 
     async def get(self, address: Address, target: str, limit: float) -> Any:
@@ -198,9 +198,9 @@
             opened = await retry_after_reclaim(
                 lambda: asyncio.open_connection(*address), self.reclaim_descriptor
             )
-            return await self.call(Line(address, *opened), target)
+            return await self.call(FetchConnection(address, *opened), target)
 
-    async def call(self, line: Line, target: str) -> bytearray:
+    async def call(self, line: FetchConnection, target: str) -> bytearray:
         """Make a call on a connection, and keep it open or close it."""
         stays_open = False
         try:
--- a/api_gateway/discovery/polling.py
+++ b/api_gateway/discovery/polling.py
@@ -17,9 +17,9 @@
 """Drawn time past WATCH_WAIT_S after which a silent watch is given up: drawn, as all fall silent at once."""
 FULL_LIST_TIMEOUT_S = 5.0
 """Time limit of a call for the full list, which queues at the service when all gateways ask."""
-TOLD = 6.0
+KNOWN_WITHIN_S = 6.0
 """Seconds after which a change counts as known here, from when discovery had it and could be reached."""
-ROOM = 0.5
+ANSWER_MARGIN_S = 0.5
 """Seconds of TOLD that are reserved for the answer."""
 
 # Of an agent on this machine, as fractions of the grace period of a drain.
@@ -59,7 +59,7 @@
     full_list: float = FULL_LIST_TIMEOUT_S
     failing_wait: float = 0.0
     max_backoff: float = MAX_BACKOFF_S
-    notify_within: float = TOLD - ROOM
+    notify_within: float = KNOWN_WITHIN_S - ANSWER_MARGIN_S
 
 
 def agent_timeouts(grace: float) -> Timeouts:
@@ -96,23 +96,23 @@
         """
         self.gateways = gateways
         self.rng = rng
-        self.fails = 0
+        self.failure_count = 0
         self.max_delay = max_delay
 
-    def start(self) -> float:
+    def first_delay(self) -> float:
         """Draw the delay of the first call, in seconds."""
         spread = START_SPREAD_PER_GATEWAY_S * max(0, self.gateways - UNSPREAD_START_GATEWAYS)
-        return self.rng.uniform(0.0, min(TOLD - ROOM, spread))
+        return self.rng.uniform(0.0, min(KNOWN_WITHIN_S - ANSWER_MARGIN_S, spread))
 
-    def pause(self, within: float = math.inf) -> float:
+    def next_delay(self, within: float = math.inf) -> float:
         """Count a failure and draw the delay after it.
 
         Args:
             within: Seconds in which the next call is due; the delay never exceeds it.
         """
-        self.fails += 1
+        self.failure_count += 1
         scale = max(1.0, self.gateways / BACKOFF_BASE_GATEWAYS)
-        bound = min(self.max_delay, MIN_BACKOFF_S * 2.0 ** min(self.fails, MAX_BACKOFF_DOUBLINGS))
+        bound = min(self.max_delay, MIN_BACKOFF_S * 2.0 ** min(self.failure_count, MAX_BACKOFF_DOUBLINGS))
         longest = min(scale * bound, within)
         shortest = min(scale * min(MIN_BACKOFF_S, bound), longest / 2)
         return self.rng.uniform(shortest, longest)
@@ -145,13 +145,13 @@
 
     def watch_call(self, version: int | None) -> tuple[Params, float]:
         """Return the parameters of a watch that goes on from `version`, and its time limit in seconds."""
-        wait = self.timeouts.failing_wait if self.backoff.fails else self.timeouts.wait
+        wait = self.timeouts.failing_wait if self.backoff.failure_count else self.timeouts.wait
         limit = wait + self.rng.uniform(*self.timeouts.overrun_range) if wait else self.timeouts.full_list
         return {"index": version or 0, "wait": int(wait * 1000)}, limit
 
     def record_success(self) -> None:
         """Note that a call brought a list."""
-        self.backoff.fails = 0
+        self.backoff.failure_count = 0
         self.last_unreadable = False
 
     def record_failure(self, *, unknown_since: float, is_timeout: bool, is_unreadable: bool) -> None:
@@ -163,7 +163,7 @@
             is_unreadable: Whether the answer came and could not be read.
         """
         # When a watch is given up was drawn; what cannot be read was damaged on its way to this gateway.
-        is_first_silence = is_timeout and not self.backoff.fails
+        is_first_silence = is_timeout and not self.backoff.failure_count
         is_first_unreadable = is_unreadable and not self.last_unreadable
         self.failed_locally = is_first_silence or is_first_unreadable
         self.last_unreadable = is_unreadable
@@ -171,7 +171,7 @@
 
     def retry_delay(self, now: float) -> float:
         """Draw the delay before the call after one that failed, in seconds from monotonic time `now`."""
-        return self.backoff.pause(self.due_within(now))
+        return self.backoff.next_delay(self.due_within(now))
 
     def due_within(self, now: float) -> float:
         """Return the seconds in which the call after one that failed has to come.
@@ -179,7 +179,7 @@
         After the first failure that is half of the time left, as the next call may fail, too.
         """
         left = max(0.0, self.timeouts.notify_within - (now - self.unknown_since))
-        return left if self.backoff.fails else left / 2
+        return left if self.backoff.failure_count else left / 2
 
     def take_immediate_retry(self, now: float) -> bool:
         """Return whether the call after one that failed comes without a delay, and note that it does.
@@ -187,7 +187,7 @@
         It also does where what follows a silence cannot be read: the silence has taken up the time.
         """
         recently = now - self.last_immediate_at < IMMEDIATE_RETRY_INTERVAL_S
-        if not self.failed_locally or (self.backoff.fails != 2 and recently):
+        if not self.failed_locally or (self.backoff.failure_count != 2 and recently):
             return False
         self.last_immediate_at = now
         return True
--- a/api_gateway/discovery/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -19,8 +19,8 @@
 from urllib.parse import quote
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import STATE, Address, Listing, read_list, write_address
-from api_gateway.base.shared_file import Kept
+from api_gateway.base.endpoint_list import STATE, Address, EndpointListing, read_list, write_address
+from api_gateway.base.shared_file import SharedFile
 from api_gateway.discovery.client import Discovery
 from api_gateway.discovery.polling import Params
 
@@ -66,10 +66,10 @@
         self.epoch = ""  # of the last list
         self.newest_version = 0  # that of the last list
         self.endpoints: dict[str, tuple[api.Endpoint, Address | None]] = {}
-        self.cache_file = Kept(folder / f"{name}-list.json" if folder else None)
+        self.cache_file = SharedFile(folder / f"{name}-list.json" if folder else None)
         self.cache_timer: asyncio.TimerHandle | None = None
 
-    def recall(self) -> Listing | None:
+    def load_cached_list(self) -> EndpointListing | None:
         """Return the cached list as if it had just come; its age goes on. None: there is none to use."""
         try:
             text = self.cache_file.read()
@@ -86,7 +86,7 @@
             return None
         self.record_list(listing)
         self.last_answer_at = time.monotonic() - max(0.0, self.clock() - answered_at)
-        if not self.viewing or self.viewing.resume(document.get("query")):
+        if not self.subset or self.subset.resume(document.get("query")):
             self.version = self.newest_version
         else:
             self.delays_first_call = True  # the subset is another one now
@@ -105,7 +105,7 @@
             self.address = self.replica_addresses[self.replica_index]
         return is_answered
 
-    def validate(self, listing: Listing) -> None:
+    def validate(self, listing: EndpointListing) -> None:
         """Raise what speaks against taking a list.
 
         Raises:
@@ -118,7 +118,7 @@
         if self.epoch and not is_same_epoch and listing.hosts.mode != "full":
             raise ValueError("changes of another epoch")
 
-    def accept_list(self, listing: Listing) -> None:
+    def accept_list(self, listing: EndpointListing) -> None:
         """Let a list take effect, pass it on and have it cached. Raises what validate() raises."""
         self.validate(listing)
         if self.epoch and listing.epoch != self.epoch:
@@ -133,7 +133,7 @@
             loop = asyncio.get_running_loop()
             self.cache_timer = loop.call_later(CACHE_WRITE_INTERVAL_S, self.write_cache)
 
-    def record_list(self, listing: Listing) -> None:
+    def record_list(self, listing: EndpointListing) -> None:
         """Note the endpoints of a list that takes effect, its epoch and its version."""
         self.epoch = listing.epoch
         self.newest_version = listing.hosts.version
@@ -164,21 +164,21 @@
 
     def _cached_subset(self) -> dict[str, Any]:
         """Return which part of all endpoints the file holds; `query` where the service chose it."""
-        if not self.viewing:
+        if not self.subset:
             return {}
-        by_service = {"query": self.viewing.view.query()} if self.viewing.is_chosen_by_service else {}
-        return {"total": self.viewing.total, **by_service}
+        by_service = {"query": self.subset.view.query()} if self.subset.is_chosen_by_service else {}
+        return {"total": self.subset.total, **by_service}
 
-    def move(self, address: Address, listing: Listing | None = None) -> None:
+    def move_to(self, address: Address, listing: EndpointListing | None = None) -> None:
         """Go on at another first replica, from the list that was fetched there already or the full one."""
         self.replica_addresses[0] = address
         self.replica_index = 0
         self.epoch = ""
-        super().move(address, listing)
+        super().move_to(address, listing)
 
-    def told_of(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return what operators see of the list, as JSON."""
-        return {**super().told_of(), "epoch": self.epoch}
+        return {**super().status(), "epoch": self.epoch}
 
     async def close(self) -> None:
         """Write what is not cached yet, stop watching and close the connection."""
--- a/api_gateway/discovery/subset_config.py
+++ b/api_gateway/discovery/subset_config.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from api_gateway.base.subsets import MAX_SUBSET_SIZE, View
+from api_gateway.base.subsets import MAX_SUBSET_SIZE, SubsetSpec
 
 DEFAULT_GROWTH_FACTOR = 8  # times its size to which a subset grows at most, where `most` is not given
 
@@ -26,7 +26,7 @@
     return value
 
 
-def read_wanted(document: Any) -> SubsetConfig:
+def read_subset_config(document: Any) -> SubsetConfig:
     """Read the value of the key, which may be JSON of any shape.
 
     Raises:
@@ -41,4 +41,4 @@
         raise ValueError(f"view.most is {max_size}, less than view.size, {size}")
     if not isinstance(kinds, list) or not all(isinstance(kind, str) and kind for kind in kinds):
         raise ValueError(f"view.kinds is {kinds!r}, not a list of names")
-    return SubsetConfig(size, View(0, size, "", tuple(kinds)).kinds, max_size)
+    return SubsetConfig(size, SubsetSpec(0, size, "", tuple(kinds)).kinds, max_size)
--- a/api_gateway/discovery/subset_reader.py
+++ b/api_gateway/discovery/subset_reader.py
@@ -8,7 +8,7 @@
 
 from api_gateway.base.endpoint_list import (
     AddressedEndpoint,
-    Listing,
+    EndpointListing,
     UnreadableEntries,
     read_head,
     with_endpoints,
@@ -18,11 +18,11 @@
 
 ENTRIES_PER_TURN = 50  # of a long list, read in one turn of the event loop: some 2 ms
 
-OnPartialList = Callable[[Listing], None]
+OnPartialList = Callable[[EndpointListing], None]
 
 
 @dataclass(frozen=True, slots=True)
-class StoredListing(Listing):
+class StoredListing(EndpointListing):
     """A full list whose endpoints are all in a store and not in the list itself."""
 
     store: CompactEndpointStore | None = None
@@ -67,7 +67,7 @@
         self.named: dict[str, AddressedEndpoint] = {}  # entries of what is not known to be a full list
         self.departing: list[AddressedEndpoint] = []  # of the subset, not passed on yet
 
-    async def read(self) -> Listing:
+    async def read(self) -> EndpointListing:
         """Read the list to its end. Raises ValueError where it is none."""
         readable_count = 0
         for number, entry in enumerate(self.entries):
--- a/api_gateway/discovery/subsets.py
+++ b/api_gateway/discovery/subsets.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Address, AddressedEndpoint, Listing, with_endpoints
-from api_gateway.base.subsets import View
+from api_gateway.base.endpoint_list import Address, AddressedEndpoint, EndpointListing, with_endpoints
+from api_gateway.base.subsets import SubsetSpec
 from api_gateway.discovery.compact_store import (
     CompactEndpointStore,
     decode_endpoint,
@@ -32,7 +32,7 @@
 UNSUPPORTED_STATUSES = (400, 404, 414)  # by which a service may say that it knows no subsets
 
 
-class Viewing:
+class EndpointSubset:
     """The subset of one gateway, from whatever service answers.
 
     Lists pass in their order through read(), then bring(), then take(); only what passes the last is in
@@ -49,11 +49,11 @@
             zone: The gateway's own.
         """
         self.config = config
-        self.view = View(index, config.size, zone, config.kinds)
+        self.view = SubsetSpec(index, config.size, zone, config.kinds)
         self.is_chosen_by_service = False  # then watches name the subset, too
         self.shelf: CompactEndpointStore | None = None
         self.used: dict[str, bytes] = {}  # encoded endpoints of the subset, as the decision module has them
-        self.applied_view: View | None = None  # that of `used`, where the subset was taken here
+        self.applied_view: SubsetSpec | None = None  # that of `used`, where the subset was taken here
         self.group_members: dict[str | None, set[str]] = {}  # ids of `used`, by group
         self.total = 0  # available endpoints in all groups of the subset
         self.reading = 0
@@ -77,7 +77,7 @@
         self.view = replace(self.view, index=index, zone=zone, size=size or self.view.size)
         return self.view != last_view
 
-    def told_of(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return what operators see of the subset, as JSON."""
         return {
             "size": self.view.size,
@@ -87,7 +87,7 @@
             "shelf": 0 if self.shelf is None else self.shelf.size(),
         }
 
-    def holds(self, name: str) -> bool:
+    def may_enter(self, name: str) -> bool:
         """Return whether an endpoint may enter the subset.
 
         A service that sends the subset alone names no others, so any may.
@@ -104,7 +104,7 @@
         query: str,
         limit: float,
         on_partial_list: OnPartialList | None = None,
-    ) -> Listing:
+    ) -> EndpointListing:
         """Fetch a list; without `on_partial_list` that has no effect here.
 
         Args:
@@ -132,7 +132,9 @@
             body = await fetcher.fetch(address, path, limit)
         return await self.read(body, on_partial_list)
 
-    async def read(self, body: bytes | bytearray, on_partial_list: OnPartialList | None = None) -> Listing:
+    async def read(
+        self, body: bytes | bytearray, on_partial_list: OnPartialList | None = None
+    ) -> EndpointListing:
         """Read a list, as SubsetListReader does.
 
         Raises:
@@ -161,7 +163,7 @@
 
     # Lists that take effect
 
-    async def bring(self, listing: Listing) -> None:
+    async def bring(self, listing: EndpointListing) -> None:
         """Put changes into the store.
 
         A call that ends in between is made again from the same version on, and what was stored already is
@@ -175,8 +177,11 @@
                 await self.yield_turn()
 
     def take(
-        self, listing: Listing, correct: Callable[[api.Endpoint], api.Endpoint], drained_ids: Iterable[str]
-    ) -> Listing:
+        self,
+        listing: EndpointListing,
+        correct: Callable[[api.Endpoint], api.Endpoint],
+        drained_ids: Iterable[str],
+    ) -> EndpointListing:
         """Let a list take effect and return what of it the decision module is to get.
 
         Args:
@@ -198,10 +203,12 @@
             for endpoint, address in [found for name in names if (found := store.get(name))]:
                 store.store(correct(endpoint), address)
         return self.shift(
-            Listing(listing.hosts, listing.addresses, listing.epoch, listing.is_subset)  # without the store
+            EndpointListing(
+                listing.hosts, listing.addresses, listing.epoch, listing.is_subset
+            )  # without the store
         )
 
-    def _record_chosen_subset(self, listing: Listing) -> Listing:
+    def _record_chosen_subset(self, listing: EndpointListing) -> EndpointListing:
         """Note what the service sent as the subset."""
         self.total = listing.hosts.available_total
         for endpoint in listing.hosts.endpoints:
@@ -211,7 +218,7 @@
                 self.used[endpoint.id] = encode_endpoint(endpoint, listing.addresses.get(endpoint.id))
         return listing
 
-    def shift(self, listing: Listing) -> Listing:
+    def shift(self, listing: EndpointListing) -> EndpointListing:
         """Return the list with the endpoints that the subset takes from the store.
 
         Of changes, with what changed among these since the last time.
@@ -255,7 +262,7 @@
         self.is_chosen_by_service = query == self.view.query()
         return self.is_chosen_by_service
 
-    def cut(self, listing: Listing) -> Listing:
+    def cut(self, listing: EndpointListing) -> EndpointListing:
         """Return the subset of a list that is known from before."""
         self._forget()
         self.shelf = CompactEndpointStore(self.view.kinds)
--- a/api_gateway/downstream/admission.py
+++ b/api_gateway/downstream/admission.py
@@ -48,7 +48,7 @@
         self.scheduler = CommandScheduler(settings.half_closed) if settings.turns else None
         self.overflows_at_start = count_listen_overflows()
         self.loop = asyncio.get_running_loop()
-        self.coming: set[asyncio.Task[None]] = set()  # accepted, and without a protocol yet
+        self.connecting_tasks: set[asyncio.Task[None]] = set()  # accepted, and without a protocol yet
         self.resume_timer: asyncio.TimerHandle | None = None
         sock.setblocking(False)
         self.resume()
@@ -87,7 +87,7 @@
         """Pause after an error that is not of one connection; a shortage ends a lingering connection."""
         log.warning("no connection can be taken: %s; again in %.1f s", err, SHORTAGE_PAUSE_S)
         if err.errno in SHORTAGE_ERRORS:
-            self.server.free()
+            self.server.close_lingering()
         self.pause(SHORTAGE_PAUSE_S)
 
     def on_accept(self, now: float, sock: socket.socket, address: str) -> None:
@@ -99,8 +99,8 @@
                     sock.send(REJECTION)
             return
         task = self.loop.create_task(self.attach(sock, address))
-        self.coming.add(task)
-        task.add_done_callback(self.coming.discard)
+        self.connecting_tasks.add(task)
+        task.add_done_callback(self.connecting_tasks.discard)
 
     async def attach(self, sock: socket.socket, address: str) -> None:
         """Make the protocol of an admitted connection; if that fails, close it and release its place."""
@@ -148,7 +148,7 @@
             return status
         windows = [
             connection.window
-            for connection in self.server.clients
+            for connection in self.server.connections
             if isinstance(connection, FairClientConnection)
         ]
         smallest = int(min(windows, default=INITIAL_WINDOW))
--- a/api_gateway/downstream/admission_settings.py
+++ b/api_gateway/downstream/admission_settings.py
@@ -54,7 +54,7 @@
 DEFAULT_UPPER_BOUND = 1e6
 
 
-def read_edge(raw: Any) -> AdmissionSettings:
+def parse_admission_settings(raw: Any) -> AdmissionSettings:
     """Parse the value of the key `edge`, which may be any JSON.
 
     Raises:
--- a/api_gateway/downstream/body_budget.py
+++ b/api_gateway/downstream/body_budget.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from api_gateway.base.resp import MOST_LARGE
+from api_gateway.base.resp import MAX_VALUE_BYTES
 
 if TYPE_CHECKING:
     from api_gateway.downstream.client_connection import ClientConnection
@@ -40,8 +40,8 @@
 
     def __init__(self) -> None:
         """Create an empty budget with the capacity for one body of the largest size."""
-        self.most = MOST_LARGE  # capacity in bytes
-        self.used = 0  # bytes that are reserved
+        self.capacity_bytes = MAX_VALUE_BYTES  # capacity in bytes
+        self.reserved_bytes = 0  # bytes that are reserved
         self.waiting: deque[tuple[int, ClientConnection]] = deque()
 
     def reserve(self, length: int, connection: ClientConnection) -> None:
@@ -49,9 +49,9 @@
         self.waiting.append((length, connection))
         self.admit_waiting()
 
-    def give(self, length: int) -> None:
+    def release(self, length: int) -> None:
         """Release `length` reserved bytes and admit connections that wait for them."""
-        self.used -= length
+        self.reserved_bytes -= length
         self.admit_waiting()
 
     def admit_waiting(self) -> None:
@@ -63,9 +63,9 @@
         while self.waiting:
             length, connection = self.waiting[0]
             is_closed = connection.transport.is_closing()
-            if not is_closed and self.used and self.used + length > self.most:
+            if not is_closed and self.reserved_bytes and self.reserved_bytes + length > self.capacity_bytes:
                 return
             self.waiting.popleft()
             if not is_closed:
-                self.used += length
+                self.reserved_bytes += length
                 connection.on_body_reserved(length)
--- a/api_gateway/downstream/client_connection.py
+++ b/api_gateway/downstream/client_connection.py
@@ -10,16 +10,16 @@
 
 import hiredis
 
-from api_gateway.base.resp import NO_REPLY, SMALL, Reader
+from api_gateway.base.resp import INCOMPLETE, STREAMING_THRESHOLD_BYTES, RespReader
 from api_gateway.downstream.body_budget import IncomingBody
 from api_gateway.downstream.client_socket import count_unread_bytes, find_disconnected, shut_down_sending
-from api_gateway.downstream.pending_reply import Slot
+from api_gateway.downstream.pending_reply import PendingReply
 
 if TYPE_CHECKING:
     from api_gateway.downstream.client_server import ClientServer
 
 # Bytes of one command without a large body, framing included.
-MAX_COMMAND_BYTES = SMALL + 4096
+MAX_COMMAND_BYTES = STREAMING_THRESHOLD_BYTES + 4096
 # Commands of one connection in flight; past that it is not read.
 MAX_PENDING_COMMANDS = 512
 # The large body is the last of five parts of a command.
@@ -48,8 +48,8 @@
         """Create the protocol of a connection that is being accepted by `server`."""
         self.server = server
         self.transport: asyncio.Transport
-        self.reader = Reader(MAX_COMMAND_BYTES, LARGE_PART)
-        self.pending_replies: deque[Slot] = deque()
+        self.reader = RespReader(MAX_COMMAND_BYTES, LARGE_PART)
+        self.pending_replies: deque[PendingReply] = deque()
         self.command_count = 0  # complete commands that have arrived
         # What is arriving.
         self.partial_command_bytes = 0  # read of a command that is not complete yet
@@ -59,7 +59,7 @@
         # Times by the monotonic clock.
         now = monotonic()
         self.connected_at = now
-        self.heard = now  # when bytes were last read
+        self.last_read_at = now  # when bytes were last read
         self.last_command_at = now  # when the last command was complete; at first the connect
         self.command_due_since: float | None = now  # None: between commands
         self.write_progress_at = 0.0  # when the client last took something while writing is paused
@@ -89,7 +89,7 @@
         body = self.incoming_body
         self.incoming_body = None
         if body:
-            self.server.budget.give(len(body.data))
+            self.server.body_budget.release(len(body.data))
         self._abandon_requests()
 
     def eof_received(self) -> bool:
@@ -102,10 +102,10 @@
         if self.broken:
             return
         self.reader.feed(data)
-        self.heard = monotonic()
+        self.last_read_at = monotonic()
         self.partial_command_bytes = 0 if self.incoming_body else self.partial_command_bytes + len(data)
         if self.command_due_since is None:
-            self.command_due_since = self.heard
+            self.command_due_since = self.last_read_at
         self.read_commands()
 
     def pause_writing(self) -> None:
@@ -126,7 +126,7 @@
     def read_commands(self) -> None:
         """Handle all complete commands that have arrived."""
         try:
-            while (command := self.reader.gets()) is not NO_REPLY:
+            while (command := self.reader.gets()) is not INCOMPLETE:
                 self._handle_command(command)
         except hiredis.ProtocolError:
             self._fail(b"-ERR protocol error\r\n")
@@ -141,12 +141,12 @@
         """Receive the body that has begun: the budget has reserved its `length` bytes."""
         self.awaits_body_budget = False
         self.partial_command_bytes = 0
-        self.heard = monotonic()
+        self.last_read_at = monotonic()
         self.incoming_body = IncomingBody(length)
         self.reader.pass_on(self.incoming_body.append)
         self.read_commands()
 
-    def pressed(self) -> None:
+    def on_overload(self) -> None:
         """React to a command that was rejected because no endpoint had capacity; by default not at all."""
 
     def _handle_command(self, command: Any) -> None:
@@ -159,19 +159,19 @@
         self.incoming_body = None
         if body and isinstance(command, list):
             command[-1] = body.data
-        slot = Slot(self)
+        slot = PendingReply(self)
         self.pending_replies.append(slot)
         self.server.idle.discard(self)
-        self.server.handler.command(slot, command)
-        if body and slot.token is None:  # the handler has not accepted it, so it won't release the body
-            self.server.budget.give(len(body.data))
+        self.server.handler.handle_command(slot, command)
+        if body and slot.request is None:  # the handler has not accepted it, so it won't release the body
+            self.server.body_budget.release(len(body.data))
 
     def _check_partial_command(self) -> None:
         """Ask for what the rest of a command needs, once all complete ones are handled."""
         # A body that was only announced reserves nothing: announcing is free for an attacker.
         if self.reader.buffered and not self.awaits_body_budget:
             self.awaits_body_budget = True
-            self.server.budget.reserve(self.reader.begun, self)
+            self.server.body_budget.reserve(self.reader.large_string_bytes, self)
         # A command without end must not fill the memory.
         elif self.partial_command_bytes > MAX_COMMAND_BYTES and not self.awaits_body_budget:
             self._fail(b"-ERR command too long\r\n")
@@ -187,7 +187,7 @@
             pending.popleft()
             if encoded_reply:
                 self.transport.write(encoded_reply)
-        if pending and (turn := pending[0].turn) is not None and not self.writing_paused:
+        if pending and (turn := pending[0].on_writable) is not None and not self.writing_paused:
             turn()
         if not pending and not self.awaits_turn and (self.closing or self._must_close_for_drain()):
             self._shut_down()
@@ -273,7 +273,7 @@
         if self.reading_paused or self.awaits_turn:
             return True
         if self.reader.is_in_large_part():
-            is_late = now - self.heard > BODY_PROGRESS_TIMEOUT_S
+            is_late = now - self.last_read_at > BODY_PROGRESS_TIMEOUT_S
         else:
             is_late = now - self.command_due_since > COMMAND_TIMEOUT_S
         if is_late:
@@ -312,7 +312,7 @@
         self.closing = True
         self.flush()
 
-    def look(self) -> None:
+    def detect_disconnect(self) -> None:
         """Detect now whether the client has gone: the event loop says so a turn later at the earliest."""
         if self.transport.is_closing():
             self._abandon_requests()
@@ -335,15 +335,15 @@
         self.pending_replies = deque()
         for slot in pending:
             if slot.encoded_reply is None:
-                self.server.handler.gone(slot)
+                self.server.handler.on_client_disconnected(slot)
 
     def _fail(self, answer: bytes) -> None:
         """Stop reading because the framing is lost; replies that are due go out before `answer`."""
         self.closing = True
         self.broken = True
-        slot = Slot(self)
+        slot = PendingReply(self)
         self.pending_replies.append(slot)
-        slot.reply(answer)
+        slot.complete(answer)
         self.update_reading()
 
     def _must_close_for_drain(self) -> bool:
--- a/api_gateway/downstream/client_server.py
+++ b/api_gateway/downstream/client_server.py
@@ -21,7 +21,7 @@
 from api_gateway.downstream.client_socket import find_disconnected
 from api_gateway.downstream.idle_connections import IdleConnections
 from api_gateway.downstream.listener import ClientListener
-from api_gateway.downstream.pending_reply import Slot
+from api_gateway.downstream.pending_reply import PendingReply
 
 if TYPE_CHECKING:
     from api_gateway.downstream.admission import AdmissionListener
@@ -56,11 +56,11 @@
 class CommandHandler(Protocol):
     """What serves the commands of all connections."""
 
-    def command(self, slot: Slot, command: Any, /) -> None:
+    def handle_command(self, slot: PendingReply, command: Any, /) -> None:
         """Serve a RESP value of any shape: complete `slot` now, or set its token and complete it later."""
         ...
 
-    def gone(self, slot: Slot, /) -> None:
+    def on_client_disconnected(self, slot: PendingReply, /) -> None:
         """Cancel the command of `slot`: its client has gone and nothing more can be written."""
         ...
 
@@ -76,11 +76,11 @@
             most: Connections that may be open at once.
         """
         self.handler = handler
-        self.most = most
+        self.capacity = most
         self.listener: Any = None  # a ClientListener or an AdmissionListener, once it listens
-        self.budget = BodyBudget()
+        self.body_budget = BodyBudget()
         # Connections; all in order of arrival, the dicts serve as ordered sets.
-        self.clients: dict[ClientConnection, None] = {}
+        self.connections: dict[ClientConnection, None] = {}
         self.timed_connections: dict[ClientConnection, None] = {}  # those with a timeout running
         # Those that are not read now: the event loop does not see that their clients have gone.
         self.paused_connections: dict[ClientConnection, None] = {}
@@ -122,30 +122,30 @@
 
             self.listener = AdmissionListener(sock, self, edge)
         else:
-            self.listener = ClientListener(sock, lambda: ClientConnection(self), self.free)
-        self.sweep()
+            self.listener = ClientListener(sock, lambda: ClientConnection(self), self.close_lingering)
+        self.run_checks()
         bound_port: int = self.listener.sockets[0].getsockname()[1]
         return bound_port
 
-    async def take_last(self, within: float) -> None:
+    async def accept_backlog(self, within: float) -> None:
         """Accept what waits in the backlog, for `within` seconds at most: closing would reset it."""
         listener: ClientListener | AdmissionListener = self.listener
         end = monotonic() + within
         poll = select.poll()
         poll.register(listener.sockets[0].fileno(), select.POLLIN)
-        while (poll.poll(0) or listener.coming) and monotonic() < end:
+        while (poll.poll(0) or listener.connecting_tasks) and monotonic() < end:
             await asyncio.sleep(0)
 
     # Timeouts
 
-    def sweep(self) -> None:
+    def run_checks(self) -> None:
         """Check timeouts and disconnected clients now, and again every CHECK_INTERVAL_S."""
-        self.check_timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.sweep)
+        self.check_timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self.run_checks)
         now = monotonic()
         for connection in find_disconnected(self.paused_connections):
             self.run_isolated(connection, connection.on_peer_closed)
         # A drain has a time for each connection.
-        checked = self.timed_connections if self.drain_started_at is None else self.clients
+        checked = self.timed_connections if self.drain_started_at is None else self.connections
         for connection in list(checked):
             if not self.run_isolated(connection, partial(connection.check_timeouts, now)):
                 self.timed_connections.pop(connection, None)
@@ -173,21 +173,21 @@
         one, which may then linger until the next one arrives. Where all are busy it is the new one, after its
         first reply; it is aborted unread where there are too many of these, too.
         """
-        self.clients[connection] = None
+        self.connections[connection] = None
         self.idle.add(connection)
         if self.excess_connections() > 0 and self.lingering:
             self.abort(next(iter(self.lingering)))
         if self.excess_connections() <= 0:
             return
         is_evicted = self.evict_idle(connection)
-        if self.excess_connections() > min(MAX_OVERFLOW_CONNECTIONS, 1 + self.most * OVERFLOW_FRACTION):
+        if self.excess_connections() > min(MAX_OVERFLOW_CONNECTIONS, 1 + self.capacity * OVERFLOW_FRACTION):
             self.abort(connection)
         elif not is_evicted:
             connection.close_when_done()
 
     def remove_connection(self, connection: ClientConnection) -> None:
         """Forget a connection that has ended."""
-        self.clients.pop(connection, None)
+        self.connections.pop(connection, None)
         self.timed_connections.pop(connection, None)
         self.paused_connections.pop(connection, None)
         self.lingering.pop(connection, None)
@@ -196,7 +196,7 @@
 
     def excess_connections(self) -> int:
         """Return how many are past the limit; an abort takes effect a turn later but counts at once."""
-        return len(self.clients) - len(self.aborted_connections) - self.most
+        return len(self.connections) - len(self.aborted_connections) - self.capacity
 
     def evict_idle(self, newcomer: ClientConnection) -> bool:
         """Close an idle connection other than `newcomer`, if possible one with nothing unread.
@@ -206,7 +206,7 @@
         """
         with_unread_bytes = None
         for _ in range(EVICTION_CANDIDATES):
-            connection = self.idle.next_to_close(max(1.0, self.most * FRESH_IDLE_FRACTION))
+            connection = self.idle.next_to_close(max(1.0, self.capacity * FRESH_IDLE_FRACTION))
             if connection is None or connection is newcomer:
                 break
             self.idle.discard(connection)  # its next reply brings it back
@@ -220,7 +220,7 @@
             self.run_isolated(with_unread_bytes, with_unread_bytes.close_when_done)
         return with_unread_bytes is not None
 
-    def free(self) -> bool:
+    def close_lingering(self) -> bool:
         """Abort the oldest lingering connection, for want of a descriptor for a new one.
 
         Other connections keep theirs: they may carry requests, and a new one can wait.
@@ -233,7 +233,7 @@
             return True
         return False
 
-    def end_fresh(self) -> bool:
+    def close_fresh_idle(self) -> bool:
         """Abort an idle connection that has sent one command or none, with nothing unread.
 
         Without a free descriptor no connection to an endpoint, discovery or the counter could be opened,
@@ -254,7 +254,9 @@
     def on_linger(self, connection: ClientConnection) -> None:
         """Note that a connection lingers, and abort the oldest past the limit; a drain ends all at once."""
         self.lingering[connection] = None
-        if self.drain_started_at is None and len(self.lingering) > max(1.0, self.most * LINGERING_FRACTION):
+        if self.drain_started_at is None and len(self.lingering) > max(
+            1.0, self.capacity * LINGERING_FRACTION
+        ):
             self.abort(next(iter(self.lingering)))
 
     def abort(self, connection: ClientConnection) -> None:
@@ -263,28 +265,28 @@
         self.aborted_connections[connection] = None
         connection.transport.abort()
 
-    def resting(self) -> list[ClientConnection]:
+    def closable_connections(self) -> list[ClientConnection]:
         """Return those idle for MIN_IDLE_S, which may be closed; the one idle longest comes first."""
         since = monotonic() - MIN_IDLE_S
-        idle = [connection for connection in self.clients if connection.is_idle(since)]
+        idle = [connection for connection in self.connections if connection.is_idle(since)]
         return sorted(idle, key=lambda connection: connection.last_command_at)
 
-    def make_room(self) -> None:
+    def shrink_to_capacity(self) -> None:
         """Close as many idle connections as are past the limit, after it has shrunk."""
-        for connection in self.resting()[: max(0, len(self.clients) - self.most)]:
+        for connection in self.closable_connections()[: max(0, len(self.connections) - self.capacity)]:
             connection.close_when_done()
 
     # Drain and shutdown
 
-    def drain(self, on: bool) -> None:
+    def set_draining(self, on: bool) -> None:
         """Start or end a drain: each connection closes after its last reply, a new one after its first."""
         self.drain_started_at = monotonic() if on else None
-        for connection in list(self.clients):
+        for connection in list(self.connections):
             connection.reading_stopped = False
             self.run_isolated(connection, connection.update_reading)
             self.run_isolated(connection, connection.flush)
 
-    def finish(self, within: float = math.inf) -> None:
+    def begin_shutdown(self, within: float = math.inf) -> None:
         """Accept no more connections and drain those that are open.
 
         Args:
@@ -295,11 +297,11 @@
         if self.listener:
             self.listener.close()
         if self.drain_started_at is None:
-            self.drain(True)
+            self.set_draining(True)
 
     def stop_reading(self) -> None:
         """Read nothing more on any connection; what was read already is handled now."""
-        for connection in list(self.clients):
+        for connection in list(self.connections):
             connection.reading_stopped = True
             self.run_isolated(connection, connection.update_reading)
             self.run_isolated(connection, connection.read_queued_commands)
@@ -308,6 +310,6 @@
         """Stop the checks and close whatever is still open."""
         if self.check_timer:
             self.check_timer.cancel()
-        for connection in list(self.clients):
+        for connection in list(self.connections):
             connection.closing = True
             connection.transport.close()
--- a/api_gateway/downstream/fair_queueing.py
+++ b/api_gateway/downstream/fair_queueing.py
@@ -15,7 +15,7 @@
 
 import hiredis
 
-from api_gateway.base.resp import NO_REPLY, SMALL
+from api_gateway.base.resp import INCOMPLETE, STREAMING_THRESHOLD_BYTES
 from api_gateway.downstream.client_connection import MAX_PENDING_COMMANDS, ClientConnection
 from api_gateway.downstream.client_server import ClientServer
 
@@ -214,7 +214,7 @@
         try:
             while self.awaits_turn and spent < max_cost and self.has_window():
                 command = self.reader.gets()
-                if command is NO_REPLY:
+                if command is INCOMPLETE:
                     self.awaits_turn = False
                     self._check_partial_command()
                 else:
@@ -260,7 +260,7 @@
         """Return whether a further command may be in flight."""
         return not self.writing_paused and len(self.pending_replies) < self.window
 
-    def pressed(self) -> None:
+    def on_overload(self) -> None:
         """Halve the window, once for all that was in flight when endpoints had no capacity."""
         if self.handled_commands > self.halved_up_to:
             self.window = max(MIN_WINDOW, self.window / 2)
@@ -281,4 +281,4 @@
     if not isinstance(command, list):
         return 1.0
     size = sum(len(part) for part in command if isinstance(part, bytes | bytearray))
-    return 1.0 + min(SMALL, size) / BYTES_PER_COST
+    return 1.0 + min(STREAMING_THRESHOLD_BYTES, size) / BYTES_PER_COST
--- a/api_gateway/downstream/listener.py
+++ b/api_gateway/downstream/listener.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from api_gateway.base.accepting import LASTING, AcceptingServer, ProtocolFactory
+from api_gateway.base.accepting import LASTING_SHORTAGE_S, AcceptingServer, ProtocolFactory
 
 # Connections that are closed unread in one turn of the event loop.
 MAX_CLOSED_PER_TURN = 128
@@ -66,7 +66,7 @@
     def on_shortage(self, err: OSError, lasted: float) -> None:
         """End a connection that may go; in a lasting shortage also close what waits, unread."""
         self.reclaim()
-        if err.errno == errno.EMFILE and lasted >= LASTING:
+        if err.errno == errno.EMFILE and lasted >= LASTING_SHORTAGE_S:
             self.reserve.close_waiting(self.sockets[0])
 
     def close(self) -> None:
--- a/api_gateway/experiments/membership/__main__.py
+++ b/api_gateway/experiments/membership/__main__.py
@@ -163,7 +163,7 @@
     for number in range(1000):
         period = swim.detector.next_probe_at
         while swim.detector.next_probe_at == period:
-            now = swim.due()
+            now = swim.next_due_at()
             took = timed(swim.tick, now)
         ticks.append(took)
         swim.detector.probes.clear()  # as if acknowledged
@@ -171,7 +171,7 @@
         hears.append(timed(swim.receive, now, address_of(1), data))
         if number % 100 == 0:
             wholes.append(timed(swim.anti_entropy.exchange, now))
-            swim.take()
+            swim.drain_sends()
     return statistics.median(ticks), statistics.median(hears), statistics.median(wholes), memory
 
 
--- a/api_gateway/experiments/membership/world.py
+++ b/api_gateway/experiments/membership/world.py
@@ -115,7 +115,7 @@
 
     def plan(self, member: Swim) -> None:
         """Its next look at its timers, if none is planned before."""
-        due = max(self.now, member.due()) + self.rng.uniform(0, TURN)
+        due = max(self.now, member.next_due_at()) + self.rng.uniform(0, TURN)
         if due < self.wakes.get(member.address, float("inf")):
             self.wakes[member.address] = due
             self.at(due, lambda: self.wake(member, due))
@@ -131,7 +131,7 @@
             self.wakes[member.address] = turn
             self.at(turn, lambda: self.wake(member, turn))
             return
-        if member.due() <= self.now:
+        if member.next_due_at() <= self.now:
             self.step(member, member.tick)
         self.plan(member)
 
--- a/api_gateway/experiments/scale/arithmetic.py
+++ b/api_gateway/experiments/scale/arithmetic.py
@@ -111,7 +111,9 @@
 def hosts(book: Book) -> None:
     """What the gateways are to a host."""
     of, name = book.of, book.name
-    part = book.code("policy.endpoints", "OWN_PART") * book.code("policy.endpoints", "LIMIT_MOST")
+    part = book.code("policy.endpoints", "SUBSET_SIZE_FACTOR") * book.code(
+        "policy.endpoints", "MAX_IN_FLIGHT_PER_ENDPOINT"
+    )
     name("part_hosts", part * of("hosts") / of("gateways"), "hosts")
     name("gateways_a_host", of("gateways") * book["part_hosts"] / of("hosts"), "gateways")
     name("connections_a_host", book["gateways_a_host"] * of("connections_a_pair"), "connections")
@@ -353,7 +355,7 @@
     """A change at all gateways by what there is: an operator's calls, each with all of the configuration."""
     of, name = book.of, book.name
     name("changes_apart_s", unit("day_s") / of("changes_a_day"), "s")
-    name("history_s", book.code("control.config_changes", "MOST_VERSIONS") / book["configurations_s"], "s")
+    name("history_s", book.code("control.config_history", "MAX_VERSIONS") / book["configurations_s"], "s")
     name("everywhere_s", book["apply_s"] * of("gateways") / of("calls_at_once"), "s")
     name("everywhere_over_limit", book["everywhere_s"] / of("change_s"), "times")
     name("configuration_mb", book["distribution_rss_mb"] - book["rss_mb_view"], "MB")
--- a/api_gateway/experiments/scale/connects.py
+++ b/api_gateway/experiments/scale/connects.py
@@ -16,11 +16,11 @@
 
 from api_gateway import interface as api
 from api_gateway.experiments.scale.module import BEGIN, Case, Driver
-from api_gateway.upstream.endpoint_pools import IDLE_CHECK, IDLE_MARGIN
-from api_gateway.upstream.pool import SETTLED
+from api_gateway.upstream.endpoint_pools import IDLE_CHECK_INTERVAL_S, IDLE_MARGIN_FRACTION
+from api_gateway.upstream.pool import SETTLE_TIME_S
 
 IDLE_CLOSE = 30.0  # s after which a host closes a connection that rests, as the lab's settings have it
-IDLE_TIME = IDLE_CLOSE * (1 - IDLE_MARGIN) - IDLE_CHECK
+IDLE_TIME = IDLE_CLOSE * (1 - IDLE_MARGIN_FRACTION) - IDLE_CHECK_INTERVAL_S
 START, REST = 60.0, 30.0  # s of module time: until it is at rest, and counted then
 
 
@@ -54,7 +54,7 @@
         self.close(host)
         resting = self.idle[host]
         for place in range(len(resting) - 1, -1, -1):
-            if resting[place] <= self.now - SETTLED:
+            if resting[place] <= self.now - SETTLE_TIME_S:
                 del resting[place]
                 return
         self.open[host] += 1
--- a/api_gateway/experiments/scale/events.py
+++ b/api_gateway/experiments/scale/events.py
@@ -20,9 +20,9 @@
 from functools import partial
 from typing import Any
 
-from api_gateway.base.subsets import View
-from api_gateway.discovery.polling import ROOM, TOLD, Backoff
-from api_gateway.registry.config import LEARN, Config
+from api_gateway.base.subsets import SubsetSpec
+from api_gateway.discovery.polling import ANSWER_MARGIN_S, KNOWN_WITHIN_S, Backoff
+from api_gateway.registry.config import DEFAULT_LEARNING_S, RegistryConfig
 from api_gateway.registry.core import DRAIN, GATHER, LOOK, Answer, Host, Registry, Stale
 from api_gateway.registry.service import Service
 
@@ -79,7 +79,9 @@
         """The service begins anew, and knows nothing."""
         self.registry = Registry(f"0123456789abcde{number:x}", FIRST)
         self.service = Service(
-            Config(("127.0.0.1", 0), None, self.case.gateways + 1, 0.0), self.registry, lambda: self.now
+            RegistryConfig(("127.0.0.1", 0), None, self.case.gateways + 1, 0.0),
+            self.registry,
+            lambda: self.now,
         )
 
     def host(self, number: int, started: int = 0) -> Host:
@@ -111,9 +113,11 @@
     def fail(self, number: int) -> None:
         """A call that is refused or broken off: the next one comes after the gateway's own pause."""
         backoff = self.backoffs.setdefault(number, Backoff(self.case.gateways, random.Random(number)))
-        due = (TOLD - ROOM) / (1 if backoff.fails else 2)  # as Discovery.due has it
+        due = (KNOWN_WITHIN_S - ANSWER_MARGIN_S) / (
+            1 if backoff.failure_count else 2
+        )  # as Discovery.due has it
         self.refused[int(self.now)] += self.counting and self.now < self.up_at
-        heapq.heappush(self.asks, (self.now + backoff.pause(due), number))
+        heapq.heappush(self.asks, (self.now + backoff.next_delay(due), number))
 
     def ask(self, number: int) -> None:
         """The first call is for the whole list; then watches go on from the last answer."""
@@ -122,7 +126,7 @@
             return
         registry, index, view, epoch = self.registry, self.versions[number], None, self.epochs[number]
         if self.case.view:
-            view = View(number, self.case.view, self.case.zone(number))
+            view = SubsetSpec(number, self.case.view, self.case.zone(number))
         answer: Answer | None
         if not index:
             answer = registry.answer(number, None) if view is None else registry.view(self.now, number, view)
@@ -273,7 +277,7 @@
     when its next renewal is due, before anything is told."""
 
     def turn() -> None:
-        world.up_at = AT + AWAY + LEARN
+        world.up_at = AT + AWAY + DEFAULT_LEARNING_S
         world.broken(range(world.case.gateways))
         world.life(1)
         for number in range(world.case.hosts):
--- a/api_gateway/experiments/scale/hollow.py
+++ b/api_gateway/experiments/scale/hollow.py
@@ -19,11 +19,11 @@
 
 import uvloop
 
-from api_gateway.base.endpoint_list import Listing, read_address
-from api_gateway.discovery.fetcher import Fetcher, Line
+from api_gateway.base.endpoint_list import EndpointListing, read_address
+from api_gateway.discovery.fetcher import FetchConnection, Fetcher
 from api_gateway.discovery.replicas import Replicas
 from api_gateway.experiments.scale.crowds import ENTRY, NO_NEWS, Crowd, stand
-from api_gateway.gateway.config import build
+from api_gateway.gateway.config import build_config
 from api_gateway.gateway.node import GatewayNode
 
 NOWHERE: Mapping[str, str] = {}
@@ -68,7 +68,7 @@
         self.out = self.back = self.calls = self.idle = self.idle_back = 0
         self.body = self.entries = 0  # bytes of answers that brought news, without HTTP's head; their hosts
 
-    async def call(self, line: Line, target: str) -> bytearray:
+    async def call(self, line: FetchConnection, target: str) -> bytearray:
         if not isinstance(line.reader, Reads):
             line.reader = Reads(line.reader, self)  # type: ignore[assignment]
             line.writer = Writes(line.writer, self)  # type: ignore[assignment]
@@ -100,7 +100,7 @@
         )
         self.counted = self.discovery.fetcher = Counted()
 
-    def told(self, listing: Listing) -> None:
+    def told(self, listing: EndpointListing) -> None:
         if listing.hosts.endpoints:  # else the watch ended without news
             self.version, self.at = listing.hosts.version, time.monotonic()
         self.hosts = max(self.hosts, len(listing.hosts.endpoints))
@@ -109,7 +109,7 @@
         self.failures += 1
 
     async def start(self) -> None:
-        self.discovery.watch(True)
+        self.discovery.set_watching(True)
 
     def counts(self) -> dict[str, float]:
         counted = self.counted
@@ -131,10 +131,10 @@
 def viewing(crowd: Crowd, number: int, zone: str) -> Any:
     if not crowd.view:
         return None
-    from api_gateway.discovery.subset_config import read_wanted
-    from api_gateway.discovery.subsets import Viewing
+    from api_gateway.discovery.subset_config import read_subset_config
+    from api_gateway.discovery.subsets import EndpointSubset
 
-    return Viewing(read_wanted({"size": crowd.view}), number, zone)
+    return EndpointSubset(read_subset_config({"size": crowd.view}), number, zone)
 
 
 class Full(GatewayNode):
@@ -156,24 +156,24 @@
         }
         scratch = folder / str(number)
         scratch.mkdir()
-        super().__init__(build(tree, {"TMPDIR": str(scratch)}))
+        super().__init__(build_config(tree, {"TMPDIR": str(scratch)}))
         self.clients.listen = self.nowhere  # type: ignore[method-assign]
         self.version, self.at = 0, 0.0
 
     async def nowhere(self, host: str, port: int, inherited: int | None = None, edge: Any = None) -> int:
         """No socket; looks after clients go on, though there are none."""
-        self.clients.sweep()
+        self.clients.run_checks()
         return 0
 
-    def listed(self, listing: Listing) -> None:
-        super().listed(listing)
+    def on_endpoint_list(self, listing: EndpointListing) -> None:
+        super().on_endpoint_list(listing)
         self.version, self.at = listing.hosts.version, time.monotonic()
 
     def counts(self) -> dict[str, float]:
         return {
             "version": self.version,
             "at": self.at,
-            "failures": self.discovery.backoff.fails,
+            "failures": self.discovery.backoff.failure_count,
             "hosts": len(self.endpoints.known_ids),
         }
 
--- a/api_gateway/experiments/scale/lessees.py
+++ b/api_gateway/experiments/scale/lessees.py
@@ -20,7 +20,7 @@
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import read_address
-from api_gateway.counter_client import Counter
+from api_gateway.counter_client import CounterClient
 from api_gateway.experiments.scale.crowds import stand
 from api_gateway.experiments.scale.demand import ASKED_EACH, CUSTOMERS, RATE, RUSH
 from api_gateway.experiments.scale.module import WARM, Case, Driver
@@ -60,7 +60,7 @@
     """One hollow gateway."""
 
     def __init__(self, number: int, counter: str) -> None:
-        self.calls, self.counter = asked(number), Counter(read_address(counter), TIMEOUT)
+        self.calls, self.counter = asked(number), CounterClient(read_address(counter), TIMEOUT)
         self.sent = self.answered = self.failed = 0
         self.task: asyncio.Task[None] | None = None
 
@@ -87,7 +87,7 @@
             "sent": self.sent,
             "answered": self.answered,
             "failed": self.failed,
-            "lines": len(self.counter.lines),
+            "lines": len(self.counter.connections),
         }
 
 
--- a/api_gateway/experiments/scale/module.py
+++ b/api_gateway/experiments/scale/module.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from api_gateway import interface as api
-from api_gateway.policy import Gateway
+from api_gateway.policy import DecisionEngine
 from api_gateway.policy.customer_accounts import stable_hash
 
 GOLDEN = 0.6180339887498949
@@ -96,7 +96,7 @@
 
     def __init__(self, case: Case) -> None:
         self.case, self.rng, self.now = case, random.Random(case.seed), BEGIN
-        self.gateway = Gateway(settings(case), case.seed, BEGIN)
+        self.gateway = DecisionEngine(settings(case), case.seed, BEGIN)
         self.events: list[tuple[float, int, str, Any]] = []
         self.number, self.version = itertools.count(), 1
         self.spent: dict[str, list[int]] = {}  # ns of each event
@@ -228,7 +228,7 @@
         "cpu_ms_after_change": mean_ms(driver.spent["after"]),
         "cpu_ms_whole_list": listed,
         **told,
-        "known": float(len(driver.gateway.fleet.servers)),
+        "known": float(len(driver.gateway.endpoint_pool.endpoints)),
         "widened": float(driver.widened),
     }
 
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -619,7 +619,7 @@
 
 PARTS = (
     ("**all that is added**", "added_p99_ms", "`gateway.node.GatewayNode`"),
-    ("of it work: the module", "part_module_p99_ms", "`policy.engine.Gateway.handle`"),
+    ("of it work: the module", "part_module_p99_ms", "`policy.engine.DecisionEngine.handle`"),
     (
         "of it work: sockets and framing",
         "part_sockets_p99_ms",
@@ -634,11 +634,15 @@
     (
         "of it waiting: for a lease of its quota",
         "part_lease_p99_ms",
-        "`policy.quota_leases.Quota.want_units`",
+        "`policy.quota_leases.QuotaLeases.request_units`",
     ),
     ("of it waiting: for a connection to its host", "part_connection_p99_ms", "`upstream.pool.Pool`"),
-    ("of it waiting: for a host that is free", "part_queue_p99_ms", "`policy.endpoints.Fleet.full`"),
-    ("of it at hosts that failed it", "part_again_p99_ms", "`policy.retries.Attempts.outcome`"),
+    (
+        "of it waiting: for a host that is free",
+        "part_queue_p99_ms",
+        "`policy.endpoints.EndpointPool.is_at_limit`",
+    ),
+    ("of it at hosts that failed it", "part_again_p99_ms", "`policy.retries.Attempts.on_attempt_ended`"),
     ("beside it: added in the median", "added_p50_ms", "`gateway.node.GatewayNode`"),
     ("beside it: added where requests are stamped", "stamped_added_p99_ms", "`gateway.node.GatewayNode`"),
     ("beside it: outside of its host through a bare relay", "relay_outside_p99_ms", "the lab's relay"),
@@ -695,7 +699,7 @@
     (
         "checked by a gateway and in force there, a plan for each route",
         "apply_s",
-        "`control.config_changes.Changes.prepare`, `control.config_changes.Changes.commit`",
+        "`control.config_changes.ConfigChanges.prepare`, `control.config_changes.ConfigChanges.commit`",
     ),
 )
 
@@ -718,7 +722,7 @@
             ratio_to(book, book["everywhere_s"], book.of("change_s")),
             book.show(none),
             book.show(none),
-            "`control.config_changes.Changes.change`",
+            "`control.config_changes.ConfigChanges.change`",
         )
     )
     return table(("step", "at rest", "in a rollout", "with a zone cut off", "carried by"), lines)
@@ -832,7 +836,7 @@
         "restart_view_kb",
         "at a gateway with it in view",
         "registry.core.DRAIN",
-        "`policy.endpoints.Server.warmth`",
+        "`policy.endpoint_table.EndpointState.warmth`",
         "gateways with it in view",
     ),
     Event(
@@ -857,7 +861,7 @@
         "zone_view_kb_most",
         "at one gateway at most",
         "lapse_s",
-        "`registry.core.Registry.may_lapse`, `base.subsets.View`",
+        "`registry.core.Registry.may_lapse`, `base.subsets.SubsetSpec`",
         "all gateways; the list service's `GET /status`, and its log where the guard holds some",
     ),
     Event(
@@ -869,7 +873,7 @@
         "everything_view_kb_most",
         "at each gateway",
         "registry_ready_s_by_gateways",
-        "`discovery.polling.Backoff.start`",
+        "`discovery.polling.Backoff.first_delay`",
         "the list service; fronts, by gateways that are ready later",
     ),
     Event(
@@ -894,7 +898,7 @@
         "distribution_cpu_ms_a_change",
         "of CPU at each gateway",
         "everywhere_s",
-        "`control.config_changes.Changes.change`",
+        "`control.config_changes.ConfigChanges.change`",
         "the caller; `GET /config` of each gateway; `GET /members`, by a digest of each in the cluster",
     ),
     Event(
@@ -906,7 +910,7 @@
         "rush_calls_s",
         "of one gateway in the worst second",
         "",
-        "`policy.quota_leases.Quota.want_units`, `counter_client.Counter`",
+        "`policy.quota_leases.QuotaLeases.request_units`, `counter_client.CounterClient`",
         "callers, by what they wait; the counter",
     ),
     Event(
@@ -919,7 +923,7 @@
         "kept_mb_by_customers",
         "at that gateway",
         "accounts_let_go_s",
-        "`policy.customer_accounts.Account`, `policy.engine.Gateway.request`",
+        "`policy.customer_accounts.Account`, `policy.engine.DecisionEngine.on_request`",
         "callers beyond quota, by refusals; nobody else: memory is not told",
     ),
     Event(
@@ -970,7 +974,7 @@
         "",
         "",
         "",
-        "`policy.quota_leases.Quota.unasked`",
+        "`policy.quota_leases.QuotaLeases.decide_without_counter`",
         "callers near their quota, either way; no figure of the gateway",
     ),
     Event(
@@ -1008,7 +1012,7 @@
         "apart_view_kb_most",
         "at one gateway at most",
         "apart_s",
-        "`registry.core.Registry.may_lapse`, `policy.quota_leases.Quota.unasked`",
+        "`registry.core.Registry.may_lapse`, `policy.quota_leases.QuotaLeases.decide_without_counter`",
         "`GET /members`, `GET /status`; callers, by what passes beyond a quota",
     ),
     Event(
--- a/api_gateway/experiments/scale/parts.py
+++ b/api_gateway/experiments/scale/parts.py
@@ -18,12 +18,12 @@
 from api_gateway.budgets.terms import Terms
 from api_gateway.experiments.scale.crowds import stand
 from api_gateway.membership.outbox import Send
-from api_gateway.membership.service import Member, read_membership
+from api_gateway.membership.service import MembershipService, read_membership
 
 CLUSTER = "scale"
 
 
-class Counted(Member):
+class Counted(MembershipService):
     """The gateway's own member; datagrams and bytes each way are counted."""
 
     def __init__(self, number: int, seeds: list[str]) -> None:
@@ -45,7 +45,7 @@
             "out": self.out,
             "got": self.got,
             "back": self.back,
-            "rumours": len(self.swim.rumours),
+            "rumours": len(self.swim.pending_rumours),
             "known": sum(member.state == "alive" for member in self.swim.members.values()),
         }
 
--- a/api_gateway/experiments/scale/stamped.py
+++ b/api_gateway/experiments/scale/stamped.py
@@ -80,8 +80,8 @@
     def of(self, attempt: Any) -> Trace | None:
         """Of the request that an attempt is for; none for a probe."""
         return (
-            self.open.get(attempt.tag[0].id)
-            if attempt is not None and isinstance(attempt.tag, tuple)
+            self.open.get(attempt.context[0].id)
+            if attempt is not None and isinstance(attempt.context, tuple)
             else None
         )
 
@@ -92,7 +92,7 @@
         act(client, data)
 
     def take(self, act: Callable[..., None], node: Any, slot: Any, command: Any) -> None:
-        self.taking = Trace(slot.client.stamp)
+        self.taking = Trace(slot.connection.stamp)
         self.taking.at("read", monotonic())
         act(node, slot, command)
 
@@ -106,7 +106,11 @@
 
     def made(self, act: Callable[..., None], node: Any, *args: Any) -> None:
         act(node, *args)
-        handle, enqueue, jobs = node.module.handle, node.module.load_shedder.enqueue, node.module.jobs
+        handle, enqueue, jobs = (
+            node.engine.handle,
+            node.engine.load_shedder.enqueue,
+            node.engine.requests_in_flight,
+        )
 
         def handled(now: float, event: api.Event) -> list[api.Action]:
             began = monotonic()
@@ -129,7 +133,7 @@
                 trace.at("queue", monotonic())
             enqueue(now, job)
 
-        node.module.handle, node.module.load_shedder.enqueue = handled, enqueued
+        node.engine.handle, node.engine.load_shedder.enqueue = handled, enqueued
 
     def decided(
         self, action: api.SendAttempt | api.RejectRequest | api.FailRequest, began: float, ended: float
--- a/api_gateway/experiments/scale/swarm.py
+++ b/api_gateway/experiments/scale/swarm.py
@@ -7,7 +7,7 @@
 
 from api_gateway.experiments.membership.referee import Referee
 from api_gateway.experiments.membership.world import Cluster
-from api_gateway.membership.anti_entropy import EXCHANGE, EXCHANGE_EACH
+from api_gateway.membership.anti_entropy import EXCHANGE_INTERVAL_PER_MEMBER_S, EXCHANGE_INTERVAL_S
 from api_gateway.membership.messages import Address
 from api_gateway.membership.outbox import Send
 from api_gateway.membership.swim import Swim
@@ -56,7 +56,7 @@
 
     def at_rest(self) -> bool:
         """All know each other, and no rumour is left."""
-        return self.agreed() and not any(len(member.rumours) for member in self.members.values())
+        return self.agreed() and not any(len(member.pending_rumours) for member in self.members.values())
 
 
 def members(size: int, seed: int = 1) -> dict[str, float]:
@@ -68,7 +68,7 @@
     swarm.sent.clear()
     swarm.out.clear()
     swarm.back = 0
-    seconds = ROUNDS * max(EXCHANGE, EXCHANGE_EACH * size)
+    seconds = ROUNDS * max(EXCHANGE_INTERVAL_S, EXCHANGE_INTERVAL_PER_MEMBER_S * size)
     swarm.run(seconds)
     return {
         "messages_s": swarm.sent.total() / size / seconds,
--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -105,7 +105,7 @@
             book["sends_in_a_burst"],
             "a burst",
             None,
-            "`policy.endpoints.Fleet.pick`, `upstream.pool.Pool`",
+            "`policy.endpoints.EndpointPool.choose`, `upstream.pool.Pool`",
         ),
         Row(
             "messages out: calls to the counter",
@@ -114,7 +114,7 @@
             book["counts_in_a_burst"],
             "a burst",
             None,
-            "`policy.quota_leases.Quota.renew`, `counter_client.Counter`",
+            "`policy.quota_leases.QuotaLeases.renew_lease`, `counter_client.CounterClient`",
         ),
         Row(
             "state: sources that are remembered, a tenant each",
@@ -133,7 +133,7 @@
             book["module_cores_view_in_a_burst"],
             "a burst",
             core,
-            "`policy.endpoints.Fleet`, `base.subsets.View`",
+            "`policy.endpoints.EndpointPool`, `base.subsets.SubsetSpec`",
             GATEWAY,
         ),
         Row(
@@ -225,7 +225,7 @@
             book[f"module_cores_{label}_of_changes"],
             "a rollout",
             cores,
-            "`policy.endpoints.Fleet.listed`",
+            "`policy.endpoints.EndpointPool.on_list`",
         ),
         Row(
             "memory: process and list",
@@ -249,7 +249,7 @@
             book.of("view_hosts", "hosts"),
             "none",
             None,
-            "`base.subsets.View`",
+            "`base.subsets.SubsetSpec`",
         ),
         Row(
             "messages in: entries of the list",
@@ -267,9 +267,11 @@
             None,
             "none",
             None,
-            "`discovery.client.Discovery`, `counter_client.Counter`",
+            "`discovery.client.Discovery`, `counter_client.CounterClient`",
+        ),
+        *at_rest(
+            book, "view", view(book), NOW, "`base.subsets.SubsetSpec`, `discovery.subsets.EndpointSubset`"
         ),
-        *at_rest(book, "view", view(book), NOW, "`base.subsets.View`, `discovery.subsets.Viewing`"),
         Row(
             "bytes in and out: membership",
             Slope("bytes_out_s", "membership", "gateways", "bytes/s"),
@@ -286,7 +288,7 @@
             None,
             "none",
             kb,
-            "`control.config_changes.Changes.change`",
+            "`control.config_changes.ConfigChanges.change`",
         ),
         Row(
             "processor: membership",
@@ -312,7 +314,7 @@
             None,
             "none",
             book.code("base.subsets", "MAX_KINDS", "kinds"),
-            "`base.subsets.View`",
+            "`base.subsets.SubsetSpec`",
             PART,
             "the view is refused",
         ),
@@ -323,7 +325,7 @@
             None,
             "none",
             book.code("base.subsets", "MAX_SUBSET_SIZE", "hosts"),
-            "`base.subsets.View.share`",
+            "`base.subsets.SubsetSpec.group_size`",
             PART,
             "the view is refused",
         ),
@@ -334,7 +336,7 @@
             None,
             "none",
             book.code("registry.service", "MAX_REQUEST_LINE_BYTES", "bytes"),
-            "`base.subsets.View.query`",
+            "`base.subsets.SubsetSpec.query`",
             PART,
             "the call is refused; the gateway takes its part of whole lists",
         ),
@@ -345,7 +347,7 @@
             None,
             "none",
             book.of("control_mb", "MB"),
-            "`base.subsets.View.share`",
+            "`base.subsets.SubsetSpec.group_size`",
         ),
     ]
 
@@ -386,10 +388,12 @@
             book["module_cores_before_in_a_burst"],
             "a burst",
             book.of("loop_cores", "cores"),
-            "`policy.endpoints.Fleet`, `base.subsets.View`",
+            "`policy.endpoints.EndpointPool`, `base.subsets.SubsetSpec`",
             GATEWAY,
         ),
-        *at_rest(book, "before", WHOLE, BEFORE, "`base.subsets.View`, `discovery.subsets.Viewing`"),
+        *at_rest(
+            book, "before", WHOLE, BEFORE, "`base.subsets.SubsetSpec`, `discovery.subsets.EndpointSubset`"
+        ),
     ]
 
 
@@ -519,7 +523,7 @@
             book["registry_cores_whole_in_a_rollout"],
             "a rollout",
             book.of("loop_cores", "cores"),
-            "`base.subsets.View`",
+            "`base.subsets.SubsetSpec`",
             PART,
         ),
         Row(
@@ -549,7 +553,7 @@
             book["registry_ready_s_by_gateways"],
             "a start of all",
             None,
-            "`discovery.polling.Backoff.start`",
+            "`discovery.polling.Backoff.first_delay`",
         ),
         Row(
             "memory",
@@ -593,8 +597,8 @@
             book["config_bytes"],
             None,
             "none",
-            book.code("control.config_changes", "MOST_BYTES", "bytes"),
-            "`control.config_changes.MOST_BYTES`",
+            book.code("control.config_history", "MAX_BYTES", "bytes"),
+            "`control.config_history.MAX_BYTES`",
             past="only the version in force and the one before it stay",
         ),
         Row(
@@ -604,7 +608,7 @@
             None,
             "none",
             None,
-            "`control.config_changes.MOST_VERSIONS`",
+            "`control.config_history.MAX_VERSIONS`",
         ),
         Row(
             "s until a change is in force everywhere, by an operator's calls",
@@ -613,7 +617,7 @@
             None,
             "a zone cut off",
             book.of("change_s", "s"),
-            "`control.config_changes.Changes.change`",
+            "`control.config_changes.ConfigChanges.change`",
             PART,
         ),
         Row("messages out: deliveries", "`deliveries_s`", book["deliveries_s"], None, "none", None, MISSING),
@@ -625,7 +629,7 @@
             None,
             "none",
             book.of("control_cores", "cores"),
-            "`control.config_changes.Changes.change`",
+            "`control.config_changes.ConfigChanges.change`",
         ),
         Row(
             "memory of a gateway with so many plans",
@@ -634,7 +638,7 @@
             None,
             "none",
             book.of("control_mb", "MB"),
-            "`control.config_changes.Changes`",
+            "`control.config_changes.ConfigChanges`",
         ),
         Row("memory of what distributes", "not measured", None, None, "none", None, MISSING),
     ]
@@ -659,7 +663,7 @@
             book["counts_of_all_in_a_burst"],
             "a burst",
             None,
-            "`policy.customer_accounts.Account.block`, `counter_client.Counter`",
+            "`policy.customer_accounts.Account.lease_size`, `counter_client.CounterClient`",
         ),
         Row(
             "messages in: calls in a rush of tenants",
@@ -668,7 +672,7 @@
             book["rush_calls_of_all_s"],
             "each tenant is new at its gateways",
             None,
-            "`policy.customer_accounts.Account.block`",
+            "`policy.customer_accounts.Account.lease_size`",
         ),
         Row(
             "connections",
@@ -740,7 +744,7 @@
             None,
             "none",
             book.of("control_kb_s", "KB/s"),
-            "`membership.anti_entropy.EXCHANGE_EACH`",
+            "`membership.anti_entropy.EXCHANGE_INTERVAL_PER_MEMBER_S`",
         ),
         Row(
             "bytes out a member in the worst second of a start",
@@ -876,7 +880,7 @@
             book["gateways_told_of_a_host"],
             every,
             None,
-            "`policy.endpoints.Fleet.part`",
+            "`policy.endpoints.EndpointPool.choose_subset`",
         ),
         Row(
             "connections",
@@ -903,7 +907,7 @@
             book["requests_a_host_in_a_burst"],
             "a burst",
             None,
-            "`policy.endpoints.Fleet.pick`",
+            "`policy.endpoints.EndpointPool.choose`",
         ),
         Row(
             "attempts out",
@@ -911,8 +915,8 @@
             book["attempts_out_a_host"],
             book["attempts_out_a_host_in_a_burst"],
             "a burst",
-            book.code("policy.endpoints", "LIMIT_MOST", "attempts"),
-            "`policy.endpoints.Fleet.full`",
+            book.code("policy.endpoints", "MAX_IN_FLIGHT_PER_ENDPOINT", "attempts"),
+            "`policy.endpoints.EndpointPool.is_at_limit`",
             past="a request waits, or goes to another host",
         ),
         Row(
--- a/api_gateway/gateway/action_executor.py
+++ b/api_gateway/gateway/action_executor.py
@@ -6,14 +6,14 @@
 import logging
 
 from api_gateway import interface as api
-from api_gateway.counter_client import Counter
+from api_gateway.counter_client import CounterClient
 from api_gateway.discovery.client import Discovery
 from api_gateway.gateway.attempt_runner import AttemptRunner
 from api_gateway.gateway.event_dispatcher import ActionHandler, EventDispatcher
 from api_gateway.gateway.in_flight import InFlightRequests
 from api_gateway.gateway.serving_state import ServingState
 from api_gateway.upstream.attempt import Attempt
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 # Seconds past the end of a timer: the loop's timers tick in milliseconds and may fire early.
 TIMER_SLACK_S = 0.001
@@ -27,9 +27,9 @@
     def __init__(
         self,
         dispatcher: EventDispatcher,
-        upstream: Hosts,
+        upstream: EndpointPools,
         discovery: Discovery,
-        counter: Counter | None,
+        counter: CounterClient | None,
     ) -> None:
         """Wire the component; needs a running event loop."""
         self._dispatcher = dispatcher
@@ -60,10 +60,12 @@
 
     def check_health(self, action: api.CheckHealth) -> None:
         """Send a health check to an endpoint."""
-        self._upstream.probe(action.endpoint_id, self._on_health_check_ended)
+        self._upstream.check_health(action.endpoint_id, self._on_health_check_ended)
 
     def _on_health_check_ended(self, attempt: Attempt) -> None:
-        ended = api.HealthCheckEnded(attempt.host, attempt.result, attempt.elapsed(), attempt.report)
+        ended = api.HealthCheckEnded(
+            attempt.endpoint_id, attempt.result, attempt.response_time(), attempt.load_report
+        )
         self._dispatcher.dispatch(ended)
 
     def close_idle_connections(self, action: api.CloseIdleConnections) -> None:
@@ -95,15 +97,15 @@
 
     def fetch_endpoints(self, action: api.FetchEndpoints) -> None:
         """Poll discovery for the complete list, once."""
-        self._discovery.fetch()
+        self._discovery.fetch_full_list()
 
     def watch_endpoints(self, action: api.WatchEndpoints) -> None:
         """Begin or end watching discovery."""
-        self._discovery.watch(action.enabled)
+        self._discovery.set_watching(action.enabled)
 
     def resize_subset(self, action: api.ResizeSubset) -> None:
         """Ask discovery for a larger or smaller subset."""
-        self._discovery.widen(action.endpoint_count)
+        self._discovery.resize_subset(action.endpoint_count)
 
     def log_message(self, action: api.LogMessage) -> None:
         """Log what the decision module has to say."""
--- a/api_gateway/gateway/attempt_runner.py
+++ b/api_gateway/gateway/attempt_runner.py
@@ -9,7 +9,7 @@
 from api_gateway.gateway.event_dispatcher import EventDispatcher
 from api_gateway.gateway.in_flight import InFlightRequest, InFlightRequests, bulk_string
 from api_gateway.upstream.attempt import Attempt
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 
 class AttemptRunner:
@@ -18,7 +18,9 @@
     Each attempt's `tag` is the request that it belongs to and its number.
     """
 
-    def __init__(self, requests: InFlightRequests, upstream: Hosts, dispatcher: EventDispatcher) -> None:
+    def __init__(
+        self, requests: InFlightRequests, upstream: EndpointPools, dispatcher: EventDispatcher
+    ) -> None:
         """Wire the component."""
         self._requests = requests
         self._upstream = upstream
@@ -57,12 +59,12 @@
         """Cancel an attempt, where it has not ended."""
         request = self._requests.in_flight.get(action.request_id)
         if request is not None and action.attempt in request.attempts:
-            self._upstream.give_up(request.attempts[action.attempt], "cancelled")
+            self._upstream.abandon(request.attempts[action.attempt], "cancelled")
 
     def on_attempt_ended(self, attempt: Attempt) -> None:
         """Answer the client where the attempt brought the answer, and report the end."""
         request: InFlightRequest
-        request, number = attempt.tag
+        request, number = attempt.context
         result = attempt.result
         was_answered = request.is_answered
         del request.attempts[number]
@@ -75,12 +77,12 @@
             api.AttemptEnded(
                 request.id,
                 number,
-                attempt.host,
+                attempt.endpoint_id,
                 result,
-                attempt.elapsed(),
+                attempt.response_time(),
                 request.is_answered,
-                metered_use=attempt.used,
-                load_report=attempt.report,
+                metered_use=attempt.metered_use,
+                load_report=attempt.load_report,
             )
         )
 
@@ -97,7 +99,7 @@
         The loop may not have read of that yet: it is late by its own work, or does not read that client now.
         """
         if not request.is_answered:
-            request.slot.client.look()
+            request.slot.connection.detect_disconnect()
         return b"" if request.is_answered else request.payload(time_left)
 
     def _on_value_begins(self, attempt: Attempt, length: int) -> bool:
@@ -113,24 +115,24 @@
             Whether the value is wanted.
         """
         request: InFlightRequest
-        request, number = attempt.tag
-        connection = attempt.conn
+        request, number = attempt.context
+        connection = attempt.connection
         if request.is_answered or request.streaming_attempt is not None or connection is None:
             return False
         request.streaming_attempt = attempt
         slot = request.slot
         if request.guard is not None:
             request.guard.cancel()
-        attempt.blocked = slot.blocked
-        slot.turn = connection.go_on
+        attempt.is_value_blocked = slot.is_blocked
+        slot.on_writable = connection.resume_value
         head = b"$%d\r\n" % length
 
         def write_piece(data: bytes) -> None:
             nonlocal head
-            slot.piece(head + data)
+            slot.write_piece(head + data)
             head = b""
 
-        attempt.sink = write_piece
-        started = api.ResponseStarted(request.id, number, attempt.host, attempt.elapsed())
+        attempt.value_sink = write_piece
+        started = api.ResponseStarted(request.id, number, attempt.endpoint_id, attempt.response_time())
         self._dispatcher.dispatch(started)
         return attempt.result == ""
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING, Any
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Address, Listing, read_address, read_list
-from api_gateway.base.errors import ConfigError, in_one_line
+from api_gateway.base.endpoint_list import Address, EndpointListing, read_address, read_list
+from api_gateway.base.errors import ConfigError, config_errors_in_one_line
 from api_gateway.settings_parser import read_settings, seconds
 
 if TYPE_CHECKING:
@@ -65,7 +65,7 @@
     seed: int
     max_descriptors: int
     max_memory_bytes: float
-    initial_list: Listing
+    initial_list: EndpointListing
     settings: api.Settings
     connect_timeout: float
     endpoint_idle_close: float
@@ -76,7 +76,7 @@
     edge: AdmissionSettings | None
     membership: Membership | None
     subset: SubsetConfig | None
-    tree: Document
+    document: Document
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
@@ -88,8 +88,8 @@
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
-    with in_one_line(path), open(path, encoding="utf-8") as file:
-        return build(json.load(file), env)
+    with config_errors_in_one_line(path), open(path, encoding="utf-8") as file:
+        return build_config(json.load(file), env)
 
 
 def reread_config(last: Config, env: Mapping[str, str] = os.environ) -> Config:
@@ -102,14 +102,14 @@
         ConfigError: The file cannot be used, or lacks a key that the last one had.
     """
     path = env.get("RELAY_CONFIG", "")
-    with in_one_line(path), open(path, encoding="utf-8") as file:
+    with config_errors_in_one_line(path), open(path, encoding="utf-8") as file:
         document = json.load(file)
-        require_complete(dict.fromkeys(last.tree), document, "the file")
-        require_complete(last.tree["settings"], document["settings"], "settings")
-        return rebuild(last, document)
+        require_complete(dict.fromkeys(last.document), document, "the file")
+        require_complete(last.document["settings"], document["settings"], "settings")
+        return rebuild_config(last, document)
 
 
-def rebuild(last: Config, document: Document) -> Config:
+def rebuild_config(last: Config, document: Document) -> Config:
     """Return what a document says; what a running process cannot change stays as it is.
 
     Raises:
@@ -117,7 +117,7 @@
         KeyError: A key is missing.
     """
     return replace(
-        build(document, {}),
+        build_config(document, {}),
         name=last.name,
         listen=last.listen,
         inherited_socket=last.inherited_socket,
@@ -149,8 +149,8 @@
     """
     if last is None:
         return
-    if kind(last) != kind(fresh):
-        raise ValueError(f"{name} is {kind(fresh)} and not {kind(last)}")
+    if json_kind(last) != json_kind(fresh):
+        raise ValueError(f"{name} is {json_kind(fresh)} and not {json_kind(last)}")
     if isinstance(last, dict):
         for key, value in last.items():
             if key not in fresh:
@@ -162,14 +162,14 @@
             require_complete(common, entry, f"{name}.{number}")
 
 
-def kind(value: Any) -> str:
+def json_kind(value: Any) -> str:
     """Return the kind of a JSON value, in the words of an error's text."""
     if isinstance(value, bool):
         return "true or false"
     return "a number" if isinstance(value, int | float) else type(value).__name__
 
 
-def build(document: Document, env: Mapping[str, str]) -> Config:
+def build_config(document: Document, env: Mapping[str, str]) -> Config:
     """Build the configuration from a document and the environment, which goes first.
 
     Raises:
@@ -209,7 +209,7 @@
         edge=_read_edge(document["edge"]) if "edge" in document else None,
         membership=_read_membership(document["membership"]) if "membership" in document else None,
         subset=_read_subset(document["view"]) if "view" in document else None,
-        tree=document,
+        document=document,
     )
 
 
@@ -249,12 +249,12 @@
 
 
 def _read_edge(document: Any) -> AdmissionSettings:
-    from api_gateway.downstream.admission_settings import read_edge
+    from api_gateway.downstream.admission_settings import parse_admission_settings
 
-    return read_edge(document)
+    return parse_admission_settings(document)
 
 
 def _read_subset(document: Any) -> SubsetConfig:
-    from api_gateway.discovery.subset_config import read_wanted
+    from api_gateway.discovery.subset_config import read_subset_config
 
-    return read_wanted(document)
+    return read_subset_config(document)
--- a/api_gateway/gateway/config_reload.py
+++ b/api_gateway/gateway/config_reload.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Listing
-from api_gateway.counter_client import Counter
+from api_gateway.base.endpoint_list import EndpointListing
+from api_gateway.counter_client import CounterClient
 from api_gateway.discovery.client import Discovery
 from api_gateway.gateway.active_config import ActiveConfig
 from api_gateway.gateway.config import Config
 from api_gateway.gateway.discovery_setup import agent_drain_grace
 from api_gateway.gateway.event_dispatcher import EventDispatcher
 from api_gateway.gateway.process_limits import ProcessLimits
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 
 class ConfigReloader:
@@ -21,9 +21,9 @@
         self,
         active: ActiveConfig,
         dispatcher: EventDispatcher,
-        upstream: Hosts,
+        upstream: EndpointPools,
         discovery: Discovery,
-        counter: Counter | None,
+        counter: CounterClient | None,
         limits: ProcessLimits,
     ) -> None:
         """Wire the component."""
@@ -34,7 +34,7 @@
         self._counter = counter
         self._limits = limits
 
-    def adopt(self, fresh: Config, listing: Listing | None) -> None:
+    def adopt(self, fresh: Config, listing: EndpointListing | None) -> None:
         """Bring a checked configuration into force.
 
         Requests in flight keep the settings that they began with.
@@ -45,15 +45,15 @@
         """
         last = self._active.config
         self._active.replace(fresh)
-        self._upstream.retune(fresh.connect_timeout, fresh.endpoint_idle_close)
+        self._upstream.reconfigure(fresh.connect_timeout, fresh.endpoint_idle_close)
         self._dispatcher.dispatch(api.SettingsChanged(fresh.settings))
         if (grace := agent_drain_grace(fresh)) is not None:
-            self._discovery.retune(grace)
-        self._discovery.place(fresh.settings.gateway_index, fresh.settings.zone)
+            self._discovery.set_drain_grace(grace)
+        self._discovery.relocate_subset(fresh.settings.gateway_index, fresh.settings.zone)
         if fresh.discovery != last.discovery:
-            self._discovery.move(fresh.discovery, listing)
+            self._discovery.move_to(fresh.discovery, listing)
         if self._counter and fresh.counter:
-            self._counter.retune(fresh.counter, fresh.settings.counter_timeout)
+            self._counter.reconfigure(fresh.counter, fresh.settings.counter_timeout)
         self._limits.apply()
         if fresh.max_descriptors < last.max_descriptors:
             self._limits.close_excess()
--- a/api_gateway/gateway/discovery_setup.py
+++ b/api_gateway/gateway/discovery_setup.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from api_gateway.base.endpoint_list import Listing
+from api_gateway.base.endpoint_list import EndpointListing
 from api_gateway.discovery.client import Discovery
 from api_gateway.gateway.config import Config
 
 if TYPE_CHECKING:
-    from api_gateway.discovery.subsets import Viewing
+    from api_gateway.discovery.subsets import EndpointSubset
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
     """A discovery client, and the list to begin with until it has another."""
 
     client: Discovery
-    initial_list: Listing
+    initial_list: EndpointListing
 
 
 def agent_drain_grace(config: Config) -> float | None:
@@ -32,7 +32,7 @@
 def build_discovery(
     config: Config,
     clock: Callable[[], float],
-    on_list: Callable[[Listing], None],
+    on_list: Callable[[EndpointListing], None],
     on_poll_failed: Callable[[], None],
 ) -> DiscoverySetup:
     """Build the discovery client.
@@ -61,7 +61,7 @@
 def _build_replicas(
     config: Config,
     clock: Callable[[], float],
-    on_list: Callable[[Listing], None],
+    on_list: Callable[[EndpointListing], None],
     on_poll_failed: Callable[[], None],
 ) -> DiscoverySetup:
     from api_gateway.discovery.replicas import Replicas
@@ -80,7 +80,7 @@
         _subset(config),
     )
     client.clock = clock
-    return DiscoverySetup(client, client.recall() or config.initial_list)
+    return DiscoverySetup(client, client.load_cached_list() or config.initial_list)
 
 
 def _known_version(config: Config) -> int | None:
@@ -93,10 +93,10 @@
     return known.version if has_version else None
 
 
-def _subset(config: Config) -> Viewing | None:
+def _subset(config: Config) -> EndpointSubset | None:
     """Return the subset of the endpoints that is used; None where that is all of them."""
     if config.subset is None:
         return None
-    from api_gateway.discovery.subsets import Viewing
+    from api_gateway.discovery.subsets import EndpointSubset
 
-    return Viewing(config.subset, config.settings.gateway_index, config.settings.zone)
+    return EndpointSubset(config.subset, config.settings.gateway_index, config.settings.zone)
--- a/api_gateway/gateway/endpoint_updates.py
+++ b/api_gateway/gateway/endpoint_updates.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Listing
+from api_gateway.base.endpoint_list import EndpointListing
 from api_gateway.gateway.event_dispatcher import EventDispatcher
 from api_gateway.gateway.serving_state import ServingState
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 
 class EndpointUpdates:
@@ -16,14 +16,14 @@
         known_ids: The endpoints of the last list, whatever their state but down.
     """
 
-    def __init__(self, upstream: Hosts, dispatcher: EventDispatcher, serving: ServingState) -> None:
+    def __init__(self, upstream: EndpointPools, dispatcher: EventDispatcher, serving: ServingState) -> None:
         """Wire the component; no list is known yet."""
         self._upstream = upstream
         self._dispatcher = dispatcher
         self._serving = serving
         self.known_ids: set[str] = set()
 
-    def apply(self, listing: Listing) -> None:
+    def apply(self, listing: EndpointListing) -> None:
         """Apply a complete list or a delta.
 
         The module gets it between the pools of new endpoints and the end of those that departed: what ends
@@ -38,11 +38,11 @@
         self.known_ids -= {endpoint.id for endpoint in endpoints if endpoint.state == "down"}
         available_ids = {endpoint.id for endpoint in endpoints if endpoint.state == "up"}
         for endpoint_id in available_ids & listing.addresses.keys():
-            self._upstream.listed(endpoint_id, listing.addresses[endpoint_id])
+            self._upstream.set_address(endpoint_id, listing.addresses[endpoint_id])
         self._dispatcher.dispatch(listing.hosts)
         candidate_ids = listed_ids if is_delta else listed_ids | self._upstream.pools.keys()
         for endpoint_id in candidate_ids - available_ids:
-            self._upstream.listed(endpoint_id, None)
+            self._upstream.set_address(endpoint_id, None)
         self._serving.update_readiness()
 
     def on_poll_failed(self, settings: api.Settings, version: int | None) -> None:
--- a/api_gateway/gateway/in_flight.py
+++ b/api_gateway/gateway/in_flight.py
@@ -10,12 +10,12 @@
 
 from api_gateway import interface as api
 from api_gateway.downstream.body_budget import BodyBudget
-from api_gateway.downstream.pending_reply import Slot
+from api_gateway.downstream.pending_reply import PendingReply
 from api_gateway.gateway.active_config import ActiveConfig
 from api_gateway.gateway.event_dispatcher import EventDispatcher
 from api_gateway.gateway.request_parser import ANSWER_RESERVE_S, BadRequestError, parse_request
 from api_gateway.upstream.attempt import Attempt
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 # Seconds before the client gives up by which a request is failed, whatever the decision module does.
 GUARD_MARGIN_S = 0.01
@@ -65,7 +65,12 @@
     )
 
     def __init__(
-        self, id: str, slot: Slot, command: list[bytes | bytearray], deadline: float, limits: api.Limits
+        self,
+        id: str,
+        slot: PendingReply,
+        command: list[bytes | bytearray],
+        deadline: float,
+        limits: api.Limits,
     ) -> None:
         """Begin without attempts and without an answer."""
         self.id = id
@@ -123,7 +128,7 @@
         self,
         active: ActiveConfig,
         dispatcher: EventDispatcher,
-        upstream: Hosts,
+        upstream: EndpointPools,
         is_serving: Callable[[], bool],
     ) -> None:
         """Wire the component; needs a running event loop."""
@@ -138,48 +143,48 @@
 
     # Called by client connections
 
-    def command(self, slot: Slot, command: object) -> None:
+    def handle_command(self, slot: PendingReply, command: object) -> None:
         """Answer a command, or admit it. Whatever fails here costs this command alone."""
         if command == [b"PING"] or command == [b"ping"]:
-            slot.reply(PONG_REPLY if self._is_serving() else NOT_READY_REPLY)
+            slot.complete(PONG_REPLY if self._is_serving() else NOT_READY_REPLY)
             return
         try:
             self.admit(slot, command)
         except BadRequestError as err:
-            slot.reply(b"-ERR %s\r\n" % str(err).encode())
+            slot.complete(b"-ERR %s\r\n" % str(err).encode())
         except Exception:
             log.exception("a command could not be taken")
-            slot.reply(FAILED_REPLY)
+            slot.complete(FAILED_REPLY)
 
-    def gone(self, slot: Slot) -> None:
+    def on_client_disconnected(self, slot: PendingReply) -> None:
         """Forward nothing more for a request whose client has disconnected."""
-        request = slot.token
+        request = slot.request
         if request is not None and not request.is_answered:
             self.finish(request, b"")
             self._dispatcher.dispatch(api.ClientDisconnected(request.id))
             if request.streaming_attempt is not None:
-                self._upstream.give_up(request.streaming_attempt, "cancelled")
+                self._upstream.abandon(request.streaming_attempt, "cancelled")
 
     # Admission
 
-    def admit(self, slot: Slot, command: object) -> None:
+    def admit(self, slot: PendingReply, command: object) -> None:
         """Take a request in and hand it to the decision module, or reject it where limits are reached.
 
         Raises:
             BadRequestError: The command is not a request, or its id is in flight already.
         """
         now = time.monotonic()
-        request = self.parse(command, now - slot.client.heard)
+        request = self.parse(command, now - slot.connection.last_read_at)
         if request.request_id in self.in_flight:
             raise BadRequestError("this id is in work")
         if self._is_full():
-            slot.reply(BUSY_REPLY)
+            slot.complete(BUSY_REPLY)
             return
         assert isinstance(command, list)  # or else parse() had raised
         admitted = InFlightRequest(
             request.request_id, slot, command, now + request.time_left, self._active.settings.limits
         )
-        slot.token = admitted
+        slot.request = admitted
         self.in_flight[request.request_id] = admitted
         if admitted.body is None:
             self.small_body_bytes += len(command[-1])
@@ -212,13 +217,13 @@
         request.is_answered = True
         if request.guard is not None:
             request.guard.cancel()
-        if request.streaming_attempt is not None and not request.streaming_attempt.whole:
-            request.slot.cut()
+        if request.streaming_attempt is not None and not request.streaming_attempt.is_value_complete:
+            request.slot.abort()
         elif answer:
-            request.slot.reply(answer if request.streaming_attempt is None else b"")
+            request.slot.complete(answer if request.streaming_attempt is None else b"")
         for attempt in list(request.attempts.values()):
-            if not attempt.written:  # after the final answer nothing more is sent
-                self._upstream.give_up(attempt, "cancelled")
+            if not attempt.is_written:  # after the final answer nothing more is sent
+                self._upstream.abandon(attempt, "cancelled")
         self.forget_if_ended(request)
 
     def reject(self, action: api.RejectRequest) -> None:
@@ -228,7 +233,7 @@
             return
         retry_after_ms = math.ceil(action.retry_after * 1000)
         if action.overloaded:
-            request.slot.client.pressed()
+            request.slot.connection.on_overload()
         self.finish(request, b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else BUSY_REPLY)
 
     def fail(self, action: api.FailRequest) -> None:
@@ -241,7 +246,7 @@
         """Fail a request without the decision module, cancel its attempts and let the module forget it."""
         self.finish(request, FAILED_REPLY)
         for attempt in list(request.attempts.values()):
-            self._upstream.give_up(attempt, "cancelled")
+            self._upstream.abandon(attempt, "cancelled")
         self._dispatcher.dispatch(api.ClientDisconnected(request.id))
 
     def abandon_all(self) -> None:
@@ -261,7 +266,7 @@
         if self.in_flight.pop(request.id, None) is None:
             return
         if request.body is not None:
-            self.body_budget.give(len(request.body))
+            self.body_budget.release(len(request.body))
         else:
             self.small_body_bytes -= len(request.command[-1])
 
--- a/api_gateway/gateway/instances.py
+++ b/api_gateway/gateway/instances.py
@@ -15,7 +15,7 @@
 CLOSED = -1
 
 
-class Lives:
+class GatewayInstances:
     """The processes of one gateway, each known to the others by a file of its own that it locks.
 
     The lock ends with the process, however that ends. `NAME-life-*` are the files; `NAME-starting-*` is one
@@ -36,7 +36,7 @@
         self.path = ""
         self.last_count = 0
 
-    def begin(self) -> None:
+    def register(self) -> None:
         """Make this process known; where its file cannot be made it serves all the same."""
         if self.folder is None:
             return
@@ -51,7 +51,7 @@
         except OSError as err:
             log.error("process not registered folder=%s error=%s", self.folder, err)
 
-    def others(self) -> int:
+    def count_others(self) -> int:
         """Return how many other processes run, and remove the files of those that ended.
 
         As many as last time where that cannot be seen, as without a descriptor.
@@ -85,7 +85,7 @@
         finally:
             os.close(descriptor)
 
-    def end(self) -> None:
+    def unregister(self) -> None:
         """Let the others know that this process ends; twice is no harm."""
         if self.lock_descriptor == CLOSED:
             return
--- a/api_gateway/gateway/node.py
+++ b/api_gateway/gateway/node.py
@@ -13,9 +13,9 @@
 from typing import TYPE_CHECKING, Any
 
 from api_gateway import interface as api
-from api_gateway.base.endpoint_list import Listing
-from api_gateway.control.host_overrides import Bans
-from api_gateway.counter_client import Counter
+from api_gateway.base.endpoint_list import EndpointListing
+from api_gateway.control.host_overrides import HostOverrides
+from api_gateway.counter_client import CounterClient
 from api_gateway.downstream.client_server import ClientServer
 from api_gateway.gateway.action_executor import ActionExecutor
 from api_gateway.gateway.active_config import ActiveConfig
@@ -26,21 +26,21 @@
 from api_gateway.gateway.endpoint_updates import EndpointUpdates
 from api_gateway.gateway.event_dispatcher import EventDispatcher
 from api_gateway.gateway.in_flight import InFlightRequest, InFlightRequests
-from api_gateway.gateway.instances import Lives
+from api_gateway.gateway.instances import GatewayInstances
 from api_gateway.gateway.operator_overrides import OperatorOverrides
 from api_gateway.gateway.process_limits import ProcessLimits
 from api_gateway.gateway.serving_state import ServingState
 from api_gateway.gateway.shutdown import shut_down
 from api_gateway.gateway.sibling_watch import SiblingWatch
 from api_gateway.gateway.status import gateway_status, member_metadata
-from api_gateway.gateway.wall_clock import Clock
-from api_gateway.policy import Gateway
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.gateway.wall_clock import GatewayClock
+from api_gateway.policy import DecisionEngine
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 if TYPE_CHECKING:
-    from api_gateway.control.config_changes import Changes
-    from api_gateway.control.server import Control
-    from api_gateway.membership.service import Member
+    from api_gateway.control.config_changes import ConfigChanges
+    from api_gateway.control.server import ControlServer
+    from api_gateway.membership.service import MembershipService
 
 log = logging.getLogger(__name__)
 
@@ -69,51 +69,54 @@
         """Build all components; needs a running event loop. Nothing is started yet."""
         self.active = ActiveConfig(config)
         shares_clock = config.control is not None or config.saves_list
-        self.clock = Clock(config.shared_folder if shares_clock else None, config.name)
-        self.lives = Lives(config.shared_folder, config.name)
-        self.module = Gateway(config.settings, config.seed, self.clock())
-        self.dispatcher = EventDispatcher(self.module, self.clock)
-        self.hosts = self._build_upstream(config)
-        self.serving = ServingState(self.active, self.dispatcher, self.hosts, self.lives)
-        self.requests = InFlightRequests(self.active, self.dispatcher, self.hosts, self.serving.is_serving)
+        self.clock = GatewayClock(config.shared_folder if shares_clock else None, config.name)
+        self.siblings = GatewayInstances(config.shared_folder, config.name)
+        self.engine = DecisionEngine(config.settings, config.seed, self.clock())
+        self.dispatcher = EventDispatcher(self.engine, self.clock)
+        self.upstream = self._build_upstream(config)
+        self.serving = ServingState(self.active, self.dispatcher, self.upstream, self.siblings)
+        self.requests = InFlightRequests(self.active, self.dispatcher, self.upstream, self.serving.is_serving)
         self.clients = ClientServer(self.requests, 0)
-        self.requests.body_budget = self.clients.budget
-        self.attempts = AttemptRunner(self.requests, self.hosts, self.dispatcher)
-        self.endpoints = EndpointUpdates(self.hosts, self.dispatcher, self.serving)
-        self.limits = ProcessLimits(self.active, self.clients, self.hosts)
+        self.requests.body_budget = self.clients.body_budget
+        self.attempts = AttemptRunner(self.requests, self.upstream, self.dispatcher)
+        self.endpoints = EndpointUpdates(self.upstream, self.dispatcher, self.serving)
+        self.limits = ProcessLimits(self.active, self.clients, self.upstream)
         self.overrides = OperatorOverrides(
-            Bans(config.shared_folder, config.name), self.hosts, self.dispatcher, self._is_known_endpoint
+            HostOverrides(config.shared_folder, config.name),
+            self.upstream,
+            self.dispatcher,
+            self._is_known_endpoint,
         )
-        self.watch = SiblingWatch(self.clock, self.dispatcher, self.overrides, self.lives, self.limits)
-        self.control: Control | None = None
-        self.changes: Changes | None = None
-        self.member: Member | None = None
-        self.counter: Counter | None = None
+        self.watch = SiblingWatch(self.clock, self.dispatcher, self.overrides, self.siblings, self.limits)
+        self.control: ControlServer | None = None
+        self.changes: ConfigChanges | None = None
+        self.member: MembershipService | None = None
+        self.counter: CounterClient | None = None
         if config.counter is not None:
-            self.counter = Counter(config.counter, config.settings.counter_timeout)
-        setup = build_discovery(config, self.clock, self.listed, self._on_poll_failed)
+            self.counter = CounterClient(config.counter, config.settings.counter_timeout)
+        setup = build_discovery(config, self.clock, self.on_endpoint_list, self._on_poll_failed)
         self.discovery = setup.client
         self._initial_list = setup.initial_list
         self.reloader = ConfigReloader(
-            self.active, self.dispatcher, self.hosts, self.discovery, self.counter, self.limits
+            self.active, self.dispatcher, self.upstream, self.discovery, self.counter, self.limits
         )
-        self.executor = ActionExecutor(self.dispatcher, self.hosts, self.discovery, self.counter)
+        self.executor = ActionExecutor(self.dispatcher, self.upstream, self.discovery, self.counter)
         self._connect_components()
 
     @staticmethod
-    def _build_upstream(config: Config) -> Hosts:
-        upstream = Hosts(config.connect_timeout, config.endpoint_idle_close, 0)
+    def _build_upstream(config: Config) -> EndpointPools:
+        upstream = EndpointPools(config.connect_timeout, config.endpoint_idle_close, 0)
         if config.edge and config.edge.connects:
-            from api_gateway.upstream.connect_limits import shared
+            from api_gateway.upstream.connect_limits import limited_pool_factory
 
-            upstream.make = shared(config.edge.connects, config.edge.connects_all)
+            upstream.make_pool = limited_pool_factory(config.edge.connects, config.edge.connects_all)
         return upstream
 
     def _connect_components(self) -> None:
         """Connect what exists only once all components are built."""
         self.dispatcher.handlers = self.executor.handlers(self.requests, self.attempts, self.serving)
         self.dispatcher.on_engine_failure = self.requests.on_engine_failure
-        callers = [self.hosts, self.discovery.fetcher, *(self.counter.lines if self.counter else ())]
+        callers = [self.upstream, self.discovery.fetcher, *(self.counter.connections if self.counter else ())]
         for caller in callers:
             caller.reclaim_descriptor = self.limits.reclaim_descriptor
 
@@ -131,29 +134,29 @@
         """
         config = self.config
         if config.control:
-            from api_gateway.control.server import Control
+            from api_gateway.control.server import ControlServer
         if config.membership:
-            from api_gateway.membership.service import Member
-        self.lives.begin()
+            from api_gateway.membership.service import MembershipService
+        self.siblings.register()
         if config.control:
-            self.config_changes().begin()
-        self.listed(self.discovery.begin(self._initial_list))
+            self.config_changes().start()
+        self.on_endpoint_list(self.discovery.adopt_known_list(self._initial_list))
         self.watch.poll()
-        self.hosts.start_checks()
+        self.upstream.start_maintenance()
         if self.counter:
             self.counter.start()
             await self.serving.check_cluster_clock()
         if self.settings.discovery_mode == "push":
-            self.discovery.watch(True)
+            self.discovery.set_watching(True)
         if agent_drain_grace(self.config) is not None:  # what it has counts as told from the first moment
-            await self.discovery.first()
+            await self.discovery.wait_for_first_list()
         port = await self.clients.listen(*config.listen, config.inherited_socket, config.edge)
         if config.membership:
-            self.member = Member(config.membership, config.name, lambda: member_metadata(self))
+            self.member = MembershipService(config.membership, config.name, lambda: member_metadata(self))
             member_port = await self.member.start()
             log.info("membership joined cluster=%s port=%d", config.membership.cluster, member_port)
         if config.control:
-            self.control = Control(self)
+            self.control = ControlServer(self)
             control_port = await self.control.listen(config.control)
             self.watch.history = self.changes
             log.info("calls are taken at %s:%d", config.control[0], control_port)
@@ -165,7 +168,7 @@
 
     # Events
 
-    def listed(self, listing: Listing) -> None:
+    def on_endpoint_list(self, listing: EndpointListing) -> None:
         """Apply an endpoint list."""
         self.endpoints.apply(listing)
 
@@ -173,7 +176,7 @@
         self.endpoints.on_poll_failed(self.settings, self.discovery.version)
 
     def _is_known_endpoint(self, endpoint_id: str) -> bool:
-        return endpoint_id in self.endpoints.known_ids or self.discovery.holds(endpoint_id)
+        return endpoint_id in self.endpoints.known_ids or self.discovery.may_have_endpoint(endpoint_id)
 
     def probe(self, action: api.CheckHealth) -> None:
         """Send a health check to an endpoint; see `ActionExecutor.check_health`."""
@@ -205,37 +208,37 @@
         """Return the answer of `GET /status`."""
         return gateway_status(self)
 
-    def hand(self, host: str, out: bool) -> None:
+    def set_override(self, host: str, out: bool) -> None:
         """Eject an endpoint, or let it be used again; see `OperatorOverrides.set_override`."""
         self.overrides.set_override(host, ejected=out)
 
-    def drain(self, on: bool) -> bool:
+    def set_draining(self, on: bool) -> bool:
         """Send clients away, or take them back; False where the process is at its end."""
         return self.serving.set_draining(on, self.clients)
 
-    def config_changes(self) -> Changes:
+    def config_changes(self) -> ConfigChanges:
         """Return what brings configurations into force, made by the first call.
 
         The history of configurations is kept where operators can ask for it.
         """
         if self.changes is None:
-            from api_gateway.control.config_changes import Changes
+            from api_gateway.control.config_changes import ConfigChanges
 
-            self.changes = Changes(self, self.config.shared_folder if self.config.control else None)
+            self.changes = ConfigChanges(self, self.config.shared_folder if self.config.control else None)
         return self.changes
 
     def reload(self) -> None:
         """Follow the configuration file after SIGHUP. One that cannot be used changes nothing."""
-        self.config_changes().signal()
+        self.config_changes().reload()
 
-    def adopt(self, fresh: Config, listing: Listing | None) -> None:
+    def adopt_config(self, fresh: Config, listing: EndpointListing | None) -> None:
         """Bring a configuration into force; see `ConfigReloader.adopt`."""
         self.reloader.adopt(fresh, listing)
 
-    def short_of(self, fresh: Config) -> str:
+    def capacity_shortage(self, fresh: Config) -> str:
         """Say what a configuration's limits are too small for; see `ProcessLimits.shortage`."""
         return self.limits.shortage(fresh)
 
-    def later(self, delay: float, act: Callable[[], None]) -> asyncio.TimerHandle:
+    def call_later(self, delay: float, act: Callable[[], None]) -> asyncio.TimerHandle:
         """Call `act` in `delay` seconds."""
         return asyncio.get_running_loop().call_later(delay, act)
--- a/api_gateway/gateway/operator_overrides.py
+++ b/api_gateway/gateway/operator_overrides.py
@@ -7,9 +7,9 @@
 from dataclasses import replace
 
 from api_gateway import interface as api
-from api_gateway.control.host_overrides import Bans, UnknownHost
+from api_gateway.control.host_overrides import HostOverrides, UnknownHostError
 from api_gateway.gateway.event_dispatcher import EventDispatcher
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 log = logging.getLogger(__name__)
 
@@ -24,8 +24,8 @@
 
     def __init__(
         self,
-        store: Bans,
-        upstream: Hosts,
+        store: HostOverrides,
+        upstream: EndpointPools,
         dispatcher: EventDispatcher,
         is_known: Callable[[str], bool],
     ) -> None:
@@ -54,8 +54,8 @@
         """
         self.load()
         if endpoint_id not in self.latest and not self._is_known(endpoint_id):
-            raise UnknownHost(endpoint_id)
-        if ejected == (endpoint_id in self._upstream.out):
+            raise UnknownHostError(endpoint_id)
+        if ejected == (endpoint_id in self._upstream.ejected):
             return
         override = api.EndpointOverride(endpoint_id, ejected, self._dispatcher.clock())
         self.apply(override)
@@ -64,7 +64,7 @@
 
     def load(self) -> None:
         """Apply what sibling processes have written since the last time."""
-        if self._store.changed():
+        if self._store.has_changed():
             for override in self._store.read().values():
                 self.apply(override)
 
@@ -75,7 +75,7 @@
             OSError: An override could not be written; it and those behind it stay unsaved.
         """
         for endpoint_id, override in list(self.unsaved.items()):
-            self._store.say(override)
+            self._store.store(override)
             del self.unsaved[endpoint_id]
 
     def apply(self, override: api.EndpointOverride) -> None:
@@ -89,8 +89,8 @@
             log.info("endpoint ejected by operator override endpoint=%s", override.endpoint_id)
             # The module first: what ends with the connections is not to be sent there once more.
             self._dispatcher.dispatch(override)
-            self._upstream.take_out(override.endpoint_id, True)
+            self._upstream.set_ejected(override.endpoint_id, True)
         else:
             log.info("operator override ended endpoint=%s", override.endpoint_id)
-            self._upstream.take_out(override.endpoint_id, False)
+            self._upstream.set_ejected(override.endpoint_id, False)
             self._dispatcher.dispatch(override)
--- a/api_gateway/gateway/process_limits.py
+++ b/api_gateway/gateway/process_limits.py
@@ -6,11 +6,11 @@
 import sys
 from dataclasses import dataclass
 
-from api_gateway.base.resp import MOST_LARGE
+from api_gateway.base.resp import MAX_VALUE_BYTES
 from api_gateway.downstream.client_server import ClientServer
 from api_gateway.gateway.active_config import ActiveConfig
 from api_gateway.gateway.config import Config
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 # Bytes that a process takes by itself.
 PROCESS_BASE_BYTES = 32 * 1024 * 1024
@@ -46,7 +46,7 @@
         process_count: Processes of this gateway, as of the last check.
     """
 
-    def __init__(self, active: ActiveConfig, clients: ClientServer, upstream: Hosts) -> None:
+    def __init__(self, active: ActiveConfig, clients: ClientServer, upstream: EndpointPools) -> None:
         """Wire the component; no limit is set until the first `apply`."""
         self._active = active
         self._clients = clients
@@ -61,23 +61,27 @@
         )
         spare_bytes = config.max_memory_bytes / self.process_count - PROCESS_BASE_BYTES
         large_body_bytes = int(min(spare_bytes * LARGE_BODY_FRACTION, sys.maxsize))
-        return Capacity(descriptors // 2, max(MOST_LARGE, large_body_bytes))
+        return Capacity(descriptors // 2, max(MAX_VALUE_BYTES, large_body_bytes))
 
     def apply(self) -> None:
         """Set this process's part of the limits in force."""
         capacity = self.capacity(self._active.config)
-        self._clients.most = capacity.connections
-        self._clients.budget.most = capacity.large_body_bytes
-        self._upstream.most = capacity.connections
+        self._clients.capacity = capacity.connections
+        self._clients.body_budget.capacity_bytes = capacity.large_body_bytes
+        self._upstream.max_connections = capacity.connections
 
     def close_excess(self) -> None:
         """Close idle connections past the limits."""
-        self._clients.make_room()
-        self._upstream.make_room()
+        self._clients.shrink_to_capacity()
+        self._upstream.close_excess_idle()
 
     def reclaim_descriptor(self) -> bool:
         """End one connection for its descriptor, where none can be opened without; tell whether one ended."""
-        return self._clients.free() or self._upstream.end_idle() or self._clients.end_fresh()
+        return (
+            self._clients.close_lingering()
+            or self._upstream.close_longest_idle()
+            or self._clients.close_fresh_idle()
+        )
 
     def shortage(self, fresh: Config) -> str:
         """Say what smaller limits would leave no capacity for. Idle connections don't count: they can close.
@@ -92,8 +96,8 @@
         last = self._active.config
         if fresh.max_descriptors < last.max_descriptors:
             busy = {
-                "clients": len(self._clients.clients) - len(self._clients.resting()),
-                "hosts": self._upstream.open - self._upstream.resting(),
+                "clients": len(self._clients.connections) - len(self._clients.closable_connections()),
+                "hosts": self._upstream.connection_count - self._upstream.idle_count(),
             }
             for kind, count in busy.items():
                 if count > capacity.connections:
@@ -103,7 +107,7 @@
         return ""
 
     def _memory_shortage(self, fresh: Config, capacity: Capacity) -> str:
-        body_bytes = self._clients.budget.used
+        body_bytes = self._clients.body_budget.reserved_bytes
         if body_bytes > capacity.large_body_bytes:
             return f"large bodies hold {body_bytes} bytes, {capacity.large_body_bytes} may be"
         memory_limit = fresh.max_memory_bytes / self.process_count
--- a/api_gateway/gateway/serving_state.py
+++ b/api_gateway/gateway/serving_state.py
@@ -9,8 +9,8 @@
 from api_gateway.downstream.client_server import ClientServer
 from api_gateway.gateway.active_config import ActiveConfig
 from api_gateway.gateway.event_dispatcher import EventDispatcher
-from api_gateway.gateway.instances import Lives
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.gateway.instances import GatewayInstances
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 # Seconds that a start waits for the counter to tell the cluster's time.
 CLUSTER_CLOCK_WAIT_S = 0.1
@@ -33,7 +33,11 @@
     """
 
     def __init__(
-        self, active: ActiveConfig, dispatcher: EventDispatcher, upstream: Hosts, siblings: Lives
+        self,
+        active: ActiveConfig,
+        dispatcher: EventDispatcher,
+        upstream: EndpointPools,
+        siblings: GatewayInstances,
     ) -> None:
         """Wire the component; the gateway is active, and not ready yet."""
         self._active = active
@@ -51,7 +55,7 @@
 
     def has_successor(self) -> bool:
         """Tell whether another process serves the same inherited socket."""
-        return self._active.config.inherited_socket is not None and self._siblings.others() > 0
+        return self._active.config.inherited_socket is not None and self._siblings.count_others() > 0
 
     def update_readiness(self) -> None:
         """Become ready where all that a start waits for is there."""
@@ -89,7 +93,7 @@
         if state != self.state:
             self.state = state
             event = "drain began" if draining else "drain ended"
-            log.info("%s client_connections=%d", event, len(clients.clients))
+            log.info("%s client_connections=%d", event, len(clients.connections))
             self._dispatcher.dispatch(api.DrainChanged(draining))
-            clients.drain(draining)
+            clients.set_draining(draining)
         return True
--- a/api_gateway/gateway/shutdown.py
+++ b/api_gateway/gateway/shutdown.py
@@ -43,9 +43,9 @@
     end = began + min(KILL_DELAY_S, longest_deadline) + FINISH_PERIOD_S
     if not node.serving.has_successor():
         await asyncio.sleep(ACCEPT_PERIOD_S)
-        await node.clients.take_last(BACKLOG_PERIOD_S)
+        await node.clients.accept_backlog(BACKLOG_PERIOD_S)
     node.dispatcher.dispatch(api.DrainChanged(True))
-    node.clients.finish(end - time.monotonic())
+    node.clients.begin_shutdown(end - time.monotonic())
     if not await wait_until_answered(node, end):
         await fail_remaining(node)
     await release(node)
@@ -61,7 +61,7 @@
     Returns:
         False where something is left at the end.
     """
-    while node.in_flight or node.clients.clients:
+    while node.in_flight or node.clients.connections:
         if time.monotonic() >= end:
             return False
         await asyncio.sleep(POLL_INTERVAL_S)
@@ -85,8 +85,8 @@
     node.watch.close()
     if node.member:
         node.member.close()
-    node.hosts.close()
+    node.upstream.close()
     if node.counter:
         node.counter.close()
     await node.discovery.close()
-    node.lives.end()
+    node.siblings.unregister()
--- a/api_gateway/gateway/sibling_watch.py
+++ b/api_gateway/gateway/sibling_watch.py
@@ -9,10 +9,10 @@
 
 from api_gateway import interface as api
 from api_gateway.gateway.event_dispatcher import EventDispatcher
-from api_gateway.gateway.instances import Lives
+from api_gateway.gateway.instances import GatewayInstances
 from api_gateway.gateway.operator_overrides import OperatorOverrides
 from api_gateway.gateway.process_limits import ProcessLimits
-from api_gateway.gateway.wall_clock import Clock
+from api_gateway.gateway.wall_clock import GatewayClock
 
 POLL_INTERVAL_S = 0.25
 
@@ -22,7 +22,7 @@
 class SharedHistory(Protocol):
     """The history of configurations that the processes of a gateway share."""
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Follow the version in force where another process has changed it."""
         ...
 
@@ -38,10 +38,10 @@
 
     def __init__(
         self,
-        clock: Clock,
+        clock: GatewayClock,
         dispatcher: EventDispatcher,
         overrides: OperatorOverrides,
-        siblings: Lives,
+        siblings: GatewayInstances,
         limits: ProcessLimits,
     ) -> None:
         """Wire the component; polls begin with the first `poll`."""
@@ -56,7 +56,7 @@
     def poll(self) -> None:
         """Check once, and again every POLL_INTERVAL_S."""
         self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self.poll)
-        if self.clock.wall_stepped():
+        if self.clock.has_wall_clock_stepped():
             offset = self.clock.wall_offset
             log.warning("wall clock differs from the gateway's clock offset_s=%+.1f", offset)
             self._dispatcher.dispatch(api.WallClockStepped(offset))
@@ -64,8 +64,8 @@
             self._overrides.save()
         self._overrides.load()
         if self.history is not None:
-            self.history.look()
-        self._limits.process_count = 1 + self._siblings.others()
+            self.history.poll()
+        self._limits.process_count = 1 + self._siblings.count_others()
         self._limits.apply()
 
     def close(self) -> None:
--- a/api_gateway/gateway/status.py
+++ b/api_gateway/gateway/status.py
@@ -17,11 +17,11 @@
     status: dict[str, Any] = {
         "ready": node.serving.is_ready and node.serving.state == ACTIVE and listener is not None,
         "state": node.serving.state,
-        "hosts": sorted(node.hosts.pools),
-        "hosts_out": sorted(node.hosts.out),
+        "hosts": sorted(node.upstream.pools),
+        "hosts_out": sorted(node.upstream.ejected),
         "requests": len(node.in_flight),
-        "clients": len(node.clients.clients),
-        "list": node.discovery.told_of(),
+        "clients": len(node.clients.connections),
+        "list": node.discovery.status(),
     }
     if node.config.edge:
         status["edge"] = listener.status()
--- a/api_gateway/gateway/wall_clock.py
+++ b/api_gateway/gateway/wall_clock.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from api_gateway.base.shared_file import Kept
+from api_gateway.base.shared_file import SharedFile
 
 # Seconds; a wall clock that moves by more between two checks has been stepped.
 STEP_THRESHOLD_S = 0.25
@@ -23,7 +23,7 @@
     return BOOT_ID_PATH.read_text(encoding="ascii").strip()
 
 
-def read_epoch(shared_file: Kept, boot_id: str) -> float | None:
+def read_epoch(shared_file: SharedFile, boot_id: str) -> float | None:
     """Return the epoch that a process stored since this boot; None where there is none to be read.
 
     Raises:
@@ -36,7 +36,7 @@
         return None
 
 
-class Clock:
+class GatewayClock:
     """Seconds of Unix time as the wall clock had it when the gateway's first process began, monotonic since.
 
     With a folder the processes of one gateway on this machine share that epoch, so that times which one of
@@ -54,7 +54,7 @@
         self.epoch = time.time() - time.monotonic()
         # Seconds by which the wall clock was ahead of this one at the last check.
         self.wall_offset = 0.0
-        self.shared_file = Kept(folder / f"{name}-clock.json" if folder else None)
+        self.shared_file = SharedFile(folder / f"{name}-clock.json" if folder else None)
         with suppress(OSError):
             self.share_epoch()
 
@@ -74,7 +74,7 @@
             else:
                 self.shared_file.write(json.dumps({"boot": boot_id, "zero": self.epoch}))
 
-    def wall_stepped(self) -> bool:
+    def has_wall_clock_stepped(self) -> bool:
         """Return whether the wall clock has stepped since the last call."""
         previous = self.wall_offset
         self.wall_offset = time.time() - self()
--- a/api_gateway/membership/anti_entropy.py
+++ b/api_gateway/membership/anti_entropy.py
@@ -23,8 +23,10 @@
 from api_gateway.membership.outbox import Outbox
 from api_gateway.membership.timers import TimerQueue
 
-EXCHANGE = 30.0  # s between two exchanges that this member begins
-EXCHANGE_EACH = 0.5  # s of them for each member, where that is more: the cost of a member does not grow
+EXCHANGE_INTERVAL_S = 30.0  # s between two exchanges that this member begins
+EXCHANGE_INTERVAL_PER_MEMBER_S = (
+    0.5  # s of them for each member, where that is more: the cost of a member does not grow
+)
 BUSY_EXCHANGE_INTERVAL_S = (
     3.0  # s between two while members are new, or there is more news than rumours carry
 )
@@ -80,7 +82,7 @@
     def tick(self, now: float) -> None:
         """Begin what is due."""
         if now >= self.next_exchange_at:
-            interval = max(EXCHANGE, EXCHANGE_EACH * self._table.size())
+            interval = max(EXCHANGE_INTERVAL_S, EXCHANGE_INTERVAL_PER_MEMBER_S * self._table.size())
             if self._gossip.has_backlog():
                 interval = BUSY_EXCHANGE_INTERVAL_S
             self.next_exchange_at = now + interval * self._rng.uniform(*EXCHANGE_JITTER)
--- a/api_gateway/membership/service.py
+++ b/api_gateway/membership/service.py
@@ -124,7 +124,7 @@
         return 0
 
 
-class Member(asyncio.DatagramProtocol):
+class MembershipService(asyncio.DatagramProtocol):
     """One process as a member of a cluster.
 
     Attributes:
@@ -192,7 +192,7 @@
         for send in sends:
             self.transport.sendto(send.data, send.to)
 
-    def told(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Return the body of `GET /members`.
 
         `disagree` names the members of the same kind whose configuration is another one.
@@ -238,7 +238,7 @@
             self.swim.set_metadata(metadata)
         self.send(self.swim.tick(now))
         now = monotonic()
-        self._due_at = max(now, self.swim.due()) + TIMER_MARGIN_S
+        self._due_at = max(now, self.swim.next_due_at()) + TIMER_MARGIN_S
         self._timer = asyncio.get_running_loop().call_later(self._due_at - now, self._run_step)
 
     def _record_lateness(self, now: float) -> None:
--- a/api_gateway/membership/swim.py
+++ b/api_gateway/membership/swim.py
@@ -119,7 +119,7 @@
         return self.table.version
 
     @property
-    def rumours(self) -> RumourQueue:
+    def pending_rumours(self) -> RumourQueue:
         """Members of whom news is still passed on."""
         return self.table.rumours
 
@@ -133,7 +133,7 @@
 
     # Inputs
 
-    def due(self) -> float:
+    def next_due_at(self) -> float:
         """Return when `tick` is to be called next, in seconds."""
         return min(
             self.detector.next_probe_at,
@@ -152,7 +152,7 @@
             delay_s = PROBE_INTERVAL_S * self.rng.uniform(*LONELY_EXCHANGE_PERIODS)
             self.anti_entropy.begin_exchange_by(now + delay_s)
         self.anti_entropy.tick(now)
-        return self.take()
+        return self.drain_sends()
 
     def receive(self, now: float, source: Address, data: bytes) -> list[Send]:
         """Handle a datagram and return the datagrams to send.
@@ -178,7 +178,7 @@
             self.health.last_datagram_at = now
         self._merger.merge(now, datagram.updates, is_full_state=datagram.is_full_state)
         self._answer(now, datagram)
-        return self.take()
+        return self.drain_sends()
 
     def set_metadata(self, metadata: dict[str, str]) -> None:
         """Publish something else of this member, as a new incarnation of it."""
@@ -194,9 +194,9 @@
         self.table.start_incarnation(self.me.incarnation + 1)
         for member in self.table.draw_others(2 * INDIRECT_PROBES):
             self._gossip.send(member.address, StateUpdate(), member)
-        return self.take()
+        return self.drain_sends()
 
-    def take(self) -> list[Send]:
+    def drain_sends(self) -> list[Send]:
         """Return what is to be sent by now, urgent news included; the caller owns the list."""
         self._gossip.push_urgent_news(self._now)
         return self._outbox.drain()
