--- a/api_gateway/policy/cluster_clock.py
+++ b/api_gateway/policy/cluster_clock.py
@@ -23,10 +23,10 @@
 from api_gateway.policy.customer_accounts import stable_hash
 
 # Name of the number at the counter.
-BEACON = stable_hash("fleet time")
+BEACON_NAME = stable_hash("fleet time")
 
 # Seconds after which the counter forgets a beacon.
-LIFETIME = 4.0
+BEACON_LIFETIME_S = 4.0
 
 # Seconds; a beacon holds its time modulo this, so that it has tenths of a second in its seven digits.
 CYCLE_S = 90_000.0
@@ -50,7 +50,7 @@
 RETRY_SPREAD_S = 0.02
 
 # Seconds for which a gateway watches for an end before it gives up.
-WATCH_TIMEOUT_S = 2 * LIFETIME + 1.0
+WATCH_TIMEOUT_S = 2 * BEACON_LIFETIME_S + 1.0
 
 # Gateways up to which one contradiction is enough to yield: of more, a single one may be wrong.
 SMALL_FLEET = 4
@@ -91,7 +91,7 @@
     return (seconds + CYCLE_S / 2) % CYCLE_S - CYCLE_S / 2
 
 
-class FleetTime:
+class ClusterClock:
     """The state machine of one gateway. Times are in seconds of the module's clock.
 
     Attributes:
@@ -104,12 +104,12 @@
 
     def __init__(self, gateways: int, rng: random.Random) -> None:
         """Begin with no difference and nothing due. Draws come from `rng`, which stays the caller's."""
-        self.gateways = gateways
+        self.gateway_count = gateways
         self.rng = rng
         self.offset = 0.0
-        self.due = math.inf
+        self.next_call_at = math.inf
         self.is_confirmed = False
-        self.synchronizing = False
+        self.is_synchronizing = False
         self._step = Step.READ
         self._is_call_in_flight = False
         # What the call in flight adds.
@@ -128,12 +128,12 @@
 
     def start(self, now: float) -> None:
         """Read the beacon at once. A single gateway has nothing to agree on."""
-        if self.gateways > 1:
+        if self.gateway_count > 1:
             self._plan(Step.READ, now)
 
-    def call(self, now: float) -> float:
+    def begin_call(self, now: float) -> float:
         """Return the amount to add to the beacon now; its answer goes to `counted`."""
-        self.due = math.inf
+        self.next_call_at = math.inf
         self._is_call_in_flight = True
         match self._step:
             case Step.CREATE:
@@ -143,7 +143,7 @@
                 return -self._stamp
         return 0.0
 
-    def counted(self, now: float, ok: bool, total: float) -> None:
+    def on_total(self, now: float, ok: bool, total: float) -> None:
         """Take the beacon's total after the call in flight; `ok` is false if the counter did not answer."""
         if not self._is_call_in_flight:
             return  # a late answer to a call that was given up
@@ -161,7 +161,7 @@
             case Step.CREATE:
                 self._on_created(now, total)
             case Step.WITHDRAW:
-                self._plan(Step.READ, now + self.rng.uniform(0.0, LIFETIME / 2))
+                self._plan(Step.READ, now + self.rng.uniform(0.0, BEACON_LIFETIME_S / 2))
             case Step.VERIFY_ALIVE:
                 self._on_verified_alive(now, total)
             case Step.VERIFY_GONE:
@@ -169,19 +169,19 @@
             case Step.WATCH:
                 self._on_watched(now, total)
 
-    def counter_answers(self, now: float) -> None:
+    def on_counter_answer(self, now: float) -> None:
         """Plan what failed again, since the counter has answered another call."""
         if self._is_stalled and not self._is_call_in_flight:
             self._is_stalled = False
-            self._plan(self._step, now + self.rng.uniform(0.0, RETRY_SPREAD_S * self.gateways))
+            self._plan(self._step, now + self.rng.uniform(0.0, RETRY_SPREAD_S * self.gateway_count))
 
     def _plan(self, step: Step, at: float) -> None:
         self._step = step
-        self.due = at
+        self.next_call_at = at
 
     def _plan_seldom(self, step: Step, now: float) -> None:
         """Plan the next call at a rate that doesn't grow with the fleet."""
-        self._plan(step, now + LIFETIME * self.gateways * self.rng.uniform(0.75, 1.25))
+        self._plan(step, now + BEACON_LIFETIME_S * self.gateway_count * self.rng.uniform(0.75, 1.25))
 
     def _time_stamp(self, now: float) -> float:
         """Return the fleet's time as a beacon holds it."""
@@ -196,7 +196,7 @@
         if self._step is Step.WATCH and now < self._watch_deadline:
             self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
             return
-        self.synchronizing = False
+        self.is_synchronizing = False
         self._is_stalled = True
         if self._step is not Step.WITHDRAW:
             self._step = Step.READ
@@ -207,15 +207,15 @@
         if self._step is Step.WATCH and now < self._watch_deadline:
             self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
             return
-        self.synchronizing = False
-        self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * LIFETIME)
+        self.is_synchronizing = False
+        self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * BEACON_LIFETIME_S)
 
     def _on_read(self, now: float, total: float) -> None:
         if total < EMPTY_TOTAL_MAX:
             self._plan(Step.CREATE, now)
         elif is_same(total, self._own_beacon):
-            self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * LIFETIME)
-        elif -TOLERANCE_S <= self._age(now, total) <= LIFETIME + TOLERANCE_S:
+            self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * BEACON_LIFETIME_S)
+        elif -TOLERANCE_S <= self._age(now, total) <= BEACON_LIFETIME_S + TOLERANCE_S:
             self._beacons_in_a_row = 0
             self._on_agreement(now, total)
         else:
@@ -229,15 +229,15 @@
         """
         is_first = self._observed == 0.0
         if not self.is_confirmed and is_first:
-            self.is_confirmed = self.rng.random() * self.gateways >= VERIFIERS
+            self.is_confirmed = self.rng.random() * self.gateway_count >= VERIFIERS
         if self.is_confirmed:
             self._plan_seldom(Step.READ, now)
             return
         self._observed = total
-        if self.gateways > SMALL_FLEET and is_first:  # later, each at a moment of its own
-            self._plan(Step.READ, now + self.rng.uniform(0.0, VERIFY_SPREAD_S * self.gateways))
+        if self.gateway_count > SMALL_FLEET and is_first:  # later, each at a moment of its own
+            self._plan(Step.READ, now + self.rng.uniform(0.0, VERIFY_SPREAD_S * self.gateway_count))
             return
-        end = now - self._age(now, total) + LIFETIME
+        end = now - self._age(now, total) + BEACON_LIFETIME_S
         self._plan(Step.VERIFY_ALIVE, max(now, end - TOLERANCE_S))
 
     def _on_verified_alive(self, now: float, total: float) -> None:
@@ -245,7 +245,7 @@
             self._on_contradiction(now, total)
             return
         self._observed_at = now
-        end = now - self._age(now, total) + LIFETIME
+        end = now - self._age(now, total) + BEACON_LIFETIME_S
         self._plan(Step.VERIFY_GONE, max(now, end + TOLERANCE_S))
 
     def _on_verified_gone(self, now: float, total: float) -> None:
@@ -263,10 +263,10 @@
             self._watch_for_end(now, total)
         elif total < EMPTY_TOTAL_MAX:
             self._plan(Step.CREATE, now)
-        elif self._contradictions < (1 if self.gateways <= SMALL_FLEET else 2):
-            self._plan(Step.READ, now + LIFETIME * self.rng.uniform(1.0, 1.5))
+        elif self._contradictions < (1 if self.gateway_count <= SMALL_FLEET else 2):
+            self._plan(Step.READ, now + BEACON_LIFETIME_S * self.rng.uniform(1.0, 1.5))
         else:
-            self.synchronizing = True
+            self.is_synchronizing = True
             self._watch_for_end(now, total)
 
     def _watch_for_end(self, now: float, total: float) -> None:
@@ -284,7 +284,7 @@
             self._observed_at = now
             self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
         elif is_same(total, self._observed):
-            self.synchronizing = False
+            self.is_synchronizing = False
             self._plan_seldom(Step.READ, now)
         elif self.is_confirmed:  # its own time is the fleet's: the next beacon holds it
             self._succeed_beacon(now, total)
@@ -298,8 +298,8 @@
     def _take_time_of_end(self, now: float) -> None:
         """Take the fleet's time from the end of the watched beacon, which lay between two answers."""
         ended = (now + self._observed_at) / 2
-        self.offset += wrapped(self._observed - STAMP_BASE + LIFETIME - (ended + self.offset))
-        self.synchronizing = False
+        self.offset += wrapped(self._observed - STAMP_BASE + BEACON_LIFETIME_S - (ended + self.offset))
+        self.is_synchronizing = False
         self._contradictions = 0
         self._observed = 0.0
         # The next beacon confirms it, or contradicts.
@@ -321,6 +321,6 @@
         self._beacons_in_a_row += 1
         self.is_confirmed = self.is_confirmed or self._beacons_in_a_row >= CONFIRMING_BEACONS
         if self.is_confirmed:
-            self._plan(Step.CREATE, now + LIFETIME + RESOLUTION_S / 2)
+            self._plan(Step.CREATE, now + BEACON_LIFETIME_S + RESOLUTION_S / 2)
         else:
-            self._plan(Step.READ, now + LIFETIME + self.rng.uniform(0.2, 1.0))
+            self._plan(Step.READ, now + BEACON_LIFETIME_S + self.rng.uniform(0.2, 1.0))
--- a/api_gateway/policy/counter_calls.py
+++ b/api_gateway/policy/counter_calls.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from api_gateway import interface as api
-from api_gateway.policy.customer_accounts import QUICK, Account, stable_hash
+from api_gateway.policy.customer_accounts import FAST_MEAN_GAIN, Account, stable_hash
 
 if TYPE_CHECKING:
     from api_gateway.policy.request_state import RequestState
@@ -93,7 +93,7 @@
             elapsed: s that it took.
         """
         latency = min(1.0, elapsed / self.timeout) if is_ok else 1.0
-        self.latency_fraction += QUICK * (latency - self.latency_fraction)
+        self.latency_fraction += FAST_MEAN_GAIN * (latency - self.latency_fraction)
         if is_ok:
             self.failure_count = 0
         elif now >= self.retry_at:  # a burst of failures counts once
--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -33,8 +33,8 @@
 MIN_OVER_QUOTA_COST = 0.2  # of a unit forwarded beyond quota, in its own value: it loads what all share
 
 # Running means
-GAIN = 0.05  # weight of a new value
-QUICK = 0.15  # the same where a change must show within a few values
+MEAN_GAIN = 0.05  # weight of a new value
+FAST_MEAN_GAIN = 0.15  # the same where a change must show within a few values
 
 
 def stable_hash(*parts: object) -> int:
@@ -195,7 +195,7 @@
         allowed = part if is_counter_failing else part * UNCHARGED_ALLOWANCE_FRACTION
         return allowed - self.unconfirmed_units
 
-    def block(self, call_cost: float) -> int:
+    def lease_size(self, call_cost: float) -> int:
         """Return the units to lease at once: sqrt(call cost x use / chance that one is missed elsewhere).
 
         Args:
@@ -244,7 +244,7 @@
         self.refill_credit(now)
         self.answer_count += 1
         fraction = min(1.0, granted / requested)
-        self.granted_fraction += max(GAIN, 1 / self.answer_count) * (fraction - self.granted_fraction)
+        self.granted_fraction += max(MEAN_GAIN, 1 / self.answer_count) * (fraction - self.granted_fraction)
         faded = self.granted_rate * math.exp((self.granted_rate_updated_at - now) / GRANT_RATE_WINDOW_S)
         self.granted_rate = faded + granted / GRANT_RATE_WINDOW_S
         self.granted_rate_updated_at = now
--- a/api_gateway/policy/endpoint_load.py
+++ b/api_gateway/policy/endpoint_load.py
@@ -8,12 +8,12 @@
 import math
 
 from api_gateway import interface as api
-from api_gateway.policy.customer_accounts import GAIN, QUICK
-from api_gateway.policy.endpoint_table import EndpointTable, Server
+from api_gateway.policy.customer_accounts import FAST_MEAN_GAIN, MEAN_GAIN
+from api_gateway.policy.endpoint_table import EndpointState, EndpointTable
 from api_gateway.policy.outlier_detection import HealthEstimator
 
 # Seconds; shortest delay of a check on queued requests and hedges, far below any latency objective.
-TICK = 0.02
+TIMER_RESOLUTION_S = 0.02
 
 # Mean deviations above the mean latency after which an attempt counts as silent.
 SILENT_AFTER_DEVIATIONS = 4.0
@@ -25,10 +25,10 @@
 CONGESTED_LOAD = 5.0
 
 # Part of answers from congested endpoints above which load is shed.
-PRESSED = 0.5
+SHEDDING_PRESSURE = 0.5
 
 # Seconds over which that part is taken.
-PRESS_SPAN = 1.5
+PRESSURE_SPAN_S = 1.5
 
 # Requests that an endpoint works on at once, when nothing tells more.
 WORKERS_PER_ENDPOINT = 2.0
@@ -67,9 +67,9 @@
         self._warm_answered_at = 0.0
         self._warm_weight = 0.0
         self._warm_weight_at = -math.inf
-        self._all_warm_subset: list[Server] | None = None
+        self._all_warm_subset: list[EndpointState] | None = None
 
-    def retune(self, settings: api.Settings) -> None:
+    def on_settings_change(self, settings: api.Settings) -> None:
         """Take changed settings: a new class has no history, a removed one keeps its own meanwhile."""
         self._all_warm_subset = None
         for service_class in settings.classes.values():
@@ -94,7 +94,7 @@
         """Return this gateway's attempts a second."""
         return self._send_rate * math.exp((self._sent_at - now) / RATE_SPAN_S)
 
-    def answer_rate(self, endpoint: Server, now: float, subset: list[Server]) -> float:
+    def answer_rate(self, endpoint: EndpointState, now: float, subset: list[EndpointState]) -> float:
         """Return what a warm endpoint of this weight answers for this gateway, a second.
 
         Sends would count what fails as well, and a mean over all endpoints would count those warming up,
@@ -105,26 +105,26 @@
             now: Time.
             subset: The endpoints that this gateway uses; the same list as before if it hasn't changed.
         """
-        if now - self._warm_weight_at > TICK:
+        if now - self._warm_weight_at > TIMER_RESOLUTION_S:
             self._warm_weight_at = now
             if subset is not self._all_warm_subset:
                 self._sum_warm_weight(now, subset)
         if self._warm_weight > 0:
             rate = self._warm_answer_rate * math.exp((self._warm_answered_at - now) / RATE_SPAN_S)
-            return rate * endpoint.host.weight / self._warm_weight
+            return rate * endpoint.endpoint.weight / self._warm_weight
         return self.send_rate(now) / max(1, len(subset))
 
-    def _sum_warm_weight(self, now: float, subset: list[Server]) -> None:
+    def _sum_warm_weight(self, now: float, subset: list[EndpointState]) -> None:
         rules = self.table.settings.rules
         sample = self.table.sample(subset)
-        warm = [s.host.weight for s in sample if s.warmth(now, rules) == 1.0]
+        warm = [s.endpoint.weight for s in sample if s.warmth(now, rules) == 1.0]
         self._warm_weight = sum(warm) * (len(subset) / max(1, len(sample)))
         self._all_warm_subset = subset if len(warm) == len(sample) else None
 
     def silence_threshold(self, class_name: str) -> float:
         """Return the seconds after which an attempt of a service class counts as silent."""
         mean = self.mean_latency[class_name]
-        return max(TICK, mean + SILENT_AFTER_DEVIATIONS * self.latency_deviation[class_name])
+        return max(TIMER_RESOLUTION_S, mean + SILENT_AFTER_DEVIATIONS * self.latency_deviation[class_name])
 
     def record_send(self, now: float) -> None:
         """Count an attempt of this gateway."""
@@ -132,7 +132,9 @@
         self._send_rate = self.send_rate(now) + 1.0 / RATE_SPAN_S
         self._sent_at = now
 
-    def record_report(self, now: float, endpoint: Server, in_flight: int, report: dict[str, float]) -> bool:
+    def record_report(
+        self, now: float, endpoint: EndpointState, in_flight: int, report: dict[str, float]
+    ) -> bool:
         """Take a load report, and return whether the endpoint is congested.
 
         Args:
@@ -146,13 +148,13 @@
         load = report.get("inflight", waiting + WORKERS_PER_ENDPOINT * utilization)
         endpoint.load_of_others = max(0.0, load - in_flight)
         endpoint.load_reported_at = now
-        self.reported_load += (QUICK if self.has_reports else 1.0) * (load - self.reported_load)
+        self.reported_load += (FAST_MEAN_GAIN if self.has_reports else 1.0) * (load - self.reported_load)
         self.has_reports = True
         return load > CONGESTED_LOAD
 
     def record_pressure(self, now: float, *, is_congested: bool) -> None:
         """Take an answer, or its lack, as evidence on how many endpoints are congested."""
-        gain = max(QUICK / 2, 1 - math.exp((self.answered_at - now) / PRESS_SPAN))
+        gain = max(FAST_MEAN_GAIN / 2, 1 - math.exp((self.answered_at - now) / PRESSURE_SPAN_S))
         self.pressure += min(gain, 0.5) * (is_congested - self.pressure)
         self.answered_at = now
 
@@ -162,12 +164,14 @@
         self._warm_answer_rate = faded + 1.0 / RATE_SPAN_S
         self._warm_answered_at = now
 
-    def record_latency(self, endpoint: Server, class_name: str, elapsed: float) -> None:
+    def record_latency(self, endpoint: EndpointState, class_name: str, elapsed: float) -> None:
         """Take the latency of an answer, in seconds, into the means of its endpoint and its class."""
         mean = self.mean_latency[class_name]
-        endpoint.latency_ratio += QUICK * (min(elapsed / max(mean, 1e-6), 10.0) - endpoint.latency_ratio)
+        endpoint.latency_ratio += FAST_MEAN_GAIN * (
+            min(elapsed / max(mean, 1e-6), 10.0) - endpoint.latency_ratio
+        )
         self._answer_counts[class_name] += 1
-        gain = max(1 / self._answer_counts[class_name], GAIN)
+        gain = max(1 / self._answer_counts[class_name], MEAN_GAIN)
         difference = elapsed - mean
         self.mean_latency[class_name] += gain * difference
         deviation = self.latency_deviation[class_name]
@@ -210,7 +214,7 @@
             for x, sound in zip(here, self.health.healths(here, keys, now), strict=True)
         }
         doubted = (sum(capacities.values()) - usual * len(capacities)) * (len(known) / max(1, len(sample)))
-        warmths = {s.host.id: s.warmth(now, rules) for s in warming_up}
+        warmths = {s.endpoint.id: s.warmth(now, rules) for s in warming_up}
         lacking = sum(x * usual - usual for name, x in warmths.items() if name not in self.health.estimates)
         unsampled = len(table.warming_up) / max(1, len(warming_up))
         self.full_endpoints = usual * len(table.available) + doubted + lacking * unsampled
--- a/api_gateway/policy/endpoint_selection.py
+++ b/api_gateway/policy/endpoint_selection.py
@@ -10,9 +10,9 @@
 import math
 import random
 
-from api_gateway.policy.endpoint_load import TICK, WORKERS_PER_ENDPOINT, LoadEstimates
+from api_gateway.policy.endpoint_load import TIMER_RESOLUTION_S, WORKERS_PER_ENDPOINT, LoadEstimates
 from api_gateway.policy.endpoint_subset import EndpointSubset
-from api_gateway.policy.endpoint_table import LOOK_MOST, EndpointTable, Server
+from api_gateway.policy.endpoint_table import MAX_SAMPLE, EndpointState, EndpointTable
 from api_gateway.policy.outlier_detection import HealthEstimator
 
 # Endpoints compared, times endpoints over gateways.
@@ -54,7 +54,7 @@
         self.rng = rng
         self.in_flight_limit = 1.0
 
-    def may_send(self, endpoint: Server, now: float) -> bool:
+    def may_send(self, endpoint: EndpointState, now: float) -> bool:
         """Return whether an attempt may go to the endpoint now."""
         if not endpoint.is_listed_up:
             return False
@@ -72,16 +72,16 @@
         endpoint.credit_updated_at = now
         return endpoint.send_credit >= 1.0
 
-    def weight(self, endpoint: Server, keys: tuple[str, ...], now: float) -> float:
+    def weight(self, endpoint: EndpointState, keys: tuple[str, ...], now: float) -> float:
         """Return the chance, from 0 to 1, with which a drawn endpoint is compared."""
         table = self.table
-        size = endpoint.host.weight / table.largest_weight * endpoint.warmth(now, table.settings.rules)
-        return size * self.health.health(endpoint.host.id, keys, now)
+        size = endpoint.endpoint.weight / table.largest_weight * endpoint.warmth(now, table.settings.rules)
+        return size * self.health.health(endpoint.endpoint.id, keys, now)
 
-    def score(self, endpoint: Server, keys: tuple[str, ...], now: float) -> float:
+    def score(self, endpoint: EndpointState, keys: tuple[str, ...], now: float) -> float:
         """Return the cost of an attempt there: relative latency by load, weight, health and zone."""
         settings = self.table.settings
-        host = endpoint.host
+        host = endpoint.endpoint
         # Without a load report it counts as busy as the rest.
         fresh: float = 0.5 ** ((now - endpoint.load_reported_at) / REPORT_HALF_LIFE_S)
         others = fresh * endpoint.load_of_others + (1 - fresh) * self.load.mean_load()
@@ -95,7 +95,9 @@
             max(0.3, endpoint.latency_ratio) * (1 + load / WORKERS_PER_ENDPOINT) / size / sound + cross_zone
         )
 
-    def choose(self, now: float, keys: tuple[str, ...], candidates: list[Server] | None) -> Server | None:
+    def choose(
+        self, now: float, keys: tuple[str, ...], candidates: list[EndpointState] | None
+    ) -> EndpointState | None:
         """Return the best of some endpoints drawn by weight, or None if none of them may get an attempt.
 
         As many are compared as this gateway has fresh load reports for, two at least.
@@ -107,14 +109,20 @@
         """
         pool = self.subset.endpoints if candidates is None else candidates
         few = max(2, math.ceil(CHOICES * len(pool) / self.table.settings.gateway_count))
-        if few < len(pool) or len(pool) > LOOK_MOST:
+        if few < len(pool) or len(pool) > MAX_SAMPLE:
             pool = self._draw(pool, few, keys, now) or self.table.sample(pool)
         able = [s for s in pool if self.may_send(s, now)]
         if not able and pool is not self.table.available and candidates is None:
             able = [s for s in self.table.warm_endpoints(now) if self.may_send(s, now)]
-        return min(able, key=lambda s: self.score(s, keys, now) + TICK * self.rng.random(), default=None)
+        return min(
+            able,
+            key=lambda s: self.score(s, keys, now) + TIMER_RESOLUTION_S * self.rng.random(),
+            default=None,
+        )
 
-    def _draw(self, pool: list[Server], few: int, keys: tuple[str, ...], now: float) -> list[Server]:
+    def _draw(
+        self, pool: list[EndpointState], few: int, keys: tuple[str, ...], now: float
+    ) -> list[EndpointState]:
         """Draw up to `few` endpoints that may get an attempt; one may be drawn twice."""
         draw = self.rng.random
         drawn = (pool[int(draw() * len(pool))] for _ in range(DRAWS))
--- a/api_gateway/policy/endpoint_subset.py
+++ b/api_gateway/policy/endpoint_subset.py
@@ -9,7 +9,7 @@
 import bisect
 import math
 
-from api_gateway.policy.endpoint_table import EndpointTable, Server, by_ring_position
+from api_gateway.policy.endpoint_table import EndpointState, EndpointTable, by_ring_position
 from api_gateway.policy.outlier_detection import HealthEstimator
 
 # Gateways' positions on the ring differ by the golden section of it: they are even, whatever their number.
@@ -40,7 +40,7 @@
         """Begin with no endpoint. Table and health stay their owner's."""
         self.table = table
         self.health = health
-        self.endpoints: list[Server] = []
+        self.endpoints: list[EndpointState] = []
         self.wanted_view = 0
         self._requested_view = 0
         self._requested_at = -math.inf
@@ -59,7 +59,7 @@
 
     def choose(
         self, need: float, keys: tuple[str, ...], now: float, capacities: dict[str, float]
-    ) -> list[Server]:
+    ) -> list[EndpointState]:
         """Return the endpoints that this gateway is to use.
 
         Each endpoint is taken by the same number of gateways: a gateway takes those that follow its position
@@ -76,7 +76,7 @@
         total = len(ring)
         if need >= total:
             return self.table.available
-        chosen: list[Server] = []
+        chosen: list[EndpointState] = []
         if self.table.total:
             first = self._first_in_view(need)
         else:
@@ -87,7 +87,7 @@
                 break
             endpoint = ring[rank]
             chosen.append(endpoint)
-            name = endpoint.host.id
+            name = endpoint.endpoint.id
             if name in capacities:
                 need -= capacities[name]
                 continue
@@ -142,6 +142,6 @@
         self._requested_at = now
 
 
-def rank_at(ring: list[Server], position: float) -> int:
+def rank_at(ring: list[EndpointState], position: float) -> int:
     """Return the rank of the first endpoint at a position on the ring, which is taken modulo 1."""
     return bisect.bisect_left(ring, (int(position % 1.0 * 2**63), -1), key=by_ring_position)
--- a/api_gateway/policy/endpoint_table.py
+++ b/api_gateway/policy/endpoint_table.py
@@ -19,7 +19,7 @@
 from api_gateway.policy.slow_start import StartTimes, later_start
 
 # Endpoints compared one by one for a choice or a sum; of more, a random sample of so many stands for all.
-LOOK_MOST = 512
+MAX_SAMPLE = 512
 
 # A list that names more than one endpoint in so many available ones has all sorted, which is quicker there.
 BULK_DIVISOR = 16
@@ -36,7 +36,7 @@
 AttemptKey: TypeAlias = tuple[str, int]
 
 
-class Server:
+class EndpointState:
     """What this gateway knows of one incarnation of an endpoint. Times are seconds of the module's clock."""
 
     def __init__(self, host: api.Endpoint, now: float, send_credit: float, started_at: float) -> None:
@@ -48,7 +48,7 @@
             send_credit: Sends that it may get at once while it warms up, from 0 to 1.
             started_at: When it started, as far as is known; 0 if that was long ago.
         """
-        self.host = host
+        self.endpoint = host
         self.is_listed_up = host.state == "up"
         # Attempts in flight from this gateway, by request and attempt number: when each was sent.
         self.in_flight: dict[AttemptKey, float] = {}
@@ -80,12 +80,12 @@
         )
 
 
-def by_sequence(endpoint: Server) -> int:
+def by_sequence(endpoint: EndpointState) -> int:
     """Return the key that orders endpoints as they were first listed."""
     return endpoint.sequence_number
 
 
-def by_ring_position(endpoint: Server) -> tuple[int, int]:
+def by_ring_position(endpoint: EndpointState) -> tuple[int, int]:
     """Return the key that orders endpoints on the ring, which is the same at all gateways."""
     return endpoint.ring_position, endpoint.sequence_number
 
@@ -111,11 +111,11 @@
         self.rng = rng
         self.health = health
         self.start_times = StartTimes()
-        self.endpoints: dict[str, Server] = {}
-        self.available: list[Server] = []
-        self.ring: list[Server] = []
+        self.endpoints: dict[str, EndpointState] = {}
+        self.available: list[EndpointState] = []
+        self.ring: list[EndpointState] = []
         self.weights: list[float] = []
-        self.warming_up: dict[str, Server] = {}
+        self.warming_up: dict[str, EndpointState] = {}
         self.departed: dict[str, float] = {}
         self.ejected: dict[str, float] = {}
         self.largest_weight = 1.0
@@ -124,10 +124,10 @@
         self._listed_total = 0
         self._sequence = itertools.count()
 
-    def retune(self, settings: api.Settings) -> None:
+    def on_settings_change(self, settings: api.Settings) -> None:
         """Take changed settings: by the new rules an endpoint that started lately may be warming up."""
         self.settings = settings
-        self.warming_up.update((s.host.id, s) for s in self.available if s.started_at > 0)
+        self.warming_up.update((s.endpoint.id, s) for s in self.available if s.started_at > 0)
 
     def update_gateway_count(self) -> None:
         """Work out how many gateways share the endpoints that are listed here."""
@@ -167,15 +167,15 @@
             return  # it is in other gateways' views
         if old is not None and not in_bulk:
             self._remove(old)
-        if old is None or (host.state == "up" and host.started_at > old.host.started_at):
+        if old is None or (host.state == "up" and host.started_at > old.endpoint.started_at):
             # Credit starts anywhere below one send: first sends of many gateways are spread over time.
             duration = self.settings.rules.slow_start_duration
             started_at = self.start_times.start_time(
-                now, host, old.host if old else None, is_view=is_view, duration=duration
+                now, host, old.endpoint if old else None, is_view=is_view, duration=duration
             )
-            self._replace(Server(host, now, self.rng.random(), started_at), old)
+            self._replace(EndpointState(host, now, self.rng.random(), started_at), old)
         else:
-            old.host = host
+            old.endpoint = host
             old.is_listed_up = host.state == "up"
         endpoint = self.endpoints[host.id]
         if endpoint.is_listed_up:
@@ -185,15 +185,15 @@
         if not in_bulk:
             self._insert(endpoint)
 
-    def _replace(self, endpoint: Server, old: Server | None) -> None:
+    def _replace(self, endpoint: EndpointState, old: EndpointState | None) -> None:
         """Begin with a new incarnation, to which the last one's attempts in flight still count."""
         if old is None:
             endpoint.sequence_number = next(self._sequence)
         else:
             endpoint.sequence_number = old.sequence_number
             endpoint.in_flight = old.in_flight
-        self.endpoints[endpoint.host.id] = endpoint
-        self.health.forget(endpoint.host.id)  # the last incarnation's failures say nothing of this one
+        self.endpoints[endpoint.endpoint.id] = endpoint
+        self.health.forget(endpoint.endpoint.id)  # the last incarnation's failures say nothing of this one
 
     def set_override(self, now: float, event: api.EndpointOverride) -> None:
         """Eject an endpoint for an operator, or end that.
@@ -207,8 +207,8 @@
         if event.ejected:
             self.ejected[event.endpoint_id] = event.at
         if old is not None and not event.ejected:
-            started_at = old.started_at if old.host.started_at > since else min(event.at, now)
-            endpoint = Server(old.host, now, self.rng.random(), started_at)
+            started_at = old.started_at if old.endpoint.started_at > since else min(event.at, now)
+            endpoint = EndpointState(old.endpoint, now, self.rng.random(), started_at)
             self._replace(endpoint, old)
             endpoint.is_listed_up = old.is_listed_up
             self._insert(endpoint)
@@ -217,48 +217,48 @@
         """Take an endpoint as warming up if it is by either reading of a wall clock `offset` seconds off."""
         rules = self.settings.rules
         for endpoint in self.available:
-            started = endpoint.host.started_at
+            started = endpoint.endpoint.started_at
             if started > 0:
                 endpoint.started_at = later_start(
                     now, endpoint.started_at, started, offset, rules.slow_start_duration
                 )
                 if endpoint.warmth(now, rules) < 1.0:
-                    self.warming_up[endpoint.host.id] = endpoint
+                    self.warming_up[endpoint.endpoint.id] = endpoint
 
-    def _is_available(self, endpoint: Server) -> bool:
-        return endpoint.is_listed_up and endpoint.host.id not in self.ejected
+    def _is_available(self, endpoint: EndpointState) -> bool:
+        return endpoint.is_listed_up and endpoint.endpoint.id not in self.ejected
 
-    def _insert(self, endpoint: Server) -> None:
+    def _insert(self, endpoint: EndpointState) -> None:
         """Put an endpoint where it belongs in what is sorted, if it is available."""
         if self._is_available(endpoint):
             bisect.insort(self.available, endpoint, key=by_sequence)
             bisect.insort(self.ring, endpoint, key=by_ring_position)
-            bisect.insort(self.weights, endpoint.host.weight)
+            bisect.insort(self.weights, endpoint.endpoint.weight)
             if endpoint.started_at > 0:
-                self.warming_up[endpoint.host.id] = endpoint
+                self.warming_up[endpoint.endpoint.id] = endpoint
 
-    def _remove(self, endpoint: Server) -> None:
+    def _remove(self, endpoint: EndpointState) -> None:
         """Take an endpoint out of what is sorted, before its entry changes."""
         if self._is_available(endpoint):
             del self.available[bisect.bisect_left(self.available, by_sequence(endpoint), key=by_sequence)]
             del self.ring[bisect.bisect_left(self.ring, by_ring_position(endpoint), key=by_ring_position)]
-            del self.weights[bisect.bisect(self.weights, endpoint.host.weight) - 1]  # the last of equals
-            self.warming_up.pop(endpoint.host.id, None)
+            del self.weights[bisect.bisect(self.weights, endpoint.endpoint.weight) - 1]  # the last of equals
+            self.warming_up.pop(endpoint.endpoint.id, None)
 
     def rebuild(self, now: float) -> None:
         """Sort anew all that single changes keep sorted."""
         available = [s for s in self.endpoints.values() if self._is_available(s)]
         self.available = available
         self.ring = sorted(available, key=by_ring_position)
-        self.weights = sorted(s.host.weight for s in available)
-        self.warming_up = {s.host.id: s for s in available if s.warmth(now, self.settings.rules) < 1.0}
+        self.weights = sorted(s.endpoint.weight for s in available)
+        self.warming_up = {s.endpoint.id: s for s in available if s.warmth(now, self.settings.rules) < 1.0}
 
     def forget_departed(self, now: float) -> None:
         """Drop endpoints that departed long ago, or with many after them, once no attempt is in flight there.
 
         An ejection stays. Harm: one that was away for longer starts as unknown.
         """
-        for endpoint_id, since in list(itertools.islice(self.departed.items(), LOOK_MOST)):
+        for endpoint_id, since in list(itertools.islice(self.departed.items(), MAX_SAMPLE)):
             remembered = max(DEPARTED_MEMORY_FLOOR, len(self.available))
             if now - since <= DEPARTED_MEMORY_S and len(self.departed) <= remembered:
                 break
@@ -273,10 +273,10 @@
         """Return the list itself, or a random sample of it if it is longer than LOOK_MOST."""
         count = len(items)
         draw = self.rng.random
-        if count <= LOOK_MOST:
+        if count <= MAX_SAMPLE:
             return items
-        return list({items[int(draw() * count)]: None for _ in range(LOOK_MOST)})
+        return list({items[int(draw() * count)]: None for _ in range(MAX_SAMPLE)})
 
-    def warm_endpoints(self, now: float) -> list[Server]:
+    def warm_endpoints(self, now: float) -> list[EndpointState]:
         """Return available endpoints, or a sample of them, that slow start doesn't hold back."""
         return [s for s in self.sample(self.available) if s.warmth(now, self.settings.rules) == 1.0]
--- a/api_gateway/policy/endpoints.py
+++ b/api_gateway/policy/endpoints.py
@@ -14,14 +14,14 @@
 from api_gateway.policy.endpoint_load import LoadEstimates, ServingCapacity
 from api_gateway.policy.endpoint_selection import EndpointSelector
 from api_gateway.policy.endpoint_subset import EndpointSubset
-from api_gateway.policy.endpoint_table import AttemptKey, EndpointTable, Server
+from api_gateway.policy.endpoint_table import AttemptKey, EndpointState, EndpointTable
 from api_gateway.policy.outlier_detection import HealthEstimator
 
 # Attempts in flight at one endpoint, over all gateways.
-LIMIT_MOST = 4.0
+MAX_IN_FLIGHT_PER_ENDPOINT = 4.0
 
 # Part of that below which endpoints clearly have capacity left.
-ROOM_CLEAR = 0.6
+SPARE_CAPACITY_PART = 0.6
 
 # Times its even part that one gateway may have in flight, where there are few gateways.
 IN_FLIGHT_SLACK = 2.0
@@ -33,7 +33,7 @@
 CAPACITY_INTERVAL_S = 0.1
 
 # Endpoints that a gateway uses, times those whose even part of attempts it may have in flight.
-OWN_PART = 3.0
+SUBSET_SIZE_FACTOR = 3.0
 
 # Results that are evidence on an endpoint's health.
 HEALTH_RESULTS = ("connect_failed", "full", "error", "reset", "ok")
@@ -41,7 +41,7 @@
 Sampled = TypeVar("Sampled")
 
 
-class Fleet:
+class EndpointPool:
     """Wires the parts that know the endpoints; the engine owns the only instance. Times are in seconds.
 
     Attributes:
@@ -64,35 +64,35 @@
         self.selector = EndpointSelector(self.table, self.load, self.subset, self.health, rng)
         self._capacity_at = -math.inf
         self._in_flight_slack = 1.0
-        self.retune(settings)
+        self.on_settings_change(settings)
 
     @property
-    def servers(self) -> dict[str, Server]:
+    def endpoints(self) -> dict[str, EndpointState]:
         """All known endpoints by id; the table's own map."""
         return self.table.endpoints
 
     @property
-    def up(self) -> list[Server]:
+    def available(self) -> list[EndpointState]:
         """Available endpoints; the table's own list."""
         return self.table.available
 
     @property
-    def own(self) -> list[Server]:
+    def subset_endpoints(self) -> list[EndpointState]:
         """Endpoints that this gateway uses; the subset's own list."""
         return self.subset.endpoints
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         """Attempts of this gateway in flight."""
         return self.load.in_flight
 
     @property
-    def mean(self) -> dict[str, float]:
+    def mean_latency(self) -> dict[str, float]:
         """Mean latency by service class, in seconds."""
         return self.load.mean_latency
 
     @property
-    def dev(self) -> dict[str, float]:
+    def latency_deviation(self) -> dict[str, float]:
         """Mean deviation of the latency by service class, in seconds."""
         return self.load.latency_deviation
 
@@ -102,46 +102,46 @@
         return self.load.pressure
 
     @property
-    def answer_at(self) -> float:
+    def answered_at(self) -> float:
         """When an answer last changed the pressure."""
         return self.load.answered_at
 
     @property
-    def wish(self) -> int:
+    def wanted_view(self) -> int:
         """Endpoints of the view that discovery is to be asked for; 0: none. The engine sets it back."""
         return self.subset.wanted_view
 
-    @wish.setter
-    def wish(self, size: int) -> None:
+    @wanted_view.setter
+    def wanted_view(self, size: int) -> None:
         self.subset.wanted_view = size
 
-    def retune(self, settings: api.Settings) -> None:
+    def on_settings_change(self, settings: api.Settings) -> None:
         """Take changed settings."""
         self.settings = settings
         self.subset.on_settings_change()
-        self.table.retune(settings)
+        self.table.on_settings_change(settings)
         self.update_limits()
-        self.load.retune(settings)
+        self.load.on_settings_change(settings)
 
     def update_limits(self) -> None:
         """Work out which part of the limits on attempts in flight is this gateway's."""
         self.table.update_gateway_count()
         gateways = self.table.gateway_count
-        self.selector.in_flight_limit = max(1.0, LIMIT_MOST / gateways)
+        self.selector.in_flight_limit = max(1.0, MAX_IN_FLIGHT_PER_ENDPOINT / gateways)
         crowding = min(1.0, math.sqrt(IN_FLIGHT_SLACK_GATEWAYS / gateways))
         self._in_flight_slack = 1.0 + (IN_FLIGHT_SLACK - 1.0) * crowding
 
-    def listed(self, now: float, event: api.EndpointList) -> None:
+    def on_list(self, now: float, event: api.EndpointList) -> None:
         """Take a list of endpoints or a change of it."""
         self.table.apply_list(now, event)
         self.on_table_change(now)
 
-    def ban(self, now: float, event: api.EndpointOverride) -> None:
+    def on_override(self, now: float, event: api.EndpointOverride) -> None:
         """Take an operator's override of an endpoint."""
         self.table.set_override(now, event)
         self.on_table_change(now)
 
-    def clock_stepped(self, now: float, offset: float) -> None:
+    def on_clock_step(self, now: float, offset: float) -> None:
         """Allow for a wall clock that may be off by `offset` seconds in when endpoints started."""
         self.table.on_clock_step(now, offset)
         self.on_table_change(now)
@@ -155,11 +155,11 @@
         self.table.update_largest_weight()
         self.table.forget_departed(now)
 
-    def some(self, items: list[Sampled]) -> list[Sampled]:
+    def sample(self, items: list[Sampled]) -> list[Sampled]:
         """Return the list itself, or a random sample of it if it is long."""
         return self.table.sample(items)
 
-    def others(self, now: float) -> list[Server]:
+    def warm_endpoints(self, now: float) -> list[EndpointState]:
         """Return endpoints for when the subset is taken, those of other gateways included.
 
         One that is warming up is left to the gateways whose subset it is in: what it bears is shared out
@@ -167,19 +167,19 @@
         """
         return self.table.warm_endpoints(now)
 
-    def mean_held(self) -> float:
+    def mean_load(self) -> float:
         """Return the mean of requests in flight at an endpoint, from all gateways."""
         return self.load.mean_load()
 
-    def own_rate(self, now: float) -> float:
+    def send_rate(self, now: float) -> float:
         """Return this gateway's attempts a second."""
         return self.load.send_rate(now)
 
-    def patience(self, class_name: str) -> float:
+    def silence_threshold(self, class_name: str) -> float:
         """Return the seconds after which an attempt of a service class counts as silent."""
         return self.load.silence_threshold(class_name)
 
-    def full(self, now: float, keys: tuple[str, ...]) -> bool:
+    def is_at_limit(self, now: float, keys: tuple[str, ...]) -> bool:
         """Return whether this gateway may have no further attempt in flight.
 
         Many gateways with one in flight at each endpoint overload all, so what one has in flight in all is
@@ -189,13 +189,18 @@
         if now - self._capacity_at > CAPACITY_INTERVAL_S:
             self._capacity_at = now
             self._update_subset(now, keys)
-        limit = self._in_flight_slack * LIMIT_MOST * self.capacity.full_endpoints / self.table.gateway_count
+        limit = (
+            self._in_flight_slack
+            * MAX_IN_FLIGHT_PER_ENDPOINT
+            * self.capacity.full_endpoints
+            / self.table.gateway_count
+        )
         return self.load.in_flight >= max(2.0, limit)
 
     def _update_subset(self, now: float, keys: tuple[str, ...]) -> None:
         """Estimate the capacity anew and choose the subset by it."""
         self.table.forget_departed(now)
-        chosen = self.part(keys, now, self.capacity.estimate(keys, now))
+        chosen = self.choose_subset(keys, now, self.capacity.estimate(keys, now))
         # An equal list isn't replaced: sums over it stay valid as long as it is the same object.
         if self.subset.endpoints is self.table.available or chosen != self.subset.endpoints:
             self.subset.endpoints = chosen
@@ -205,13 +210,17 @@
     def _needed_endpoints(self) -> float:
         """Return the endpoints of full capacity that a gateway uses."""
         total = self.table.total or len(self.table.available)
-        return OWN_PART * max(1.0, LIMIT_MOST * total / self.settings.gateway_count)
+        return SUBSET_SIZE_FACTOR * max(1.0, MAX_IN_FLIGHT_PER_ENDPOINT * total / self.settings.gateway_count)
 
-    def part(self, keys: tuple[str, ...], now: float, capacities: dict[str, float]) -> list[Server]:
+    def choose_subset(
+        self, keys: tuple[str, ...], now: float, capacities: dict[str, float]
+    ) -> list[EndpointState]:
         """Return the endpoints that this gateway is to use, by the capacities that are known."""
         return self.subset.choose(self._needed_endpoints(), keys, now, capacities)
 
-    def pick(self, now: float, keys: tuple[str, ...], candidates: list[Server] | None) -> Server | None:
+    def choose(
+        self, now: float, keys: tuple[str, ...], candidates: list[EndpointState] | None
+    ) -> EndpointState | None:
         """Return an endpoint for an attempt, or None if none may get one.
 
         Args:
@@ -219,23 +228,23 @@
             keys: Levels at which an endpoint may fail the request.
             candidates: Endpoints to choose from; None: any.
         """
-        if self.full(now, keys):
+        if self.is_at_limit(now, keys):
             return None
         return self.selector.choose(now, keys, candidates)
 
-    def sent(self, endpoint: Server, key: AttemptKey, now: float) -> None:
+    def record_send(self, endpoint: EndpointState, key: AttemptKey, now: float) -> None:
         """Note an attempt as in flight at an endpoint; `key` is its request and number."""
         endpoint.in_flight[key] = now
         endpoint.send_credit -= 1.0
         self.load.record_send(now)
 
-    def ended(self, endpoint_id: str, key: AttemptKey) -> None:
+    def record_end(self, endpoint_id: str, key: AttemptKey) -> None:
         """Note that an attempt is no longer in flight; nothing happens if it wasn't."""
         endpoint = self.table.endpoints.get(endpoint_id)
         if endpoint is not None and endpoint.in_flight.pop(key, None) is not None:
             self.load.in_flight -= 1
 
-    def answered(
+    def on_attempt_ended(
         self,
         now: float,
         event: api.AttemptEnded,
@@ -256,7 +265,7 @@
         result = event.result
         in_flight = len(endpoint.in_flight)
         is_congested = result == "timeout"
-        self.ended(event.endpoint_id, (event.request_id, event.attempt))
+        self.record_end(event.endpoint_id, (event.request_id, event.attempt))
         if event.load_report:
             is_congested = self.load.record_report(now, endpoint, in_flight, event.load_report)
         if result in HEALTH_RESULTS:
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -6,14 +6,14 @@
 import random
 
 from api_gateway import interface as api
-from api_gateway.policy.cluster_clock import BEACON, LIFETIME, FleetTime
+from api_gateway.policy.cluster_clock import BEACON_LIFETIME_S, BEACON_NAME, ClusterClock
 from api_gateway.policy.counter_calls import CounterCalls, CounterState
 from api_gateway.policy.customer_accounts import Account, AccountTable
-from api_gateway.policy.endpoint_load import TICK
-from api_gateway.policy.endpoints import Fleet
+from api_gateway.policy.endpoint_load import TIMER_RESOLUTION_S
+from api_gateway.policy.endpoints import EndpointPool
 from api_gateway.policy.load_shedding import LoadShedder
 from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
-from api_gateway.policy.quota_leases import Quota
+from api_gateway.policy.quota_leases import QuotaLeases
 from api_gateway.policy.request_state import TIMER_SLACK_S, RequestState, RequestTable
 from api_gateway.policy.retries import Attempts, RetryBudget
 
@@ -21,7 +21,7 @@
 COUNTER_WAIT_TIMEOUTS = 2  # time-outs of the counter for which a request waits for it at most
 
 
-class Gateway:
+class DecisionEngine:
     """The decisions of one gateway: events in, actions out.
 
     It has no clock and does no I/O. All parts append to one list of actions and draw from one generator, so
@@ -42,27 +42,27 @@
         self.timer_due_at = math.inf  # what the timer that was last asked for is set to
         self.watch_retry_at = math.inf
         self.is_clock_checked = False  # whether the counter has answered on the cluster's time
-        self.cluster_clock = FleetTime(settings.gateway_count, self.rng)
-        self.fleet = Fleet(settings, self.rng)
+        self.cluster_clock = ClusterClock(settings.gateway_count, self.rng)
+        self.endpoint_pool = EndpointPool(settings, self.rng)
         self.counter = CounterState(settings)
         self.account_table = AccountTable(now, self.rng)
         self.counter_calls = CounterCalls(self.actions)
         self.requests = RequestTable(self.counter_calls, self.actions)
         self.retry_budget = RetryBudget(settings.gateway_count)
-        self.attempts = Attempts(settings, self.fleet, self.requests, self.retry_budget, self.actions)
+        self.attempts = Attempts(settings, self.endpoint_pool, self.requests, self.retry_budget, self.actions)
         self.load_shedder = LoadShedder(
-            settings, now, self.rng, self.fleet, self.requests, self.attempts, self.retry_budget
+            settings, now, self.rng, self.endpoint_pool, self.requests, self.attempts, self.retry_budget
         )
         self.open_attempts = OpenAttemptLimit(
             self.rng,
-            self.fleet,
+            self.endpoint_pool,
             self.counter,
             self.cluster_clock,
             self.counter_calls,
             self.requests,
             self.load_shedder,
         )
-        self.quota = Quota(
+        self.quota = QuotaLeases(
             settings,
             now,
             self.rng,
@@ -75,7 +75,7 @@
         )
 
     @property
-    def jobs(self) -> dict[str, RequestState]:
+    def requests_in_flight(self) -> dict[str, RequestState]:
         """The requests in work, by id."""
         return self.requests.requests
 
@@ -97,13 +97,15 @@
         self.actions.clear()
         self.dispatch(now, event)
         self.load_shedder.send_queued(now)
-        if self.fleet.wish:
-            self.actions.append(api.ResizeSubset(self.fleet.wish))
-            self.fleet.wish = 0
+        if self.endpoint_pool.wanted_view:
+            self.actions.append(api.ResizeSubset(self.endpoint_pool.wanted_view))
+            self.endpoint_pool.wanted_view = 0
         next_check_at = self.requests.next_check_at()
-        if now >= self.cluster_clock.due:
-            self.actions.append(api.AddToCounter(BEACON, self.cluster_clock.call(now), LIFETIME))
-        due_at = min(next_check_at, self.watch_retry_at, self.cluster_clock.due)
+        if now >= self.cluster_clock.next_call_at:
+            self.actions.append(
+                api.AddToCounter(BEACON_NAME, self.cluster_clock.begin_call(now), BEACON_LIFETIME_S)
+            )
+        due_at = min(next_check_at, self.watch_retry_at, self.cluster_clock.next_call_at)
         if due_at < self.timer_due_at:  # what is due next; nothing when idle
             self.timer_due_at = due_at
             self.actions.append(api.SetTimer(max(0.0, due_at - now), 0))
@@ -113,10 +115,10 @@
         """Hand an event to the part that it concerns: here those of the frequent kinds."""
         match event:
             case api.Request():
-                self.request(now, event)
+                self.on_request(now, event)
             case api.AttemptEnded():
-                self.attempts.outcome(now, event)
-            case api.CounterReply(name=name) if name == BEACON:
+                self.attempts.on_attempt_ended(now, event)
+            case api.CounterReply(name=name) if name == BEACON_NAME:
                 self.on_cluster_clock_reply(now, event)
             case api.CounterReply():
                 self.quota.on_counter_reply(now, event)
@@ -133,21 +135,21 @@
             case api.ResponseStarted() if event.request_id in self.requests.requests:
                 self.attempts.on_response_started(self.requests.requests[event.request_id], event)
             case api.EndpointOverride():
-                self.fleet.ban(now, event)
+                self.endpoint_pool.on_override(now, event)
             case api.ClusterClockNeeded() if self.counter.is_enabled:
                 self.cluster_clock.start(now)
             case api.WallClockStepped():
-                self.fleet.clock_stepped(now, event.offset)
+                self.endpoint_pool.on_clock_step(now, event.offset)
             case api.DrainChanged():
                 self.quota.is_draining = event.draining
             case api.SettingsChanged():
-                self.retune(now, event.settings)
+                self.apply_settings(now, event.settings)
             case api.ClientDisconnected() if event.request_id in self.requests.requests:
                 self.requests.finish(now, self.requests.requests[event.request_id])
 
     def on_endpoint_list(self, now: float, event: api.EndpointList) -> None:
         """Take over a list of endpoints; watch again where it failed or came from the cache."""
-        self.fleet.listed(now, event)
+        self.endpoint_pool.on_list(now, event)
         if event.mode == "failed":
             self.watch_retry_at = now + WATCH_RETRY_DELAY_S
         elif event.mode == "cached" and self.settings.discovery_mode == "ask":
@@ -161,29 +163,29 @@
         offset_before = clock.offset
         is_first = not self.is_clock_checked
         self.is_clock_checked = True
-        clock.counted(now, event.result == "ok", event.total)
-        if is_first or clock.synchronizing != self.counter.is_clock_wrong:
-            self.actions.append(api.ClusterClockChanged(clock.synchronizing))
-        self.counter.is_clock_wrong = clock.synchronizing
+        clock.on_total(now, event.result == "ok", event.total)
+        if is_first or clock.is_synchronizing != self.counter.is_clock_wrong:
+            self.actions.append(api.ClusterClockChanged(clock.is_synchronizing))
+        self.counter.is_clock_wrong = clock.is_synchronizing
         if clock.offset != offset_before:
             text = f"the fleet's time is {clock.offset:+.1f} s from this gateway's"
             self.actions.append(api.LogMessage(text))
-            self.fleet.clock_stepped(now, clock.offset)
+            self.endpoint_pool.on_clock_step(now, clock.offset)
 
-    def retune(self, now: float, settings: api.Settings) -> None:
+    def apply_settings(self, now: float, settings: api.Settings) -> None:
         """Take over new settings for what comes from now on.
 
         A request in work keeps its class, its plan and the limits that it began with.
         """
         self.settings = settings
-        self.fleet.retune(settings)
+        self.endpoint_pool.on_settings_change(settings)
         self.counter.apply_settings(settings)
-        self.cluster_clock.gateways = settings.gateway_count
+        self.cluster_clock.gateway_count = settings.gateway_count
         self.attempts.settings = settings
         self.load_shedder.settings = settings
         self.quota.apply_settings(now, settings)
 
-    def request(self, now: float, event: api.Request) -> None:
+    def on_request(self, now: float, event: api.Request) -> None:
         """Admit a new request, or reject it: by pressure, by its customer's ceiling, by its quota."""
         service_class = self.settings.classes[event.service_class]
         plan = self.settings.plans[event.plan]
@@ -198,19 +200,19 @@
             arrived_at=now,
             deadline=now + event.time_left,
             priority=priority,
-            priority_per_unit=priority / max(self.fleet.mean[service_class.name], 1e-6),
+            priority_per_unit=priority / max(self.endpoint_pool.mean_latency[service_class.name], 1e-6),
             health_keys=("host", "class " + service_class.name, "plan " + plan.name),
             limits=self.settings.limits,
         )
         self.requests.add(state)
         # With so little time left no check would come round before the deadline.
-        if event.time_left < 2 * TICK or self.load_shedder.should_shed(now, state):
+        if event.time_left < 2 * TIMER_RESOLUTION_S or self.load_shedder.should_shed(now, state):
             self.requests.reject(now, state, 0.0)
         elif account.remaining_ceiling(now) < event.units:
             missing = event.units - account.ceiling_units
             self.requests.reject(now, state, missing * account.gateway_spread / plan.ceiling_rate)
         elif plan.rate:
-            self.quota.want_units(now, state)
+            self.quota.request_units(now, state)
         else:
             self.open_attempts.request_place(now, state)
 
@@ -226,7 +228,7 @@
 
     def check_request(self, now: float, state: RequestState) -> None:
         """Reject a request that waited too long or nears its deadline; look after attempts in flight."""
-        is_ending = now >= state.deadline - 2 * TICK - TIMER_SLACK_S
+        is_ending = now >= state.deadline - 2 * TIMER_RESOLUTION_S - TIMER_SLACK_S
         if state.stage == "sent":
             if not is_ending and not state.is_streaming:
                 self.attempts.handle_overdue_attempts(now, state)
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -7,8 +7,8 @@
 import random
 
 from api_gateway import interface as api
-from api_gateway.policy.endpoint_load import PRESS_SPAN, PRESSED
-from api_gateway.policy.endpoints import LIMIT_MOST, ROOM_CLEAR, Fleet
+from api_gateway.policy.endpoint_load import PRESSURE_SPAN_S, SHEDDING_PRESSURE
+from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SPARE_CAPACITY_PART, EndpointPool
 from api_gateway.policy.request_state import RequestState, RequestTable
 from api_gateway.policy.retries import Attempts, RetryBudget
 
@@ -34,7 +34,7 @@
         settings: api.Settings,
         now: float,
         rng: random.Random,
-        fleet: Fleet,
+        fleet: EndpointPool,
         requests: RequestTable,
         attempts: Attempts,
         retry_budget: RetryBudget,
@@ -42,7 +42,7 @@
         """Wire the parts; all requests are admitted at first."""
         self.settings = settings
         self.rng = rng
-        self.fleet = fleet
+        self.endpoint_pool = fleet
         self.requests = requests
         self.attempts = attempts
         self.retry_budget = retry_budget
@@ -62,15 +62,15 @@
         self.recent_priorities = recent
         elapsed = now - self.admitted_fraction_updated_at
         self.admitted_fraction_updated_at = now
-        faded = math.exp(min(0.0, (self.fleet.answer_at + PRESSURE_HOLD_S - now) / PRESS_SPAN))
-        if self.fleet.pressure * faded > PRESSED:
+        faded = math.exp(min(0.0, (self.endpoint_pool.answered_at + PRESSURE_HOLD_S - now) / PRESSURE_SPAN_S))
+        if self.endpoint_pool.pressure * faded > SHEDDING_PRESSURE:
             decrease = math.exp(-ADMISSION_DECREASE_PER_S * min(elapsed, 1.0))
             self.admitted_fraction = max(MIN_ADMITTED_FRACTION, self.admitted_fraction * decrease)
         else:
             increase = ADMISSION_INCREASE_PER_S * elapsed
             self.admitted_fraction = min(1.0, self.admitted_fraction + increase)
         draw = self.rng.random()  # breaks the tie among equals; one draw for each request
-        if self.settings.gateway_count <= LIMIT_MOST:
+        if self.settings.gateway_count <= MAX_IN_FLIGHT_PER_ENDPOINT:
             return False  # the limit of each gateway relieves the endpoints
         rejected_count = (1 - self.admitted_fraction) * len(recent)
         if rejected_count <= 0:
@@ -80,7 +80,7 @@
 
     def has_spare_capacity(self) -> bool:
         """Say whether endpoints clearly have capacity."""
-        return self.fleet.mean_held() < ROOM_CLEAR * LIMIT_MOST
+        return self.endpoint_pool.mean_load() < SPARE_CAPACITY_PART * MAX_IN_FLIGHT_PER_ENDPOINT
 
     def max_queue_time(self, service_class: api.ServiceClass) -> float:
         """Return the s that a request may wait for an endpoint."""
@@ -115,7 +115,7 @@
         state.stage = "queue"
         bisect.insort(self.queue, state, key=queue_rank)
         max_queue_time = self.max_queue_time(state.service_class)
-        max_length = max(MIN_QUEUE_LENGTH, self.fleet.own_rate(now) * max_queue_time)
+        max_length = max(MIN_QUEUE_LENGTH, self.endpoint_pool.send_rate(now) * max_queue_time)
         if len(self.queue) > max_length:
             self.queue = [queued for queued in self.queue if not queued.is_done]
         if len(self.queue) > max_length:
--- a/api_gateway/policy/open_attempt_limit.py
+++ b/api_gateway/policy/open_attempt_limit.py
@@ -6,7 +6,7 @@
 import random
 
 from api_gateway import interface as api
-from api_gateway.policy.cluster_clock import FleetTime
+from api_gateway.policy.cluster_clock import ClusterClock
 from api_gateway.policy.counter_calls import (
     CORRECTION_CALL_VALUE,
     OPEN_COUNT_EPOCH_S,
@@ -14,7 +14,7 @@
     CounterState,
     OpenAttemptCall,
 )
-from api_gateway.policy.endpoints import Fleet
+from api_gateway.policy.endpoints import EndpointPool
 from api_gateway.policy.load_shedding import LoadShedder
 from api_gateway.policy.request_state import OWN_PART, RequestState, RequestTable
 
@@ -25,16 +25,16 @@
     def __init__(
         self,
         rng: random.Random,
-        fleet: Fleet,
+        fleet: EndpointPool,
         counter: CounterState,
-        cluster_clock: FleetTime,
+        cluster_clock: ClusterClock,
         counter_calls: CounterCalls,
         requests: RequestTable,
         load_shedder: LoadShedder,
     ) -> None:
         """Wire the parts; places that are taken are noted in the accounts and the requests."""
         self.rng = rng
-        self.fleet = fleet
+        self.endpoint_pool = fleet
         self.counter = counter
         self.cluster_clock = cluster_clock
         self.counter_calls = counter_calls
@@ -85,7 +85,7 @@
         window_age = max(now - account.window_started_at, account.window_length / 4)
         rate = max(account.counter_total, account.used_units) / window_age
         requests_per_s = min(rate, plan.rate or rate) / max(state.request.units, 1e-9)
-        mean = requests_per_s * self.fleet.mean[state.service_class.name]
+        mean = requests_per_s * self.endpoint_pool.mean_latency[state.service_class.name]
         return 1 - sum(mean**n * math.exp(-mean) / math.factorial(n) for n in range(plan.max_concurrent))
 
     def is_call_worthwhile(self, now: float, excess_chance: float, cost: float) -> bool:
--- a/api_gateway/policy/outlier_detection.py
+++ b/api_gateway/policy/outlier_detection.py
@@ -9,7 +9,7 @@
 
 from typing import TypeAlias
 
-from api_gateway.policy.customer_accounts import GAIN
+from api_gateway.policy.customer_accounts import MEAN_GAIN
 
 # Seconds in which half of the evidence on an endpoint is forgotten, which gives it its next attempts.
 HALF_LIFE_S = 10.0
@@ -90,7 +90,7 @@
             else:  # any answer shows that the whole endpoint works, but not that it serves the other kinds
                 chance = 0.0 if key == keys[0] else chance_after_answer(chance)
             known[key] = (chance, now)
-            self.pool[key] = min(MAX_POOL_CHANCE, max(MIN_POOL_CHANCE, pool + GAIN * (chance - pool)))
+            self.pool[key] = min(MAX_POOL_CHANCE, max(MIN_POOL_CHANCE, pool + MEAN_GAIN * (chance - pool)))
         oldest = next(iter(self.estimates))
         if now - self.estimates[oldest][keys[0]][1] > EVIDENCE_MAX_AGE_S:
             del self.estimates[oldest]
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -11,7 +11,7 @@
 import random
 
 from api_gateway import interface as api
-from api_gateway.policy.cluster_clock import FleetTime
+from api_gateway.policy.cluster_clock import ClusterClock
 from api_gateway.policy.counter_calls import (
     CONGESTED_LATENCY_FRACTION,
     CORRECTION_CALL_VALUE,
@@ -23,12 +23,12 @@
 )
 from api_gateway.policy.customer_accounts import (
     CHARGE_THRESHOLD_FRACTION,
-    GAIN,
+    MEAN_GAIN,
     Account,
     PlanUse,
     stable_hash,
 )
-from api_gateway.policy.endpoint_load import TICK
+from api_gateway.policy.endpoint_load import TIMER_RESOLUTION_S
 from api_gateway.policy.load_shedding import LoadShedder
 from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
 from api_gateway.policy.request_state import RequestState, RequestTable
@@ -44,7 +44,7 @@
 COUNT_LIFETIME_WINDOWS = 3  # windows for which the counter is asked to keep a count
 
 
-class Quota:
+class QuotaLeases:
     """Holds customers to their units by leases from the counter, and light ones by an uncharged allowance."""
 
     def __init__(
@@ -53,7 +53,7 @@
         now: float,
         rng: random.Random,
         counter: CounterState,
-        cluster_clock: FleetTime,
+        cluster_clock: ClusterClock,
         counter_calls: CounterCalls,
         requests: RequestTable,
         load_shedder: LoadShedder,
@@ -82,7 +82,7 @@
 
     def record_priority(self, priority: float) -> None:
         """Take a new request's priority into the mean."""
-        gain = GAIN if self.mean_priority else 1.0
+        gain = MEAN_GAIN if self.mean_priority else 1.0
         self.mean_priority += gain * (priority - self.mean_priority)
 
     def reserved_units(self, state: RequestState) -> float:
@@ -117,7 +117,7 @@
         self.open_attempts.request_place(now, state)
         return True
 
-    def want_units(self, now: float, state: RequestState) -> None:
+    def request_units(self, now: float, state: RequestState) -> None:
         """Decide on the units of a new request, and lease more for its customer if that is due."""
         state.account.advance_window(now)
         use = self.plan_usage[state.plan.name, state.request.is_retry]
@@ -125,7 +125,7 @@
         gain = relative_priority * min(use.granted_fraction, use.unasked_error_cost(state.plan))
         chance = self.counter.call_probability(gain)
         self.decide_units(now, state, can_ask=self.rng.random() < chance)
-        self.renew(now, state.account, 1 / max(chance, 1 / MAX_SAMPLE_WEIGHT))
+        self.renew_lease(now, state.account, 1 / max(chance, 1 / MAX_SAMPLE_WEIGHT))
 
     def decide_units(self, now: float, state: RequestState, *, can_ask: bool) -> None:
         """Admit a request, handle it as over quota, or have it wait for a call to the counter.
@@ -144,11 +144,11 @@
             self.load_shedder.handle_over_quota(now, state, retry_after)
         elif can_ask and self.counter.is_usable(now):
             account.waiting_requests.append(state.request.request_id)
-            self.requests.schedule_check(now + 2 * self.counter.timeout + TICK, state)
+            self.requests.schedule_check(now + 2 * self.counter.timeout + TIMER_RESOLUTION_S, state)
         else:
-            self.unasked(now, state)
+            self.decide_without_counter(now, state)
 
-    def unasked(self, now: float, state: RequestState) -> None:
+    def decide_without_counter(self, now: float, state: RequestState) -> None:
         """Decide without the counter: admit a light customer as far as its plan's customers usually are."""
         use = self.plan_usage[state.plan.name, state.request.is_retry]
         units = state.request.units
@@ -166,7 +166,7 @@
         requests = self.requests.requests
         return [requests[name] for name in account.waiting_requests if name in requests]
 
-    def renew(self, now: float, account: Account, sample_weight: float = 1.0) -> None:
+    def renew_lease(self, now: float, account: Account, sample_weight: float = 1.0) -> None:
         """Call the counter if requests wait for it, a charge is due or the lease runs low.
 
         Args:
@@ -182,7 +182,7 @@
         lease_size = 0
         if not self.is_draining:
             time_cost = CALL_TIME_COST * self.counter.latency_fraction**2
-            lease_size = account.block(self.counter.price + time_cost)
+            lease_size = account.lease_size(self.counter.price + time_cost)
         remaining = account.remaining_units(now)
         is_lease_low = (
             account.lease < lease_size / 2
@@ -237,7 +237,7 @@
         is_ok = event.result == "ok"
         self.counter.record_answer(now, is_ok=is_ok, elapsed=event.elapsed)
         if is_ok:
-            self.cluster_clock.counter_answers(now)
+            self.cluster_clock.on_counter_answer(now)
         if isinstance(call, LeaseCall):
             self.on_lease_reply(now, event, call)
         elif isinstance(call, OpenAttemptCall):
@@ -326,4 +326,4 @@
                     account.exhausted_until = now + max(0.0, 1 - remaining) / account.plan.rate
             self.decide_units(now, state, can_ask=self.counter.failure_count == 0)
         if account.waiting_requests:
-            self.renew(now, account)
+            self.renew_lease(now, account)
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -13,7 +13,7 @@
 from api_gateway import interface as api
 from api_gateway.policy.counter_calls import CounterCalls
 from api_gateway.policy.customer_accounts import Account
-from api_gateway.policy.endpoint_load import TICK
+from api_gateway.policy.endpoint_load import TIMER_RESOLUTION_S
 
 TIMER_SLACK_S = 1e-6  # a timer may fire early by so much, by rounding
 OWN_PART = -1  # in place of an epoch: the open attempt is within this gateway's own part of the limit
@@ -79,7 +79,9 @@
 
     def schedule_check(self, at: float, state: RequestState) -> None:
         """Have a request checked at a time, or just before its deadline if that comes first."""
-        heapq.heappush(self.due_checks, (min(at, state.deadline - 2 * TICK), state.request.request_id))
+        heapq.heappush(
+            self.due_checks, (min(at, state.deadline - 2 * TIMER_RESOLUTION_S), state.request.request_id)
+        )
 
     def pop_due(self, now: float) -> RequestState | None:
         """Remove the next check that is due and return its request; None if none is due."""
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -5,9 +5,9 @@
 import math
 
 from api_gateway import interface as api
-from api_gateway.policy.endpoint_load import TICK
-from api_gateway.policy.endpoint_table import Server
-from api_gateway.policy.endpoints import Fleet
+from api_gateway.policy.endpoint_load import TIMER_RESOLUTION_S
+from api_gateway.policy.endpoint_table import EndpointState
+from api_gateway.policy.endpoints import EndpointPool
 from api_gateway.policy.request_state import RequestState, RequestTable, SentAttempt
 
 INITIAL_RETRY_BUDGET = 15.0  # retries over all gateways at the start
@@ -55,21 +55,21 @@
     def __init__(
         self,
         settings: api.Settings,
-        fleet: Fleet,
+        fleet: EndpointPool,
         requests: RequestTable,
         retry_budget: RetryBudget,
         actions: list[api.Action],
     ) -> None:
         """Wire the parts; `actions` belongs to the engine and takes what is to be sent."""
         self.settings = settings
-        self.fleet = fleet
+        self.endpoint_pool = fleet
         self.requests = requests
         self.retry_budget = retry_budget
         self.actions = actions
 
-    def can_send_to(self, state: RequestState, server: Server, now: float) -> bool:
+    def can_send_to(self, state: RequestState, server: EndpointState, now: float) -> bool:
         """Say whether another attempt may go to an endpoint without a risk of executing the request twice."""
-        if server.host.id in state.tried_endpoints:
+        if server.endpoint.id in state.tried_endpoints:
             return False
         service_class = state.service_class
         if service_class.idempotency == "safe" or not state.unresolved_attempts():
@@ -78,7 +78,7 @@
             return False
         scope = service_class.dedup_scope
         return scope == "all" or all(
-            getattr(sent.endpoint, scope) == getattr(server.host, scope)
+            getattr(sent.endpoint, scope) == getattr(server.endpoint, scope)
             for sent in state.unresolved_attempts()
         )
 
@@ -90,17 +90,17 @@
         if state.service_class.idempotency != "keyed":
             return math.inf
         first_sent_at = min((sent.sent_at for sent in state.unresolved_attempts()), default=math.inf)
-        return first_sent_at + state.service_class.dedup_window - TICK - now
+        return first_sent_at + state.service_class.dedup_window - TIMER_RESOLUTION_S - now
 
-    def choose_endpoint(self, now: float, state: RequestState) -> Server | None:
+    def choose_endpoint(self, now: float, state: RequestState) -> EndpointState | None:
         """Choose where the next attempt goes; None if no endpoint that may get it has capacity."""
-        fleet = self.fleet
-        candidates: list[Server] | None = None  # any of its own
+        fleet = self.endpoint_pool
+        candidates: list[EndpointState] | None = None  # any of its own
         if state.tried_endpoints:
-            candidates = [s for s in fleet.some(fleet.own) if self.can_send_to(state, s, now)]
-            if not candidates and fleet.own is not fleet.up:
-                candidates = [s for s in fleet.others(now) if self.can_send_to(state, s, now)]
-        return fleet.pick(now, state.health_keys, candidates)
+            candidates = [s for s in fleet.sample(fleet.subset_endpoints) if self.can_send_to(state, s, now)]
+            if not candidates and fleet.subset_endpoints is not fleet.available:
+                candidates = [s for s in fleet.warm_endpoints(now) if self.can_send_to(state, s, now)]
+        return fleet.choose(now, state.health_keys, candidates)
 
     def send_attempt(self, now: float, state: RequestState) -> bool:
         """Send one more attempt if there is an endpoint for it; say whether one was sent."""
@@ -113,22 +113,24 @@
             return False
         request_id = state.request.request_id
         send_within = self.send_time_left(now, state)
-        self.actions.append(api.SendAttempt(request_id, server.host.id, send_within=send_within))
-        state.in_flight[state.sent_count] = SentAttempt(server.host, now)
-        self.fleet.sent(server, (request_id, state.sent_count), now)
+        self.actions.append(api.SendAttempt(request_id, server.endpoint.id, send_within=send_within))
+        state.in_flight[state.sent_count] = SentAttempt(server.endpoint, now)
+        self.endpoint_pool.record_send(server, (request_id, state.sent_count), now)
         state.sent_count += 1
-        state.tried_endpoints.add(server.host.id)
+        state.tried_endpoints.add(server.endpoint.id)
         state.stage = "sent"
-        self.requests.schedule_check(now + self.fleet.patience(state.service_class.name), state)
+        self.requests.schedule_check(
+            now + self.endpoint_pool.silence_threshold(state.service_class.name), state
+        )
         return True
 
-    def outcome(self, now: float, event: api.AttemptEnded) -> None:
+    def on_attempt_ended(self, now: float, event: api.AttemptEnded) -> None:
         """Handle the end of an attempt: end its request, or retry it where class and budget allow."""
         state = self.requests.requests.get(event.request_id)
         if state is None:
-            self.fleet.answered(now, event, None, ENDED_REQUEST_HEALTH_KEYS)
+            self.endpoint_pool.on_attempt_ended(now, event, None, ENDED_REQUEST_HEALTH_KEYS)
             return
-        self.fleet.answered(now, event, state.service_class, state.health_keys)
+        self.endpoint_pool.on_attempt_ended(now, event, state.service_class, state.health_keys)
         sent = state.in_flight.pop(event.attempt, None)
         if event.actual_units and self.settings.settles_units and state.plan.rate and not state.is_over_quota:
             state.account.uncharged_units += event.actual_units - state.request.units
@@ -146,8 +148,8 @@
             cost = CONNECT_FAILED_RETRY_COST
         else:
             cost = REFUSED_ATTEMPT_RETRY_COST if result == "full" else RETRY_COST
-        usual_time = self.fleet.mean[state.service_class.name]
-        is_too_late = now + max(TICK, usual_time) > state.deadline or result == "moot"
+        usual_time = self.endpoint_pool.mean_latency[state.service_class.name]
+        is_too_late = now + max(TIMER_RESOLUTION_S, usual_time) > state.deadline or result == "moot"
         if is_too_late or not self.retry_budget.can_afford(cost) or not self.send_attempt(now, state):
             self.requests.reject(now, state, 0.0)
         else:
@@ -159,7 +161,7 @@
         The endpoint's work is done, so the attempt holds no place there at the pace of its client.
         """
         state.is_streaming = True
-        self.fleet.ended(event.endpoint_id, (event.request_id, event.attempt))
+        self.endpoint_pool.record_end(event.endpoint_id, (event.request_id, event.attempt))
         if state.limits.can_cancel:
             for number in state.in_flight:
                 if number != event.attempt:
@@ -170,15 +172,17 @@
 
         Harm: work is done twice where an answer was only slow, so it draws on the retry budget.
         """
-        patience = self.fleet.patience(state.service_class.name) - TICK
+        patience = self.endpoint_pool.silence_threshold(state.service_class.name) - TIMER_RESOLUTION_S
         overdue = [number for number, sent in state.in_flight.items() if now - sent.sent_at >= patience]
         for number in set(overdue) - state.overdue_attempts:
             endpoint_id = state.in_flight[number].endpoint.id
             # A silent one must not hold another attempt's place.
-            self.fleet.ended(endpoint_id, (state.request.request_id, number))
-            self.fleet.health.record(endpoint_id, state.health_keys, True, now)
+            self.endpoint_pool.record_end(endpoint_id, (state.request.request_id, number))
+            self.endpoint_pool.health.record(endpoint_id, state.health_keys, True, now)
         state.overdue_attempts.update(overdue)
-        check_after = max(2 * TICK, self.fleet.dev[state.service_class.name])
+        check_after = max(
+            2 * TIMER_RESOLUTION_S, self.endpoint_pool.latency_deviation[state.service_class.name]
+        )
         self.requests.schedule_check(now + check_after, state)
         is_unsafe = state.service_class.idempotency == "unsafe"
         if not overdue or len(state.in_flight) > 1 or is_unsafe:
--- a/api_gateway/registry/answer_encoding.py
+++ b/api_gateway/registry/answer_encoding.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any, NamedTuple
 
-from api_gateway.base.subsets import View
+from api_gateway.base.subsets import SubsetSpec
 from api_gateway.registry.core import Answer, Host, Registry
 
 MAX_ENCODED_BYTES = 32 * 1024 * 1024  # of answers of one version that are cached; the last one in any case
@@ -21,7 +21,7 @@
     """
 
     since_version: int | None
-    view: View | None
+    view: SubsetSpec | None
 
 
 class AnswerEncoder:
--- a/api_gateway/registry/config.py
+++ b/api_gateway/registry/config.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from api_gateway.base.endpoint_list import Address, read_address
-from api_gateway.base.errors import ConfigError, in_one_line
+from api_gateway.base.errors import ConfigError, config_errors_in_one_line
 from api_gateway.registry.core import STATES, Host
 from api_gateway.registry.errors import InvalidValueError
 from api_gateway.registry.subsets import MAX_VIEWS
@@ -19,7 +19,7 @@
     from api_gateway.membership.service import Membership
 
 CONFIG_KEYS = {"listen", "hosts", "watchers", "learn_ms", "membership", "views"}
-LEARN = 10.0  # s after a start in which hosts come back, where there is no file that names them
+DEFAULT_LEARNING_S = 10.0  # s after a start in which hosts come back, where there is no file that names them
 LEARNING_LIMIT_MS = 3_600_000  # that `learn_ms` may say: an hour
 DEFAULT_MAX_WATCHES = MAX_VIEWS  # watches that wait at once, where the file does not say: one for each view
 WORD_CHARACTERS = 128  # of an id, an address, a zone or a kind at the most
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class RegistryConfig:
     """What the list service runs by.
 
     Attributes:
@@ -49,7 +49,7 @@
     max_views: int = MAX_VIEWS
 
 
-def read_config(env: Mapping[str, str] = os.environ) -> Config:
+def read_config(env: Mapping[str, str] = os.environ) -> RegistryConfig:
     """Read the file that REGISTRY_CONFIG names.
 
     Raises:
@@ -58,11 +58,11 @@
     path = env.get("REGISTRY_CONFIG")
     if not path:
         raise ConfigError("REGISTRY_CONFIG is not set")
-    with in_one_line(path), open(path, encoding="utf-8") as file:
+    with config_errors_in_one_line(path), open(path, encoding="utf-8") as file:
         return _parse_config(json.load(file))
 
 
-def _parse_config(document: dict[str, Any]) -> Config:
+def _parse_config(document: dict[str, Any]) -> RegistryConfig:
     unknown = set(document) - CONFIG_KEYS
     if unknown:
         names = ", ".join(sorted(unknown))
@@ -72,11 +72,11 @@
     _check_count("watchers", max_watches)
     _check_count("views", max_views)
     hosts = document.get("hosts")
-    learn_ms = document.get("learn_ms", 0 if hosts else LEARN * 1000)
+    learn_ms = document.get("learn_ms", 0 if hosts else DEFAULT_LEARNING_S * 1000)
     if type(learn_ms) not in (int, float) or not 0 <= learn_ms <= LEARNING_LIMIT_MS:
         text = f"learn_ms is {learn_ms!r}, not a number from 0 to {LEARNING_LIMIT_MS}"
         raise InvalidValueError("learn_ms", text)
-    return Config(
+    return RegistryConfig(
         read_address(document["listen"]),
         Path(hosts) if hosts else None,
         max_watches,
@@ -104,7 +104,7 @@
     Raises:
         ConfigError: It cannot be used; the text says why in one line.
     """
-    with in_one_line(str(path)), open(path, encoding="utf-8") as file:
+    with config_errors_in_one_line(str(path)), open(path, encoding="utf-8") as file:
         hosts = [read_host(entry) for entry in json.load(file)["servers"]]
         if len({host.id for host in hosts}) < len(hosts):
             raise InvalidValueError("id", "two hosts have one id")
--- a/api_gateway/registry/core.py
+++ b/api_gateway/registry/core.py
@@ -12,7 +12,7 @@
 import math
 from dataclasses import dataclass, field, replace
 
-from api_gateway.base.subsets import View
+from api_gateway.base.subsets import SubsetSpec
 from api_gateway.registry.live_view import LiveView
 from api_gateway.registry.subsets import MAX_VIEWS, LiveViews
 
@@ -61,7 +61,7 @@
     key: object
     index: int
     until: float
-    view: View | None = None  # None: all hosts
+    view: SubsetSpec | None = None  # None: all hosts
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
     index: int | None
     version: int
     hosts: tuple[Host, ...] = field(repr=False)
-    view: View | None = None  # of which it tells
+    view: SubsetSpec | None = None  # of which it tells
     total: int = 0  # hosts that are up in the view's groups
 
 
@@ -362,12 +362,12 @@
 
     # Views
 
-    def view(self, now: float, key: object, view: View) -> Answer:
+    def view(self, now: float, key: object, view: SubsetSpec) -> Answer:
         """The whole view. Raises TooMany."""
         return self.tell(key, self.views.current(now, view, self.version), None)
 
     def watch_view(
-        self, now: float, key: object, view: View, index: int, wait: float, epoch: str | None
+        self, now: float, key: object, view: SubsetSpec, index: int, wait: float, epoch: str | None
     ) -> Answer | None:
         """As watch(), within a view: what changed, entered or left. Raises TooMany."""
         live = self.views.current(now, view, self.version)
--- a/api_gateway/registry/live_view.py
+++ b/api_gateway/registry/live_view.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from api_gateway.base.subsets import View
+from api_gateway.base.subsets import SubsetSpec
 
 if TYPE_CHECKING:
     from api_gateway.registry.core import Host
@@ -30,7 +30,7 @@
         changed_at_version: Version of the last change.
     """
 
-    view: View
+    view: SubsetSpec
     number: int
     oldest_version: int
     hosts: dict[str | None, dict[str, Host]] = field(default_factory=dict)
@@ -42,7 +42,7 @@
     @property
     def refresh_cost(self) -> int:
         """Hosts, about, that a refresh deals with."""
-        return self.view.share * len(self.outdated_groups)
+        return self.view.group_size * len(self.outdated_groups)
 
     def all_hosts(self) -> tuple[Host, ...]:
         """Return its hosts."""
--- a/api_gateway/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -12,19 +12,19 @@
 from aiohttp import web
 
 from api_gateway.base.accepting import AcceptingServer, serve
-from api_gateway.base.calls import hand_out, read_body
+from api_gateway.base.calls import read_body, write_answer
 from api_gateway.base.endpoint_list import write_address
 from api_gateway.base.errors import ConfigError
-from api_gateway.base.subsets import View, read_view
+from api_gateway.base.subsets import SubsetSpec, read_subset_spec
 from api_gateway.registry.answer_encoding import AnswerEncoder
-from api_gateway.registry.config import Config, read_hosts
+from api_gateway.registry.config import RegistryConfig, read_hosts
 from api_gateway.registry.core import Answer, Registry, Stale
 from api_gateway.registry.errors import InvalidValueError
 from api_gateway.registry.registration import read_registration, read_whole_number
 from api_gateway.registry.subsets import TooManyViewsError
 
 if TYPE_CHECKING:
-    from api_gateway.membership.service import Member
+    from api_gateway.membership.service import MembershipService
 
 LIST_PATH = "/v1/endpoints"
 HOSTS_PATH = "/v1/hosts/"
@@ -56,7 +56,9 @@
         member: This process as a member of a cluster, where it takes part.
     """
 
-    def __init__(self, config: Config, registry: Registry, clock: Callable[[], float] = monotonic) -> None:
+    def __init__(
+        self, config: RegistryConfig, registry: Registry, clock: Callable[[], float] = monotonic
+    ) -> None:
         """Prepare the service; `start` opens its socket."""
         self.config = config
         self.registry = registry
@@ -67,7 +69,7 @@
         self.encoder = AnswerEncoder(registry)
         self.waiting: dict[object, asyncio.Future[Answer]] = {}
         self.learned_at = 0.0
-        self.member: Member | None = None
+        self.member: MembershipService | None = None
         self._listener: AcceptingServer | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._is_self_preserving = False
@@ -89,10 +91,10 @@
         self._run_due()
         port: int = self._listener.sockets[0].getsockname()[1]
         if self.config.membership:
-            from api_gateway.membership.service import Member
+            from api_gateway.membership.service import MembershipService
 
             name = f"registry-{write_address((self.config.listen[0], port))}"
-            self.member = Member(self.config.membership, name, lambda: {"kind": "registry"})
+            self.member = MembershipService(self.config.membership, name, lambda: {"kind": "registry"})
             log.info("membership of %s at port %d", self.config.membership.cluster, await self.member.start())
         return port
 
@@ -148,7 +150,7 @@
 
     async def _handle(self, request: web.BaseRequest) -> web.Response:
         response = await self._respond(request)
-        await hand_out(request, response, ANSWER_TIMEOUT_S)
+        await write_answer(request, response, ANSWER_TIMEOUT_S)
         return response
 
     async def _respond(self, request: web.BaseRequest) -> web.Response:
@@ -170,7 +172,7 @@
         if request.path == "/status" and request.method == "GET":
             return web.json_response(self.status())
         if request.path == "/members" and request.method == "GET" and self.member is not None:
-            return web.json_response(self.member.told())
+            return web.json_response(self.member.status())
         if request.path.startswith(HOSTS_PATH):
             return await self._handle_host_call(request)
         return error_response(404, "no such call")
@@ -182,7 +184,7 @@
             raise InvalidValueError("", "the query may hold index, wait, epoch, view and kinds")
         if "kinds" in query and "view" not in query:
             raise InvalidValueError("kinds", "kinds are those of a view, and the query holds none")
-        view = read_view(query["view"], query.get("kinds")) if "view" in query else None
+        view = read_subset_spec(query["view"], query.get("kinds")) if "view" in query else None
         if self.clock() < self.learned_at:
             return error_response(503, "hosts are still coming back after the start")
         if "index" not in query:
@@ -195,12 +197,12 @@
             answer = await self._watch(index, wait_s, query.get("epoch"), view)
         return web.Response(body=self.encode(answer), content_type="application/json")
 
-    def _complete_answer(self, view: View | None) -> Answer:
+    def _complete_answer(self, view: SubsetSpec | None) -> Answer:
         if view is None:
             return self.registry.answer(None, None)
         return self.registry.view(self.clock(), None, view)
 
-    async def _watch(self, index: int, wait_s: float, epoch: str | None, view: View | None) -> Answer:
+    async def _watch(self, index: int, wait_s: float, epoch: str | None, view: SubsetSpec | None) -> Answer:
         key = object()
         if view is None:
             answer = self.registry.watch(self.clock(), key, index, wait_s, epoch)
--- a/api_gateway/registry/subsets.py
+++ b/api_gateway/registry/subsets.py
@@ -15,7 +15,7 @@
 from operator import is_not
 from typing import TYPE_CHECKING
 
-from api_gateway.base.subsets import Rings, View
+from api_gateway.base.subsets import EndpointRings, SubsetSpec
 from api_gateway.registry.errors import RegistryError
 from api_gateway.registry.live_view import LiveView
 from api_gateway.registry.view_arcs import GroupArcs
@@ -66,9 +66,9 @@
     def __init__(self, max_views: int = MAX_VIEWS) -> None:
         """Start without hosts and views."""
         self.max_views = max_views
-        self.rings = Rings()
-        self.live_views: dict[View, LiveView] = {}
-        self.idle_until: dict[View, float] = {}
+        self.rings = EndpointRings()
+        self.live_views: dict[SubsetSpec, LiveView] = {}
+        self.idle_until: dict[SubsetSpec, float] = {}
         self.arcs_by_group: dict[str | None, GroupArcs] = {}
         self.versions_by_age: deque[tuple[float, int]] = deque()
         self.has_burst = False
@@ -141,7 +141,7 @@
 
     # Views
 
-    def current(self, now: float, view: View, version: int) -> LiveView:
+    def current(self, now: float, view: SubsetSpec, version: int) -> LiveView:
         """Return a view as it is at the present version.
 
         Raises:
@@ -176,11 +176,11 @@
         live.hosts[group] = new
         return old, new
 
-    def total(self, view: View) -> int:
+    def total(self, view: SubsetSpec) -> int:
         """Return how many hosts are up in a view's groups."""
         return self.rings.total(view)
 
-    def _begin(self, view: View, version: int) -> LiveView:
+    def _begin(self, view: SubsetSpec, version: int) -> LiveView:
         if len(self.live_views) >= self.max_views:
             oldest = next(iter(self.idle_until), None)
             latest_end = self._now - MIN_IDLE_LIFETIME_S
@@ -251,7 +251,7 @@
         live.watch_keys[key] = None
         self.idle_until.pop(live.view, None)
 
-    def remove_watch(self, view: View, key: object) -> None:
+    def remove_watch(self, view: SubsetSpec, key: object) -> None:
         """Note that a watch waits no longer; without any the view is idle."""
         live = self.live_views.get(view)
         if live is None or key not in live.watch_keys:
@@ -276,7 +276,7 @@
         self._gathering.pop(live.number, None)
         self.ready_views.pop(live.number, None)
 
-    def _end(self, view: View) -> None:
+    def _end(self, view: SubsetSpec) -> None:
         live = self.live_views.pop(view)
         self.idle_until.pop(view, None)
         self._unqueue(live)
--- a/api_gateway/registry/view_arcs.py
+++ b/api_gateway/registry/view_arcs.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from api_gateway.base.subsets import RING, Part
+from api_gateway.base.subsets import RING_SIZE, SubsetPart
 from api_gateway.registry.live_view import LiveView
 
 
@@ -37,7 +37,7 @@
         yield from self._full_ring_views.values()
         yield from (live for live, _ in self._arc_by_number.values())
 
-    def put(self, live: LiveView, part: Part) -> None:
+    def put(self, live: LiveView, part: SubsetPart) -> None:
         """Note what a view takes, in place of what it took before."""
         if part.end is None:
             self._discard_arc(live)
@@ -45,9 +45,9 @@
             return
         self._full_ring_views.pop(live.number, None)
         if live.number not in self._arc_by_number:
-            start = (live.view.place, live.number)
+            start = (live.view.position, live.number)
             self._starts.insert(bisect_left(self._starts, start), start)
-        length = (part.end[0] - live.view.place) % RING
+        length = (part.end[0] - live.view.position) % RING_SIZE
         self._arc_by_number[live.number] = (live, length)
         self._longest_length = max(self._longest_length, length)
         self._puts_since_longest += 1
@@ -66,19 +66,19 @@
         first = place - self._longest_length
         ranges = [(max(first, 0), place)]
         if first < 0:  # arcs that begin before the ring's zero
-            ranges.append((max(first + RING, place + 1), RING))
+            ranges.append((max(first + RING_SIZE, place + 1), RING_SIZE))
         for low, high in ranges:
             begin = bisect_left(self._starts, (low, 0))
             end = bisect_left(self._starts, (high + 1, 0))
             for index in range(begin, end):
                 start, number = self._starts[index]
                 live, length = self._arc_by_number[number]
-                if (place - start) % RING <= length:
+                if (place - start) % RING_SIZE <= length:
                     yield live
 
     def _discard_arc(self, live: LiveView) -> None:
         if self._arc_by_number.pop(live.number, None) is not None:
-            del self._starts[bisect_left(self._starts, (live.view.place, live.number))]
+            del self._starts[bisect_left(self._starts, (live.view.position, live.number))]
 
 
 @dataclass(slots=True)
@@ -97,7 +97,7 @@
         """Tell whether no view takes anything of the group."""
         return not self.same_zone_arcs and not self.other_zone_arcs
 
-    def put(self, live: LiveView, part: Part) -> None:
+    def put(self, live: LiveView, part: SubsetPart) -> None:
         """Note what a view takes of one ring."""
         arcs_by_zone = self.same_zone_arcs if part.own else self.other_zone_arcs
         arcs_by_zone.setdefault(live.view.zone, Arcs()).put(live, part)
--- a/api_gateway/settings_parser.py
+++ b/api_gateway/settings_parser.py
@@ -11,9 +11,9 @@
 from api_gateway import interface as api
 
 # Values of the wire, and what the interface calls them.
-EFFECT = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
-DISCOVERY = {"pushed": "push", "on_request": "ask"}
-REPORT = {
+IDEMPOTENCY_OF_EFFECT = {"pure": "safe", "token": "keyed", "side_effect": "unsafe"}
+DISCOVERY_MODES = {"pushed": "push", "on_request": "ask"}
+LOAD_REPORT_FIELDS = {
     "active": "inflight",
     "waiting": "queue",
     "cpu": "util",
@@ -82,22 +82,24 @@
         meter_period=seconds(specifics.get("meter_period", "0")),
         settles_units=flag(specifics, "settles"),
         max_units=float(specifics.get("units_top", 1)),
-        discovery_mode=DISCOVERY[tree["registry_mode"]],
-        load_report_fields=tuple(REPORT[name] for name in _names(report_names) if name in REPORT),
+        discovery_mode=DISCOVERY_MODES[tree["registry_mode"]],
+        load_report_fields=tuple(
+            LOAD_REPORT_FIELDS[name] for name in _names(report_names) if name in LOAD_REPORT_FIELDS
+        ),
         weight_kind=tree.get("weights", "none"),
     )
 
 
-def read_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
+def read_load_report(pairs: Iterable[tuple[str, str] | list[str]]) -> dict[str, float]:
     """Return the fields of a load report that are known and have a value; latency in seconds.
 
     Raises:
         ValueError: A value is no number, or a pair is none.
     """
     return {
-        REPORT[name]: float(value) / MILLISECONDS_PER_SECOND if name == "avg_ms" else float(value)
+        LOAD_REPORT_FIELDS[name]: float(value) / MILLISECONDS_PER_SECOND if name == "avg_ms" else float(value)
         for name, value in pairs
-        if name in REPORT and value
+        if name in LOAD_REPORT_FIELDS and value
     }
 
 
@@ -106,7 +108,7 @@
         name=entry["name"],
         latency_objective=seconds(entry["slo"]),
         deadline=seconds(entry["deadline"]),
-        idempotency=EFFECT[entry["effect"]],
+        idempotency=IDEMPOTENCY_OF_EFFECT[entry["effect"]],
         dedup_scope=entry.get("dedup_scope", "all"),
         dedup_window=seconds(entry.get("memory_span", "0")),
         priority_weight=float(entry["gain"]),
--- a/api_gateway/simulator_adapter.py
+++ b/api_gateway/simulator_adapter.py
@@ -12,8 +12,8 @@
 from typing import Any, TextIO
 
 from api_gateway import interface as api
-from api_gateway.policy import Gateway
-from api_gateway.settings_parser import NANOSECONDS_PER_SECOND, flag, read_report, read_settings, seconds
+from api_gateway.policy import DecisionEngine
+from api_gateway.settings_parser import NANOSECONDS_PER_SECOND, flag, read_load_report, read_settings, seconds
 
 STATE = {"U": "up", "L": "leaving", "D": "down"}
 RESULT = {
@@ -60,7 +60,7 @@
 
 
 def _stats(fields: Fields) -> dict[str, float]:
-    return read_report(
+    return read_load_report(
         pair.split(":", 1) for pair in fields.get("server_stats", "").split(",") if ":" in pair
     )
 
@@ -202,7 +202,7 @@
         self.sink = sink
         self.line_number = 0
         self.line = ""
-        self.gateways: dict[int, Gateway] = {}
+        self.gateways: dict[int, DecisionEngine] = {}
 
     def run(self) -> int:
         """Answer batches until the input ends; return the exit status."""
@@ -272,7 +272,7 @@
         )
 
         def make() -> Iterable[str]:
-            self.gateways[instance] = Gateway(settings, seed, now)
+            self.gateways[instance] = DecisionEngine(settings, seed, now)
             return ()
 
         return make
--- a/api_gateway/upstream/attempt.py
+++ b/api_gateway/upstream/attempt.py
@@ -8,13 +8,13 @@
 from time import monotonic
 from typing import TYPE_CHECKING, Any, Final
 
-from api_gateway.base.resp import END
+from api_gateway.base.resp import CRLF
 from api_gateway.upstream.load_report import LoadReport
 
 if TYPE_CHECKING:
     from api_gateway.upstream.connection import Connection
 
-# The `tag` of an attempt that is a health check.
+# The `context` of an attempt that is a health check.
 HEALTH_CHECK: Final = object()
 
 
@@ -24,92 +24,92 @@
     Times are by the monotonic clock, in seconds.
 
     Attributes:
-        host: The endpoint's id.
+        endpoint_id: The endpoint's id.
         make_payload: Makes the bytes to send, called when they are about to go out with the seconds that are
             left for the attempt then. Empty bytes: the attempt is not wanted any more.
         body: The command's last part where it is large; it follows the payload and is not copied.
         on_done: Called once, when `result` is known.
-        tag: The caller's own record of this attempt, or HEALTH_CHECK.
+        context: The caller's own record of this attempt, or HEALTH_CHECK.
         started_at: When the attempt was made, or when the wait for a settling connection ended.
         send_deadline: When it may go out at the latest.
         deadline: When it is given up.
         result: One of `interface.RESULTS`; empty until the attempt has ended.
         value: The value of the answer, where it did not come in pieces.
-        used: The metered use that the endpoint reported.
-        report: The load report of the answer.
-        conn: The connection it went out on; None before.
+        metered_use: The metered use that the endpoint reported.
+        load_report: The load report of the answer.
+        connection: The connection it went out on; None before.
         timer: Gives the attempt up at its deadline.
         on_value_begins: Called with the length of a large value that begins; returns whether it is wanted.
         time_to_value: Seconds from `started_at` to the first bytes of a large value; 0 before.
-        sink: Receives the pieces of a large value.
-        blocked: Returns whether those pieces must wait.
-        whole: Whether all pieces went to the sink.
+        value_sink: Receives the pieces of a large value.
+        is_value_blocked: Returns whether those pieces must wait.
+        is_value_complete: Whether all pieces went to the sink.
     """
 
     __slots__ = (
-        "host",
+        "endpoint_id",
         "make_payload",
         "body",
         "on_done",
-        "tag",
+        "context",
         "started_at",
         "result",
         "value",
-        "used",
-        "report",
-        "conn",
+        "metered_use",
+        "load_report",
+        "connection",
         "timer",
         "on_value_begins",
         "time_to_value",
-        "sink",
-        "blocked",
-        "whole",
+        "value_sink",
+        "is_value_blocked",
+        "is_value_complete",
         "send_deadline",
         "deadline",
     )
 
     def __init__(
         self,
-        host: str,
+        endpoint_id: str,
         make_payload: Callable[[float], bytes],
         on_done: Callable[[Attempt], None],
-        tag: Any = None,  # opaque here: the caller alone reads it
+        context: Any = None,  # opaque here: the caller alone reads it
         body: bytearray | None = None,
         on_value_begins: Callable[[Attempt, int], bool] | None = None,
         within: float = math.inf,
     ) -> None:
-        """Make an attempt that `Hosts.send` sends.
+        """Make an attempt that `EndpointPools.send` sends.
 
         Args:
-            host: The endpoint's id.
+            endpoint_id: The endpoint's id.
             make_payload: See the attribute.
             on_done: See the attribute.
-            tag: See the attribute.
+            context: See the attribute.
             body: See the attribute.
             on_value_begins: See the attribute; None refuses large values.
             within: Seconds from now in which it must have begun to go out.
         """
-        self.host = host
+        self.endpoint_id = endpoint_id
         self.make_payload = make_payload
         self.on_done = on_done
-        self.tag = tag
+        self.context = context
         self.started_at = monotonic()
         self.body = body
         self.on_value_begins = on_value_begins
         self.send_deadline = self.started_at + within
         self.deadline = math.inf
         self.time_to_value = 0.0
-        self.sink: Callable[[bytes], None] | None = None
-        self.blocked: Callable[[], bool] | None = None
-        self.whole = False
+        self.value_sink: Callable[[bytes], None] | None = None
+        self.is_value_blocked: Callable[[], bool] | None = None
+        self.is_value_complete = False
         self.result = ""
         self.value = b""
-        self.used = 0
-        self.report: LoadReport = {}
-        self.conn: Connection | None = None
+        self.metered_use = 0
+        self.load_report: LoadReport = {}
+        self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
-    def elapsed(self) -> float:
+    def response_time(self) -> float:
         """Return the seconds until the answer, or until its first bytes where it comes in pieces.
 
         How long the rest of a large value takes depends on the client's pace.
@@ -118,9 +118,9 @@
 
     def pass_on_piece(self, data: bytes) -> None:
         """Hand a piece of a large value to the sink; the last one is END."""
-        assert self.sink is not None
-        self.sink(data)
-        self.whole = data == END
+        assert self.value_sink is not None
+        self.value_sink(data)
+        self.is_value_complete = data == CRLF
 
     def end(self, result: str) -> None:
         """Set the result and report it; without effect once there is one."""
@@ -132,6 +132,6 @@
         self.on_done(self)
 
     @property
-    def written(self) -> bool:
+    def is_written(self) -> bool:
         """Whether the socket took the last byte: from then on the request may have run."""
-        return self.conn is not None and self.conn.is_written
+        return self.connection is not None and self.connection.is_written
--- a/api_gateway/upstream/connect_limits.py
+++ b/api_gateway/upstream/connect_limits.py
@@ -15,7 +15,7 @@
 from api_gateway.base.endpoint_list import Address
 from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.connection import Connection
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 from api_gateway.upstream.pool import TIMER_MARGIN_S, Pool, ShortageError
 
 
@@ -34,7 +34,7 @@
         self.max_total = max_total
         self.blocked_pools: weakref.WeakSet[SharedPool] = weakref.WeakSet()
 
-    def has_capacity(self, endpoint_pools: Hosts) -> bool:
+    def has_capacity(self, endpoint_pools: EndpointPools) -> bool:
         """Return whether the total allows one more connect."""
         return not self.max_total or endpoint_pools.connecting_count < self.max_total
 
@@ -54,7 +54,7 @@
             their waits.
     """
 
-    def __init__(self, endpoint_pools: Hosts, address: Address, limits: ConnectLimits) -> None:
+    def __init__(self, endpoint_pools: EndpointPools, address: Address, limits: ConnectLimits) -> None:
         """Make a pool without connections."""
         super().__init__(endpoint_pools, address)
         self.limits = limits
@@ -161,7 +161,7 @@
                 self.return_idle(connection)
 
 
-def shared(max_per_endpoint: int, max_total: int) -> Callable[[Hosts, Address], Pool]:
+def limited_pool_factory(max_per_endpoint: int, max_total: int) -> Callable[[EndpointPools, Address], Pool]:
     """Return what makes the pools of one process.
 
     Args:
--- a/api_gateway/upstream/connection.py
+++ b/api_gateway/upstream/connection.py
@@ -14,12 +14,12 @@
 
 import hiredis
 
-from api_gateway.base.resp import END, NO_REPLY, SMALL, Reader
+from api_gateway.base.resp import CRLF, INCOMPLETE, STREAMING_THRESHOLD_BYTES, RespReader
 from api_gateway.upstream.attempt import HEALTH_CHECK, Attempt
 from api_gateway.upstream.load_report import parse_load_report
 
 # Bytes of one answer without a large value.
-MAX_REPLY_BYTES = SMALL + 4096
+MAX_REPLY_BYTES = STREAMING_THRESHOLD_BYTES + 4096
 # Parts of an answer: the value, the metered use, the load report.
 REPLY_PARTS = 3
 # Bytes that the socket holds unread, so that what is read at once is bounded.
@@ -68,7 +68,7 @@
         self.idle_since = 0.0
         self.is_paused = False
         self.transport: asyncio.Transport | None = None
-        self._reader = Reader(MAX_REPLY_BYTES, (REPLY_PARTS, 0))
+        self._reader = RespReader(MAX_REPLY_BYTES, (REPLY_PARTS, 0))
         self._last_activity_at = 0.0  # when the last bytes came, or reading was paused or resumed
         self._received_bytes = 0  # of the answer, without a large value
 
@@ -118,13 +118,13 @@
             attempt.end("connect_failed")
             return False
         self.attempt = attempt
-        attempt.conn = self
+        attempt.connection = self
         self._received_bytes = 0
         self.is_used = True
         self.transport.write(payload)
         if attempt.body is not None:
             self.transport.write(memoryview(attempt.body))
-            self.transport.write(END)
+            self.transport.write(CRLF)
         if self.transport.is_closing():  # the write failed at once, so the socket took nothing
             self.is_written = False
         return True
@@ -137,20 +137,20 @@
             return
         self._last_activity_at = monotonic()
         self._reader.feed(data)
-        if attempt.sink is None:
+        if attempt.value_sink is None:
             self._received_bytes += len(data)
         self._read_answer(attempt)
 
-    def go_on(self) -> None:
+    def resume_value(self) -> None:
         """Go on with a large value, where its pieces need not wait any longer."""
         attempt = self.attempt
-        if attempt is None or attempt.blocked is None:
+        if attempt is None or attempt.is_value_blocked is None:
             return
-        if attempt.blocked():
+        if attempt.is_value_blocked():
             self._pause_reading()
             return
         self._resume_reading()
-        if self._reader.begun:
+        if self._reader.large_string_bytes:
             self._reader.pass_on(attempt.pass_on_piece)
             self._read_answer(attempt)
 
@@ -160,7 +160,7 @@
         Args:
             now: The monotonic clock.
         """
-        if self.attempt is None or not self.attempt.sink or self.is_paused:
+        if self.attempt is None or not self.attempt.value_sink or self.is_paused:
             return
         if now - self._last_activity_at > VALUE_STALL_TIMEOUT_S:
             self.close()
@@ -178,7 +178,7 @@
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
-        if attempt is not None and attempt.whole:  # what was to follow the value is not missed
+        if attempt is not None and attempt.is_value_complete:  # what was to follow the value is not missed
             attempt.end("ok")
         elif attempt is not None:
             attempt.end("reset" if self.is_written else "connect_failed")
@@ -189,18 +189,18 @@
         except hiredis.ProtocolError:
             self.close()
             return
-        if reply is NO_REPLY:
-            if self._reader.begun and attempt.sink is None:
+        if reply is INCOMPLETE:
+            if self._reader.large_string_bytes and attempt.value_sink is None:
                 self._begin_value(attempt)
-            elif self._received_bytes > MAX_REPLY_BYTES and attempt.sink is None:
+            elif self._received_bytes > MAX_REPLY_BYTES and attempt.value_sink is None:
                 self.close()
-            elif attempt.blocked is not None and attempt.blocked():
+            elif attempt.is_value_blocked is not None and attempt.is_value_blocked():
                 self._pause_reading()
             return
         self.attempt = None
         self._resume_reading()
         result = read_reply(attempt, reply)
-        self.pool.record_response_time(attempt.elapsed())
+        self.pool.record_response_time(attempt.response_time())
         if self._reader.has_data():
             self.close()
         else:
@@ -213,11 +213,11 @@
             attempt.timer.cancel()
         attempt.time_to_value = monotonic() - attempt.started_at
         on_value_begins = attempt.on_value_begins
-        if on_value_begins is None or not on_value_begins(attempt, self._reader.begun):
+        if on_value_begins is None or not on_value_begins(attempt, self._reader.large_string_bytes):
             if attempt is self.attempt:
                 self.pool.abandon(attempt, "cancelled" if on_value_begins else "error")
             return
-        self.go_on()
+        self.resume_value()
 
     def _pause_reading(self) -> None:
         if not self.is_paused and self.transport is not None and not self.transport.is_closing():
@@ -246,18 +246,18 @@
         if len(reply) != REPLY_PARTS or any(isinstance(part, hiredis.ReplyError) for part in reply):
             return "error"
         value, used, report = reply
-        if not isinstance(value, bytes) or len(value) > SMALL or isinstance(report, list):
+        if not isinstance(value, bytes) or len(value) > STREAMING_THRESHOLD_BYTES or isinstance(report, list):
             return "error"
         attempt.value = value
-        attempt.report = parse_load_report(report)
+        attempt.load_report = parse_load_report(report)
         if isinstance(used, int):
-            attempt.used = used
+            attempt.metered_use = used
         return "ok"
     if isinstance(reply, hiredis.ReplyError):
         words = str(reply).split(" ")
-        attempt.report = parse_load_report(words[-1])
+        attempt.load_report = parse_load_report(words[-1])
         return "full" if words[0] == "BUSY" else "error"
-    if isinstance(reply, bytes) and attempt.tag is HEALTH_CHECK:
-        attempt.report = parse_load_report(reply)
+    if isinstance(reply, bytes) and attempt.context is HEALTH_CHECK:
+        attempt.load_report = parse_load_report(reply)
         return "ok"
     return "error"  # no value of an endpoint: serving anything for it would be made up
--- a/api_gateway/upstream/endpoint_pools.py
+++ b/api_gateway/upstream/endpoint_pools.py
@@ -13,28 +13,28 @@
 from api_gateway.upstream.pool import Pool
 
 # Part of the endpoints' idle timeout by which a connection is closed before them.
-IDLE_MARGIN = 0.1
+IDLE_MARGIN_FRACTION = 0.1
 # s between checks for connections that were idle for too long or have stalled.
-IDLE_CHECK = 0.5
+IDLE_CHECK_INTERVAL_S = 0.5
 # The command of a health check.
 LOAD_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 
-class Hosts:
+class EndpointPools:
     """The pools of all endpoints, and what holds for all of them.
 
     Nothing here that a request, a change of one endpoint or a timer does walks over all pools.
 
     Attributes:
-        most: Limit of connections, those that are coming up among them.
-        make: Makes the pool of an endpoint's address.
+        max_connections: Limit of connections, those that are coming up among them.
+        make_pool: Makes the pool of an endpoint's address.
         reclaim_descriptor: Closes a connection, of any kind, where none can be opened; returns whether there
             was one.
         connect_timeout: Seconds that a connect may take.
         max_idle_time: Seconds after which an idle connection is closed.
         pools: The open pools, by endpoint id.
         addresses: Where the endpoint list has the endpoints that are up.
-        out: Endpoints that are ejected by an operator override.
+        ejected: Endpoints that are ejected by an operator override.
         connections: All connections that have come up.
         connecting_count: Number of connections that are coming up.
         idle: The idle connections of all pools, the longest idle first.
@@ -48,26 +48,26 @@
             idle_timeout: Seconds after which endpoints close an idle connection.
             max_connections: Limit of connections.
         """
-        self.most = max_connections
-        self.make: Callable[[Hosts, Address], Pool] = Pool
-        self.reclaim_descriptor: Callable[[], bool] = self.end_idle
+        self.max_connections = max_connections
+        self.make_pool: Callable[[EndpointPools, Address], Pool] = Pool
+        self.reclaim_descriptor: Callable[[], bool] = self.close_longest_idle
         self.pools: dict[str, Pool] = {}
         self.addresses: dict[str, Address] = {}
-        self.out: set[str] = set()
+        self.ejected: set[str] = set()
         self.connections: set[Connection] = set()
         self.connecting_count = 0
         self.idle: OrderedDict[Connection, None] = OrderedDict()
         self._check_timer: asyncio.TimerHandle | None = None
-        self.retune(connect_timeout, idle_timeout)
+        self.reconfigure(connect_timeout, idle_timeout)
 
-    def retune(self, connect_timeout: float, idle_timeout: float) -> None:
+    def reconfigure(self, connect_timeout: float, idle_timeout: float) -> None:
         """Apply the times of a changed configuration, in seconds as in the constructor."""
         self.connect_timeout = connect_timeout
-        self.max_idle_time = idle_timeout * (1 - IDLE_MARGIN) - IDLE_CHECK
+        self.max_idle_time = idle_timeout * (1 - IDLE_MARGIN_FRACTION) - IDLE_CHECK_INTERVAL_S
 
     # Endpoints
 
-    def listed(self, endpoint_id: str, address: Address | None) -> None:
+    def set_address(self, endpoint_id: str, address: Address | None) -> None:
         """Apply an entry of the endpoint list.
 
         Args:
@@ -80,23 +80,23 @@
             self.addresses.pop(endpoint_id, None)
         self._update_pool(endpoint_id)
 
-    def take_out(self, endpoint_id: str, ejected: bool) -> None:
+    def set_ejected(self, endpoint_id: str, ejected: bool) -> None:
         """Set or end an operator's ejection of an endpoint, which holds whatever the endpoint list says."""
         if ejected:
-            self.out.add(endpoint_id)
+            self.ejected.add(endpoint_id)
         else:
-            self.out.discard(endpoint_id)
+            self.ejected.discard(endpoint_id)
         self._update_pool(endpoint_id)
 
     def _update_pool(self, endpoint_id: str) -> None:
         """Open, replace or stop the pool of one endpoint."""
-        address = None if endpoint_id in self.out else self.addresses.get(endpoint_id)
+        address = None if endpoint_id in self.ejected else self.addresses.get(endpoint_id)
         pool = self.pools.get(endpoint_id)
         if pool is not None and pool.address != address:
             pool.stop()
             del self.pools[endpoint_id]
         if address is not None and endpoint_id not in self.pools:
-            self.pools[endpoint_id] = self.make(self, address)
+            self.pools[endpoint_id] = self.make_pool(self, address)
 
     # Attempts
 
@@ -108,15 +108,15 @@
             timeout: Seconds after which it is given up.
         """
         loop = asyncio.get_running_loop()
-        pool = self.pools.get(attempt.host)
+        pool = self.pools.get(attempt.endpoint_id)
         if pool is None:
             loop.call_soon(attempt.end, "connect_failed")
             return
         attempt.deadline = monotonic() + timeout
-        attempt.timer = loop.call_later(timeout, self.give_up, attempt, "timeout")
+        attempt.timer = loop.call_later(timeout, self.abandon, attempt, "timeout")
         pool.start(attempt)
 
-    def probe(self, endpoint_id: str, on_done: Callable[[Attempt], None]) -> None:
+    def check_health(self, endpoint_id: str, on_done: Callable[[Attempt], None]) -> None:
         """Send a health check.
 
         Args:
@@ -125,7 +125,7 @@
         """
         self.send(Attempt(endpoint_id, lambda _: LOAD_COMMAND, on_done, HEALTH_CHECK), self.connect_timeout)
 
-    def give_up(self, attempt: Attempt, result: str) -> None:
+    def abandon(self, attempt: Attempt, result: str) -> None:
         """Give up an attempt.
 
         Its connection is closed too: a late answer must not meet the next attempt on it.
@@ -136,16 +136,16 @@
         """
         if attempt.result:
             return
-        connection = attempt.conn
+        connection = attempt.connection
         if connection is None:
-            pool = self.pools.get(attempt.host)
+            pool = self.pools.get(attempt.endpoint_id)
             if pool is not None:
                 pool.cancel_wait(attempt)
             attempt.end("connect_failed")
             return
         if not connection.is_written:
             result = "connect_failed"
-        elif attempt.whole:
+        elif attempt.is_value_complete:
             result = "ok"
         connection.attempt = None
         connection.close()
@@ -154,17 +154,17 @@
     # The limit of connections
 
     @property
-    def open(self) -> int:
+    def connection_count(self) -> int:
         """The number of connections, those that are coming up among them."""
         return len(self.connections) + self.connecting_count
 
     def reserve_capacity(self) -> bool:
         """Return whether a connection may be opened; at the limit an idle one is closed for it."""
-        return self.open < self.most or self.end_idle()
+        return self.connection_count < self.max_connections or self.close_longest_idle()
 
-    def make_room(self) -> None:
+    def close_excess_idle(self) -> None:
         """Close idle connections, the longest idle first, down to a limit that has shrunk."""
-        while self.open > self.most and self.reserve_capacity():
+        while self.connection_count > self.max_connections and self.reserve_capacity():
             pass
 
     # Idle connections
@@ -179,11 +179,11 @@
         for last in reversed(idle_for_less):
             self.idle[last] = None
 
-    def resting(self) -> int:
+    def idle_count(self) -> int:
         """Return the number of idle connections."""
         return len(self.idle)
 
-    def end_idle(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Close the longest idle connection. Return whether there was one."""
         if self.idle:
             next(iter(self.idle)).close()
@@ -203,13 +203,15 @@
 
     # Lifecycle
 
-    def start_checks(self) -> None:
+    def start_maintenance(self) -> None:
         """Check for stale and stalled connections, now and then regularly until `close`."""
         self.close_stale()
         now = monotonic()
         for connection in list(self.connections):
             connection.check(now)
-        self._check_timer = asyncio.get_running_loop().call_later(IDLE_CHECK, self.start_checks)
+        self._check_timer = asyncio.get_running_loop().call_later(
+            IDLE_CHECK_INTERVAL_S, self.start_maintenance
+        )
 
     def close(self) -> None:
         """Stop all pools and close all connections for good."""
--- a/api_gateway/upstream/load_report.py
+++ b/api_gateway/upstream/load_report.py
@@ -5,7 +5,7 @@
 import math
 import re
 
-from api_gateway.settings_parser import REPORT, read_report
+from api_gateway.settings_parser import LOAD_REPORT_FIELDS, read_load_report
 
 # A plain number of the protocol. float() alone would take 1_0, too.
 PLAIN_NUMBER = re.compile(r"(?:[0-9]+\.?[0-9]*|\.[0-9]+)(?:[eE][+-]?[0-9]+)?")
@@ -35,7 +35,7 @@
     if len(fields) < len(pairs):  # a field that stands twice
         return {}
     for name, value in fields.items():
-        if value and name in REPORT and not PLAIN_NUMBER.fullmatch(value):
+        if value and name in LOAD_REPORT_FIELDS and not PLAIN_NUMBER.fullmatch(value):
             return {}
-    report = read_report(fields.items())
+    report = read_load_report(fields.items())
     return report if math.inf not in report.values() else {}
--- a/api_gateway/upstream/pool.py
+++ b/api_gateway/upstream/pool.py
@@ -15,10 +15,10 @@
 from api_gateway.upstream.connection import RECEIVE_BUFFER_BYTES, Connection
 
 if TYPE_CHECKING:
-    from api_gateway.upstream.endpoint_pools import Hosts
+    from api_gateway.upstream.endpoint_pools import EndpointPools
 
 # s after an answer in which a second one may still come: a spoilt one is late by milliseconds.
-SETTLED = 0.05
+SETTLE_TIME_S = 0.05
 # Part of an endpoint's typical response time that an attempt waits for a connection to settle.
 SETTLE_WAIT_FRACTION = 0.5
 # Weight of the latest answer in the typical response time.
@@ -63,9 +63,9 @@
         settling: Reserved connections, by the attempt that each is for.
     """
 
-    settle_time = SETTLED
+    settle_time = SETTLE_TIME_S
 
-    def __init__(self, endpoint_pools: Hosts, address: Address) -> None:
+    def __init__(self, endpoint_pools: EndpointPools, address: Address) -> None:
         """Make a pool without connections."""
         self.endpoint_pools = endpoint_pools
         self.address = address
@@ -193,7 +193,7 @@
 
     def abandon(self, attempt: Attempt, result: str) -> None:
         """Give up an attempt, and the connection that it is on."""
-        self.endpoint_pools.give_up(attempt, result)
+        self.endpoint_pools.abandon(attempt, result)
 
     def record_response_time(self, seconds: float) -> None:
         """Add a response time to the endpoint's moving average."""
@@ -266,7 +266,7 @@
     cancelled before its first step would never remove it.
     """
 
-    def __init__(self, endpoint_pools: Hosts) -> None:
+    def __init__(self, endpoint_pools: EndpointPools) -> None:
         """Make an empty map whose length counts in `endpoint_pools.connecting_count`."""
         super().__init__()
         self.endpoint_pools = endpoint_pools
--- a/tests/base/test_subsets.py
+++ b/tests/base/test_subsets.py
@@ -10,21 +10,27 @@
 import pytest
 
 from api_gateway.base import subsets as module
-from api_gateway.base.subsets import MIN_GROUP_SIZE, Rings, View, place_of, read_view
+from api_gateway.base.subsets import (
+    MIN_GROUP_SIZE,
+    EndpointRings,
+    SubsetSpec,
+    position_of_endpoint,
+    read_subset_spec,
+)
 from api_gateway.policy.customer_accounts import stable_hash
 
 ZONES = "abcdef"
 
 
 def rings_of(count, zones=ZONES, kinds=("",)):
-    rings = Rings()
+    rings = EndpointRings()
     for n in range(count):
         rings.put(f"h{n}", kinds[n % len(kinds)], zones[n // len(kinds) % len(zones)], True)
     return rings
 
 
 def views_of(count, size, **kw):
-    return [View(n, size, ZONES[n % len(ZONES)], **kw) for n in range(count)]
+    return [SubsetSpec(n, size, ZONES[n % len(ZONES)], **kw) for n in range(count)]
 
 
 def in_zone(rings, names, zone):
@@ -32,7 +38,10 @@
 
 
 def test_a_host_has_the_place_that_the_decision_module_would_give_it():
-    assert all(place_of(name) == stable_hash(name, "place") for name in ("", "a", "s-5be2a07c", "ä", "h\x1f"))
+    assert all(
+        position_of_endpoint(name) == stable_hash(name, "place")
+        for name in ("", "a", "s-5be2a07c", "ä", "h\x1f")
+    )
 
 
 def test_the_module_imports_nothing_above_it():
@@ -43,18 +52,18 @@
 @pytest.mark.parametrize(
     "view",
     [
-        View(0, 1),
-        View(4199, 480, "a"),
-        View(3, 65536, "a,b&c=d %2C"),
-        View(1, 5, "", ("x", "y,z", "é%", "")),
-        View(1, 5, "ä", ("",)),
-        View(10**17, 5, "a"),
+        SubsetSpec(0, 1),
+        SubsetSpec(4199, 480, "a"),
+        SubsetSpec(3, 65536, "a,b&c=d %2C"),
+        SubsetSpec(1, 5, "", ("x", "y,z", "é%", "")),
+        SubsetSpec(1, 5, "ä", ("",)),
+        SubsetSpec(10**17, 5, "a"),
     ],
 )
 def test_a_view_is_read_as_it_was_written(view):
     told = parse_qs(view.query(), keep_blank_values=True, strict_parsing=True)
     assert set(told) == ({"view", "kinds"} if view.kinds else {"view"})
-    assert read_view(told["view"][0], told["kinds"][0] if view.kinds else None) == view
+    assert read_subset_spec(told["view"][0], told["kinds"][0] if view.kinds else None) == view
 
 
 @pytest.mark.parametrize(
@@ -79,12 +88,16 @@
 )
 def test_what_is_no_view_is_refused_in_one_line(text, kinds):
     with pytest.raises(ValueError) as told:
-        read_view(text, kinds)
+        read_subset_spec(text, kinds)
     assert "\n" not in str(told.value) and 0 < len(str(told.value)) < 200
 
 
 def test_kinds_in_another_order_or_twice_are_the_same_view():
-    assert View(1, 5, "a", ("y", "x", "y")) == View(1, 5, "a", ("x", "y")) == read_view("1,5,a", "y,x,x")
+    assert (
+        SubsetSpec(1, 5, "a", ("y", "x", "y"))
+        == SubsetSpec(1, 5, "a", ("x", "y"))
+        == read_subset_spec("1,5,a", "y,x,x")
+    )
 
 
 @pytest.mark.parametrize(
@@ -98,9 +111,9 @@
     ],
 )
 def test_gateways_lie_evenly_on_the_ring_whichever_of_them_are_there(picked, most):
-    places = sorted(View(n, 1).place for n in picked)
-    gaps = [b - a for a, b in zip(places, [*places[1:], places[0] + module.RING], strict=True)]
-    assert max(gaps) < most * module.RING / len(places)
+    places = sorted(SubsetSpec(n, 1).position for n in picked)
+    gaps = [b - a for a, b in zip(places, [*places[1:], places[0] + module.RING_SIZE], strict=True)]
+    assert max(gaps) < most * module.RING_SIZE / len(places)
 
 
 @pytest.mark.parametrize("picked", [range(420), range(210), range(0, 420, 6), range(210, 420)])
@@ -122,16 +135,16 @@
     for view in views_of(60, 100):
         names = rings.members(view)
         assert len(names) == 100 and in_zone(rings, names, view.zone) == 50
-    assert in_zone(rings, rings.members(View(3, 100)), "a") < 35  # no zone: one ring
-    assert in_zone(rings, rings.members(View(3, 100, "nowhere")), "a") < 35
+    assert in_zone(rings, rings.members(SubsetSpec(3, 100)), "a") < 35  # no zone: one ring
+    assert in_zone(rings, rings.members(SubsetSpec(3, 100, "nowhere")), "a") < 35
 
 
 def shares(zones, gateways, seed, size=120, hosts=3000):
     """Of hosts of each zone: in how many views each is, over the mean of all; then of each host."""
-    rings = Rings()
+    rings = EndpointRings()
     for n in range(hosts):
         rings.put(f"h{n}-{seed}", "", zones[n % len(zones)], True)
-    views = [View(n, size, gateways[n % len(gateways)]) for n in range(420)]
+    views = [SubsetSpec(n, size, gateways[n % len(gateways)]) for n in range(420)]
     counts = Counter(name for view in views for name in rings.members(view))
     mean = sum(counts.values()) / hosts
     each = {name: counts[name] / mean for name in rings.known}
@@ -176,22 +189,24 @@
 @pytest.mark.parametrize("zones", ["aaabbc", "abbbbbbbbb", "abcdef", "abcdefbcdefbcdef"])
 @pytest.mark.parametrize("seed", range(3))
 def test_beyond_the_ends_of_its_parts_nothing_changes_a_view(zones, seed):
-    rng, rings = random.Random(seed), Rings()
+    rng, rings = random.Random(seed), EndpointRings()
     for n in range(300):
         rings.put(f"h{n}", "", rng.choice(zones), rng.random() < 0.9)
-    views = [View(n, rng.choice((10, 40, 120)), rng.choice(zones)) for n in range(30)]
+    views = [SubsetSpec(n, rng.choice((10, 40, 120)), rng.choice(zones)) for n in range(30)]
     passed = 0
     for _ in range(40):
         before = {view: (rings.members(view), list(rings.parts(view, None))) for view in views}
         name, zone, count = f"h{rng.randrange(330)}", rng.choice(zones), rings.zones(None)
         old = rings.known.get(name)
         rings.put(name, "", zone, rng.random() < 0.7) if rng.random() < 0.7 else rings.drop(name)
-        new, at = rings.known.get(name), place_of(name)
+        new, at = rings.known.get(name), position_of_endpoint(name)
         assert rings.zones(None) == count
         for view, (members, parts) in before.items():
-            ends = {part.own: part.end and (part.end[0] - view.place) % module.RING for part in parts}
+            ends = {part.own: part.end and (part.end[0] - view.position) % module.RING_SIZE for part in parts}
             sides = {host.zone == view.zone for host in (old, new) if host}
-            if all(ends[own] is not None and (at - view.place) % module.RING > ends[own] for own in sides):
+            if all(
+                ends[own] is not None and (at - view.position) % module.RING_SIZE > ends[own] for own in sides
+            ):
                 passed += 1
                 assert rings.members(view) == members
     assert passed > 100
@@ -216,22 +231,22 @@
 
 
 def test_views_depend_on_no_other_gateway_and_on_no_order_of_hosts():
-    one, other = rings_of(500), Rings()
+    one, other = rings_of(500), EndpointRings()
     for name in sorted(one.known, reverse=True):
         other.put(name, "", one.known[name].zone, True)
     assert all(one.members(view) == other.members(view) for view in views_of(50, 40))
-    assert one.members(View(7, 40, "a")) != one.members(View(8, 40, "a"))
+    assert one.members(SubsetSpec(7, 40, "a")) != one.members(SubsetSpec(8, 40, "a"))
 
 
 def test_ties_of_places_are_broken_by_id(monkeypatch):
-    monkeypatch.setattr(module, "place_of", lambda name: 5)
-    rings = Rings()
+    monkeypatch.setattr(module, "position_of_endpoint", lambda name: 5)
+    rings = EndpointRings()
     for name in ("d", "b", "c", "a", "e"):
         rings.put(name, "", "", True)
-    assert [rings.members(View(0, size)) for size in (1, 3)] == [{"a"}, {"a", "b", "c"}]
+    assert [rings.members(SubsetSpec(0, size)) for size in (1, 3)] == [{"a"}, {"a", "b", "c"}]
     rings.drop("b")
     rings.put("c", "", "", False)
-    assert rings.members(View(0, 3)) == {"a", "c", "d", "e"}  # c drains among the first three
+    assert rings.members(SubsetSpec(0, 3)) == {"a", "c", "d", "e"}  # c drains among the first three
 
 
 @pytest.mark.parametrize(
@@ -239,13 +254,18 @@
 )
 def test_a_view_holds_what_there_is_up_to_its_size(size, hosts):
     rings = rings_of(hosts)
-    for view in (View(3, size, "a"), View(3, size), View(10**12 + 7, size, "f"), View(2**62, size, "zz")):
+    for view in (
+        SubsetSpec(3, size, "a"),
+        SubsetSpec(3, size),
+        SubsetSpec(10**12 + 7, size, "f"),
+        SubsetSpec(2**62, size, "zz"),
+    ):
         assert len(rings.members(view)) == min(size, hosts) and rings.total(view) == hosts
 
 
 def test_numbers_far_beyond_are_spread_as_well():
     rings = rings_of(4000)
-    counts = Counter(n for i in range(100) for n in rings.members(View(10**15 + i, 400, ZONES[i % 6])))
+    counts = Counter(n for i in range(100) for n in rings.members(SubsetSpec(10**15 + i, 400, ZONES[i % 6])))
     assert len(counts) == 4000 and max(counts.values()) <= 20
 
 
@@ -254,22 +274,22 @@
     rings.put("alone", "single", "b", True)
     for n in range(8):
         rings.put(f"m{n}", "middle", ZONES[n % 2], True)
-    names = rings.members(View(5, 30, "a", ("big", "single", "middle", "none")))
+    names = rings.members(SubsetSpec(5, 30, "a", ("big", "single", "middle", "none")))
     kinds = Counter(rings.known[name].kind for name in names)
     assert kinds == {"big": 8, "single": 1, "middle": 8}
-    assert rings.total(View(5, 30, "a", ("single", "middle", "none"))) == 9
-    kinds = Counter(rings.known[n].kind for n in rings.members(View(5, 4, "a", ("big", "middle"))))
+    assert rings.total(SubsetSpec(5, 30, "a", ("single", "middle", "none"))) == 9
+    kinds = Counter(rings.known[n].kind for n in rings.members(SubsetSpec(5, 4, "a", ("big", "middle"))))
     assert kinds == {"big": MIN_GROUP_SIZE, "middle": MIN_GROUP_SIZE}
-    assert rings.members(View(5, 30, "a", ("none",))) == set()
+    assert rings.members(SubsetSpec(5, 30, "a", ("none",))) == set()
     rings.drop("alone")
-    assert rings.members(View(5, 30, "a", ("single",))) == set() and "single" not in rings.groups
+    assert rings.members(SubsetSpec(5, 30, "a", ("single",))) == set() and "single" not in rings.groups
 
 
 @pytest.mark.parametrize("kinds", [(), ("",)])
 @pytest.mark.parametrize("how", ["drop", "drain"])
 def test_a_zone_that_is_lost_is_made_up_for_by_the_others_and_comes_back(how, kinds):
     rings = rings_of(600)
-    view = View(9, 60, "b", kinds)
+    view = SubsetSpec(9, 60, "b", kinds)
     before = rings.members(view)
     lost = [name for name in rings.known if rings.known[name].zone == "b"]
     for name in lost:
@@ -288,7 +308,7 @@
 
 def test_the_others_zones_lost_the_own_gives_more():
     rings = rings_of(600)
-    view = View(9, 60, "b")
+    view = SubsetSpec(9, 60, "b")
     for name in [n for n in rings.known if rings.known[n].zone != "b"]:
         rings.drop(name)
     names = rings.members(view)
@@ -297,7 +317,7 @@
 
 def test_a_draining_host_stays_in_the_view_and_another_is_taken_besides():
     rings = rings_of(1000)
-    view = View(2, 40, "c")
+    view = SubsetSpec(2, 40, "c")
     before = rings.members(view)
     some = sorted(before)[:5]
     for name in some:
@@ -317,12 +337,12 @@
     there are other zones, less or more what chance makes of it."""
 
     def far(h):
-        return (h.spot[0] - view.place) % module.RING
+        return (h.spot[0] - view.position) % module.RING_SIZE
 
     ratio = max(1, len({h.zone for h in (*mine, *others) if h.zone and h.up}) - 1)
-    ratio *= (1 + module.CHANCE / math.sqrt(view.share)) ** bound
+    ratio *= (1 + module.CHANCE / math.sqrt(view.group_size)) ** bound
     ups = sorted([(far(h), 0) for h in mine if h.up] + [(ratio * far(h), 1) for h in others if h.up])
-    return sum(side == 0 for _, side in ups[: view.share])
+    return sum(side == 0 for _, side in ups[: view.group_size])
 
 
 def plain(rings, view):
@@ -333,13 +353,16 @@
         mine = [h for h in hosts if view.zone and h.zone == view.zone]
         others = [h for h in hosts if h not in mine]
         up = [sum(h.up for h in side) for side in (mine, others)]
-        half = (view.share + 1) // 2 if view.zone else 0
-        near = min(up[0], max(half, view.share - up[1]))
+        half = (view.group_size + 1) // 2 if view.zone else 0
+        near = min(up[0], max(half, view.group_size - up[1]))
         if view.zone:
             near = sorted((near, *(nearest(mine, others, view, bound) for bound in (-1, 1))))[1]
-        far = min(up[1], view.share - near)
-        for side, most, reach in ((mine, near, max(half, near)), (others, far, max(view.share - half, far))):
-            ring = sorted(side, key=lambda h: ((h.spot[0] - view.place) % module.RING, h.spot[1]))
+        far = min(up[1], view.group_size - near)
+        for side, most, reach in (
+            (mine, near, max(half, near)),
+            (others, far, max(view.group_size - half, far)),
+        ):
+            ring = sorted(side, key=lambda h: ((h.spot[0] - view.position) % module.RING_SIZE, h.spot[1]))
             ups = [h for h in ring if h.up][:most]
             last = ring.index(ups[-1]) if ups and most < sum(h.up for h in side) else len(ring)
             last = -1 if most == 0 and sum(h.up for h in side) else last
@@ -350,9 +373,9 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_members_are_those_that_sorting_all_would_give(seed):
-    rng, rings = random.Random(seed), Rings()
+    rng, rings = random.Random(seed), EndpointRings()
     views = [
-        View(
+        SubsetSpec(
             rng.randrange(50),
             rng.choice([1, 2, 7, 20, 90]),
             rng.choice(["", "a", "b", "x"]),
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -67,21 +67,21 @@
     return {
         "config": n.config,
         "settings": n.settings,
-        "module": n.module.settings,
-        "connects": n.hosts.connect_timeout,
-        "rests": n.hosts.max_idle_time,
+        "module": n.engine.settings,
+        "connects": n.upstream.connect_timeout,
+        "rests": n.upstream.max_idle_time,
         "discovery": n.discovery.url,
         "watch": n.discovery.watch_task,
         "timeout": n.counter.timeout,
-        "counter": [line.address for line in n.counter.lines],
-        "clients": n.clients.most,
-        "hosts": n.hosts.most,
-        "bodies": n.clients.budget.most,
-        "classes": dict(n.module.fleet.mean),
-        "plans": dict(n.module.quota.plan_usage),
+        "counter": [line.address for line in n.counter.connections],
+        "clients": n.clients.capacity,
+        "hosts": n.upstream.max_connections,
+        "bodies": n.clients.body_budget.capacity_bytes,
+        "classes": dict(n.engine.endpoint_pool.mean_latency),
+        "plans": dict(n.engine.quota.plan_usage),
         "current": n.changes.current,
         "history": n.changes.history,
-        "connections": set(n.hosts.connections) | set(n.clients.clients),
+        "connections": set(n.upstream.connections) | set(n.clients.connections),
     }
 
 
@@ -128,7 +128,7 @@
             status, told = await apply(node, text, 1)
             assert (status, told["version"], told["by"], told["changed"]) == (200, 2, "call", changed)
         assert await node.ask(command(b"late", terms(c="extra"))) == SERVED
-        assert node.node.hosts.connect_timeout == 0.1 and node.node.clients.most == (512 - 64) // 2
+        assert node.node.upstream.connect_timeout == 0.1 and node.node.clients.capacity == (512 - 64) // 2
         history = (await node.call("GET /config/history"))[1]["versions"]
         assert [(v["version"], v["by"], v["in_force"]) for v in history] == [
             (1, "start", False),
@@ -282,7 +282,7 @@
     ):
         other.servers, other.version = [entry(two, "h2")], 70
         assert (await apply(node, await candidate(node, discovery=f"127.0.0.1:{other.port}")))[0] == 200
-        assert node.node.discovery.version == 70 and list(node.node.hosts.pools) == ["h2"]
+        assert node.node.discovery.version == 70 and list(node.node.upstream.pools) == ["h2"]
         assert await other.call() == {}  # the contact; the watch goes on from what it told
         assert (await other.call())["index"] == "70"
 
@@ -359,10 +359,10 @@
         Node(host, path=tmp_path) as node,
     ):
         other.servers = [entry(host), entry(host, "h2")]
-        await until(lambda: all(line.transport for line in node.node.counter.lines))
+        await until(lambda: all(line.transport for line in node.node.counter.connections))
         assert await node.ask(command(b"before")) == SERVED
-        await until(lambda: not node.node.clients.clients)
-        await has_settled(node.node.hosts.pools["h1"])  # the next request goes out on the same connection
+        await until(lambda: not node.node.clients.connections)
+        await has_settled(node.node.upstream.pools["h1"])  # the next request goes out on the same connection
         text = await candidate(
             node,
             settings__services=[*SETTINGS["services"], EXTRA],
@@ -386,7 +386,7 @@
         assert status == 503 and told["step"] == step and "planted" in told["error"]
         assert in_force(node) == before and (tmp_path / "n0-config.json").read_bytes() == kept
         assert await node.ask(command(b"after")) == SERVED
-        await until(lambda: not node.node.clients.clients)
+        await until(lambda: not node.node.clients.connections)
         assert (await apply(node, text))[0] == 200  # and nothing stands in the way of a second try
         now = in_force(node)
         assert {name for name in now if now[name] == before[name]} == {"connections"}
@@ -409,7 +409,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for _ in range(45):
             await node.connect()
-        await until(lambda: len(node.node.clients.clients) == 45)
+        await until(lambda: len(node.node.clients.connections) == 45)
         before = in_force(node)
         status, told = await apply(node, await candidate(node, **{path: value}))
         assert status == 409 and word in told["error"] and in_force(node) == before
@@ -429,8 +429,11 @@
         peers[0][1].write(command(b"open"))
         await until(lambda: host.commands and host.commands[-1][2] == b"open")
         assert (await apply(node, await candidate(node, limits__sockets=140)))[0] == 200
-        await until(lambda: len(node.node.clients.clients) <= node.node.clients.most)
-        assert 0 < node.node.clients.most < 45 and node.node.hosts.open <= node.node.hosts.most
+        await until(lambda: len(node.node.clients.connections) <= node.node.clients.capacity)
+        assert (
+            0 < node.node.clients.capacity < 45
+            and node.node.upstream.connection_count <= node.node.upstream.max_connections
+        )
         host.writers[-1].write(VALUE)  # the one with a request in work is not among those that went
         assert (await read_reply(peers[0][0]))[:1] in (b"$", b"-")
 
@@ -445,9 +448,11 @@
             assert status == 503 and told["step"] == "counter"
         silent.close()
         assert (await apply(node, await candidate(node, counter=f"127.0.0.1:{other.port}")))[0] == 200
-        await until(lambda: all(line.transport for line in node.node.counter.lines))
+        await until(lambda: all(line.transport for line in node.node.counter.connections))
         assert await node.ask(command(b"a", terms(t="small"))) == SERVED
-        assert other.pings >= 1 and all(line.address[1] == other.port for line in node.node.counter.lines)
+        assert other.pings >= 1 and all(
+            line.address[1] == other.port for line in node.node.counter.connections
+        )
 
 
 @on_loop
--- a/tests/control/test_config_changes_model.py
+++ b/tests/control/test_config_changes_model.py
@@ -8,7 +8,7 @@
 import pytest
 from netkit import told
 
-from api_gateway.control.config_changes import Changes
+from api_gateway.control.config_changes import ConfigChanges
 from api_gateway.control.config_history import MAX_VERSIONS, ConfigHistoryFile, decode_history
 from api_gateway.control.config_preparation import changeable_content
 from api_gateway.control.errors import ChangeRejectedError
@@ -27,7 +27,7 @@
 
 
 class FakeNode:
-    """What Changes needs of a gateway."""
+    """What ConfigChanges needs of a gateway."""
 
     def __init__(self, world, env):
         self.world, self.config, self.state = world, read_config(env), "active"
@@ -36,19 +36,21 @@
     def clock(self):
         return self.world.now
 
-    def later(self, delay, act):
+    def call_later(self, delay, act):
         return Timer(self.world.now + delay, act, self.timers)
 
-    def adopt(self, config, listing):
+    def adopt_config(self, config, listing):
         self.config = config
 
-    def short_of(self, config):
+    def capacity_shortage(self, config):
         return ""
 
-    async def contact(self, address):
+    async def fetch_list_from(self, address):
         if address[1] == 1:
             raise ConnectionRefusedError("nobody there")
 
+    ping = fetch_list_from
+
 
 class Timer:
     def __init__(self, at, act, timers):
@@ -63,8 +65,8 @@
 class Process:
     def __init__(self, world, env):
         self.node = FakeNode(world, env)
-        self.changes = Changes(self.node, world.folder)
-        self.changes.begin()
+        self.changes = ConfigChanges(self.node, world.folder)
+        self.changes.start()
 
     def run_timers(self):
         while due := [t for t in self.node.timers if t.at <= self.node.clock()]:
@@ -223,11 +225,11 @@
             model.file = (rng.randint(1, 6), False)
             world.write(model.file[0])
         elif op == "signal":
-            changes.signal()
+            changes.reload()
             model.signal(p)
         elif op == "broken":
             world.path.write_text("{")
-            changes.signal()
+            changes.reload()
             world.write(model.file[0])
         elif op == "die":
             world.processes[p] = model.own[p] = None
@@ -237,7 +239,7 @@
             process.run_timers()
         model.pass_time(world.now)
         for process in filter(None, world.processes):
-            process.changes.look()
+            process.changes.poll()
         agree(seed, world, model)
     return seen
 
@@ -267,21 +269,21 @@
 
 
 def planted_no_look(monkeypatch):
-    monkeypatch.setattr(Changes, "look", lambda self: None)
+    monkeypatch.setattr(ConfigChanges, "poll", lambda self: None)
 
 
 def planted_no_expect(monkeypatch):
-    apply = Changes.apply
+    apply = ConfigChanges.apply
 
     def any_version(self, body, expect, within):
-        self.look()
+        self.poll()
         return apply(self, body, self.history.newest.number, within)
 
-    monkeypatch.setattr(Changes, "apply", any_version)
+    monkeypatch.setattr(ConfigChanges, "apply", any_version)
 
 
 def planted_history_written_after_the_commit(monkeypatch):
-    save, commit = ConfigHistoryFile.save, Changes.commit
+    save, commit = ConfigHistoryFile.save, ConfigChanges.commit
 
     def later(self, config, version, listing):
         commit(self, config, version, listing)
@@ -292,18 +294,18 @@
             save(self, history)
 
     monkeypatch.setattr(ConfigHistoryFile, "save", first)
-    monkeypatch.setattr(Changes, "commit", later)
+    monkeypatch.setattr(ConfigChanges, "commit", later)
 
 
 def planted_no_timer_after_a_start(monkeypatch):
-    begin, schedule = Changes.begin, Changes.schedule_expiry
+    begin, schedule = ConfigChanges.start, ConfigChanges.schedule_expiry
 
     def unarmed(self):
-        monkeypatch.setattr(Changes, "schedule_expiry", lambda self: None)
+        monkeypatch.setattr(ConfigChanges, "schedule_expiry", lambda self: None)
         begin(self)
-        monkeypatch.setattr(Changes, "schedule_expiry", schedule)
+        monkeypatch.setattr(ConfigChanges, "schedule_expiry", schedule)
 
-    monkeypatch.setattr(Changes, "begin", unarmed)
+    monkeypatch.setattr(ConfigChanges, "start", unarmed)
 
 
 @pytest.mark.parametrize(
--- a/tests/control/test_config_schema.py
+++ b/tests/control/test_config_schema.py
@@ -8,7 +8,7 @@
 
 from api_gateway.control import config_candidate as candidate
 from api_gateway.control import config_schema as keys
-from api_gateway.gateway.config import build
+from api_gateway.gateway.config import build_config
 
 ROOT = Path(__file__).resolve().parents[2]
 LAST = told([], 1, 2)
@@ -33,7 +33,7 @@
 
 
 def test_what_is_in_force_is_no_fault_and_makes_a_configuration():
-    assert not faults(LAST) and build(LAST, {})
+    assert not faults(LAST) and build_config(LAST, {})
     few = {name: LAST[name] for name in keys.CHANGEABLE_PATHS}  # what cannot change may be left out
     assert not faults(few)
 
@@ -209,7 +209,7 @@
 
 def test_every_key_that_a_configuration_is_read_from_has_its_row_and_the_docs_quote_the_table():
     names = set()
-    build(Seen(LAST, "", names), {})
+    build_config(Seen(LAST, "", names), {})
     assert {name for name in names if not name.startswith("known.")} <= keys.KEY_BY_PATH.keys()
     # Prices are read by name in the module, whatever names there are; nothing depends on the cores.
     assert keys.KEY_BY_PATH.keys() - names == {"settings.prices.*", "limits.cores"}
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -108,10 +108,10 @@
 async def test_an_attempt_whose_connection_is_still_coming_up_does_not_reach_a_banned_host(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         replies = [asyncio.create_task(node.ask(command(b"r%d" % n))) for n in range(8)]
-        while not node.node.hosts.pools["h1"].connecting:
+        while not node.node.upstream.pools["h1"].connecting:
             await asyncio.sleep(0)
-        node.node.hand("h1", True)
-        assert not node.node.hosts.pools.keys() & {"h1"}
+        node.node.set_override("h1", True)
+        assert not node.node.upstream.pools.keys() & {"h1"}
         assert await asyncio.gather(*replies) == [SERVED] * 8
 
 
@@ -121,13 +121,13 @@
         assert (await old.call("POST /maintenance/enter?host=h1"))[0] == 200
         async with Node(one, two, path=tmp_path) as new:
             assert (await new.call("GET /status"))[1]["hosts_out"] == ["h1"]
-            assert new.node.module.fleet.table.ejected
+            assert new.node.engine.endpoint_pool.table.ejected
             assert (await new.call("POST /maintenance/exit?host=h1"))[0] == 200
-            await until(lambda: not old.node.hosts.out)
-            assert not old.node.module.fleet.table.ejected
+            await until(lambda: not old.node.upstream.ejected)
+            assert not old.node.engine.endpoint_pool.table.ejected
             assert (await old.call("POST /maintenance/enter?host=h2"))[0] == 200
             assert (await new.call("POST /maintenance/exit?host=h2"))[0] == 200  # no look between
-            assert not new.node.hosts.out
+            assert not new.node.upstream.ejected
 
 
 @on_loop
@@ -162,7 +162,7 @@
         writer.write(command(b"first"))
         await host.arrived.get()
         await node.call("POST /standby")
-        client = next(iter(node.node.clients.clients))
+        client = next(iter(node.node.clients.connections))
         await until(lambda: client.reading_stopped)
         writer.write(command(b"second"))
         assert (await node.call("POST /active"))[0] == 200
@@ -202,10 +202,10 @@
         reader, writer = await node.connect()
         writer.write(PING)
         assert await read_reply(reader) == b"+PONG\r\n"
-        client = next(iter(node.node.clients.clients))
+        client = next(iter(node.node.clients.connections))
         client.transport.pause_reading()
         writer.write(command())
         await until(client.has_unread_bytes)
-        node.node.drain(True)
+        node.node.set_draining(True)
         client.transport.resume_reading()
         assert await reader.read() == SERVED
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -81,11 +81,13 @@
 
         node.node.dispatcher.engine = Sender()
         asked = asyncio.create_task(node.ask(command()))
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
         seen.clear()
-        node.node.listed(read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]}))
+        node.node.on_endpoint_list(
+            read_list({"version": 2, "full": False, "servers": [entry(host, "h1", "draining")]})
+        )
         await done.wait()
         assert seen == [api.EndpointList, api.AttemptEnded, "connect_failed"]
         assert (await asked).startswith(b"-ERR") and not host.commands
@@ -148,7 +150,7 @@
     """The watch calls of 40 gateways."""
     for seed in range(40):
         made = discovery.Discovery(("127.0.0.1", 1), 7, print, print, 200, seed, grace)
-        made.backoff.fails = fails
+        made.backoff.failure_count = fails
         yield made, *made.schedule.watch_call(made.version)
 
 
@@ -169,7 +171,7 @@
     for _, params, limit in drawn(grace):
         assert params["wait"] > 0 and limit <= grace / 2
     for made, params, limit in drawn(grace, fails=9):
-        longest = max(made.backoff.pause() for _ in range(50))
+        longest = max(made.backoff.next_delay() for _ in range(50))
         assert params["wait"] == 0 and limit + longest <= grace / 2 + 1e-9
         assert made.schedule.timeouts.full_list <= grace / 2
 
@@ -202,7 +204,7 @@
         await until(lambda: node.discovery.raw is None)
         while "index" in await node.discovery.call():
             pass
-        await until(lambda: list(node.node.hosts.pools) == ["h2"])
+        await until(lambda: list(node.node.upstream.pools) == ["h2"])
         assert await node.ask(command()) == SERVED and not one.commands
 
 
@@ -214,16 +216,16 @@
             pass
         node.discovery.version = 41
         node.discovery.change([entry(host, "h1", "draining")])
-        await until(lambda: not node.node.hosts.pools)
+        await until(lambda: not node.node.upstream.pools)
         behind.version, behind.servers = 40, [entry(host, "h1") | {"started_ms": started}]
         file = json.loads(node.file.read_text())
         node.file.write_text(json.dumps(file | {"discovery": f"127.0.0.1:{behind.port}"}))
         node.node.reload()
         while "index" not in await behind.call():
             pass  # its whole list has come
-        assert bool(node.node.hosts.pools) == used
+        assert bool(node.node.upstream.pools) == used
         behind.change([entry(host, "h1")])  # that one is news
-        await until(lambda: node.node.hosts.pools)
+        await until(lambda: node.node.upstream.pools)
 
 
 @on_loop
@@ -242,12 +244,12 @@
             pass
         node.discovery.change([entry(host, "h1", "draining")])
         node.discovery.watch = real
-        node.node.discovery.fetch()
-        await until(lambda: not node.node.hosts.pools)
+        node.node.discovery.fetch_full_list()
+        await until(lambda: not node.node.upstream.pools)
         held.set()
         while "index" not in await node.discovery.call():
             pass
-        assert not node.node.hosts.pools and node.node.discovery.version == 2
+        assert not node.node.upstream.pools and node.node.discovery.version == 2
 
 
 @on_loop
@@ -256,7 +258,7 @@
     listen, lists = client_server.ClientServer.listen, []
 
     async def listening(self, *args):
-        lists.append(sorted(node.node.hosts.pools))
+        lists.append(sorted(node.node.upstream.pools))
         return await listen(self, *args)
 
     monkeypatch.setattr(client_server.ClientServer, "listen", listening)
@@ -344,7 +346,7 @@
 
 
 def first_calls(gateways):
-    return sorted(Backoff(gateways, random.Random(seed)).start() for seed in range(gateways))
+    return sorted(Backoff(gateways, random.Random(seed)).first_delay() for seed in range(gateways))
 
 
 def test_the_first_calls_of_many_gateways_are_spread_over_time():
@@ -357,7 +359,7 @@
 def test_pauses_after_failures_are_drawn_apart_and_grow_with_the_fleet():
     few, many = ([Backoff(gateways, random.Random(seed)) for seed in range(40)] for gateways in (2, 40))
     for tries in range(12):
-        short, long = ([backoff.pause() for backoff in fleet] for fleet in (few, many))
+        short, long = ([backoff.next_delay() for backoff in fleet] for fleet in (few, many))
         assert len({round(pause, 6) for pause in long}) == 40 and min(short) >= 0.05
         assert max(short) <= min(1.0, 0.05 * 2 ** (tries + 1))
         assert 10 * sum(short) < sum(long) < 40 * sum(short)
@@ -413,9 +415,9 @@
         node.discovery.change([entry(one, "h1", "draining"), entry(two, "h2", "draining")])
         for _ in range(3):
             assert "index" not in await other.call()
-        assert sorted(node.node.hosts.pools) == ["h1", "h2"]
+        assert sorted(node.node.upstream.pools) == ["h1", "h2"]
         setattr(other, how, False)
-        await until(lambda: sorted(node.node.hosts.pools) == ["h2"])
+        await until(lambda: sorted(node.node.upstream.pools) == ["h2"])
         assert node.node.discovery.version == 7
 
 
@@ -452,7 +454,7 @@
         node.discovery.calls.clear()
         await node.discovery.call()  # a watch that began since
         node.discovery.change([entry(two, "h2")])
-        await until(lambda: sorted(node.node.hosts.pools) == ["h1"])
+        await until(lambda: sorted(node.node.upstream.pools) == ["h1"])
         monkey.undo()
         assert taken and not any("h2" in hosts for hosts in taken)
 
@@ -571,7 +573,7 @@
             pass
         node.discovery.raw = json.dumps({"version": 5, "full": True, "servers": [entry(two, "h2")]})
         node.discovery.change([])
-        await until(lambda: sorted(node.node.hosts.pools) == ["h2"])
+        await until(lambda: sorted(node.node.upstream.pools) == ["h2"])
         before = len(one.commands)
         for n in range(8):
             assert await node.ask(command(b"r%d" % n)) == SERVED
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -13,12 +13,12 @@
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import read_list
-from api_gateway.base.subsets import Rings, View
+from api_gateway.base.subsets import EndpointRings, SubsetSpec
 from api_gateway.discovery import compact_store
 from api_gateway.discovery.compact_store import CompactEndpointStore
-from api_gateway.discovery.subset_config import SubsetConfig, read_wanted
+from api_gateway.discovery.subset_config import SubsetConfig, read_subset_config
 from api_gateway.discovery.subset_reader import ENTRIES_PER_TURN
-from api_gateway.discovery.subsets import Viewing
+from api_gateway.discovery.subsets import EndpointSubset
 
 EMPTY = {"version": 0, "full": True, "servers": []}
 
@@ -42,11 +42,11 @@
 
 def viewed(servers, size, kinds=(), index=0, zone="a"):
     """The ids that are up in a view, by the definition of views alone."""
-    rings = Rings()
+    rings = EndpointRings()
     for entry in servers:
         rings.put(entry["id"], entry["kind"], entry["zone"], entry["state"] == "up")
     up = {entry["id"] for entry in servers if entry["state"] == "up"}
-    return sorted(rings.members(View(index, size, zone, tuple(kinds))) & up)
+    return sorted(rings.members(SubsetSpec(index, size, zone, tuple(kinds))) & up)
 
 
 def using(lists, **view):
@@ -55,19 +55,19 @@
 
 
 def pools(node):
-    return sorted(node.node.hosts.pools)
+    return sorted(node.node.upstream.pools)
 
 
 def told(node):
     """The lists that the module gets from here on."""
-    seen, handle = [], node.node.module.handle
+    seen, handle = [], node.node.engine.handle
 
     def handling(now, event):
         if isinstance(event, api.EndpointList):
             seen.append(event)
         return handle(now, event)
 
-    node.node.module.handle = handling
+    node.node.engine.handle = handling
     return seen
 
 
@@ -226,7 +226,7 @@
         await lists.watched()
         own, seen = pools(node), told(node)
         lists.raw = raw
-        node.node.discovery.fetch()
+        node.node.discovery.fetch_full_list()
         await until(lambda: lists.raw is None)
         while "index" in await lists.call():
             pass
@@ -244,7 +244,7 @@
         Node(path=tmp_path, more=by_service(lists, size=12)) as node,
     ):  # no agent: it has time to answer
         await lists.watched()
-        viewing, served, turns = node.node.discovery.viewing, [], []
+        viewing, served, turns = node.node.discovery.subset, [], []
         reader, writer = await node.connect()
         turn = viewing.yield_turn
 
@@ -255,7 +255,7 @@
         viewing.yield_turn = turning
         lists.servers = lists.servers + hosts(10_000, host.port)[60:]
         lists.version += 1
-        node.node.discovery.fetch()
+        node.node.discovery.fetch_full_list()
         await until(lambda: viewing.reading)
         n = 0
         while viewing.reading:
@@ -274,8 +274,8 @@
 async def test_a_drain_in_a_long_list_is_told_before_the_rest_is_read(tmp_path):
     async with Lists(hosts(5000)) as lists, Node(path=tmp_path, more=using(lists, size=12)) as node:
         await lists.watched()
-        own, viewing, seen = pools(node), node.node.discovery.viewing, []
-        handle = node.node.module.handle
+        own, viewing, seen = pools(node), node.node.discovery.subset, []
+        handle = node.node.engine.handle
 
         def handling(now, event):
             if isinstance(event, api.EndpointList):
@@ -283,11 +283,11 @@
                 seen.append((event.mode, viewing.reading, left))
             return handle(now, event)
 
-        node.node.module.handle = handling
+        node.node.engine.handle = handling
         first = next(entry for entry in lists.servers if entry["id"] in own)
         lists.servers = [e | {"state": "draining"} if e is first else e for e in lists.servers]
         lists.version += 1
-        node.node.discovery.fetch()
+        node.node.discovery.fetch_full_list()
         await until(lambda: len(seen) == 2)
         assert seen[0] == ("delta", 1, {first["id"]: "leaving"})
         assert seen[1][0] == "full" and pools(node) == viewed(lists.servers, 12)
@@ -314,8 +314,8 @@
         )
         node.node.reload()
         await behind.watched()
-        node.node.discovery.viewing.config = SubsetConfig(12, (), 100)
-        node.node.discovery.widen(100)
+        node.node.discovery.subset.config = SubsetConfig(12, (), 100)
+        node.node.discovery.resize_subset(100)
         await until(lambda: len(pools(node)) >= 59)
         assert (out["id"] in pools(node)) == used
 
@@ -342,9 +342,9 @@
 @pytest.mark.parametrize("tied", [False, True])
 def test_what_lies_on_the_shelf_is_found_whatever_its_name_and_hash(kinds, tied, monkeypatch):
     if tied:
-        monkeypatch.setattr(compact_store, "place_of", lambda name: 7)
-        monkeypatch.setattr("api_gateway.base.subsets.place_of", lambda name: 7)
-    shelf, rings = CompactEndpointStore(kinds), Rings()
+        monkeypatch.setattr(compact_store, "position_of_endpoint", lambda name: 7)
+        monkeypatch.setattr("api_gateway.base.subsets.position_of_endpoint", lambda name: 7)
+    shelf, rings = CompactEndpointStore(kinds), EndpointRings()
     for n, name in enumerate(ODD * 2):  # each moves to another zone
         laid(shelf, name, zone="abc"[n % 3], weight=float(n), kind="kl"[n % 2])
         rings.put(name, "kl"[n % 2], "abc"[n % 3], True)
@@ -352,7 +352,7 @@
     for n, name in enumerate(ODD, len(ODD)):
         host, address = shelf.get(name)
         assert (host.id, host.zone, host.weight, address) == (name, "abc"[n % 3], n, ("::1", 6379))
-    for view in (View(n, size, "a", kinds) for n in range(20) for size in (1, 4, 9)):
+    for view in (SubsetSpec(n, size, "a", kinds) for n in range(20) for size in (1, 4, 9)):
         assert {shelf.id_of(spot) for spot in shelf.members(view)} == rings.members(view)
     for name in ODD:
         assert shelf.drop(name) is None and shelf.get(name) is None
@@ -411,12 +411,14 @@
 )
 def test_a_key_that_cannot_be_read_is_told_so(told):
     with pytest.raises(ValueError):
-        read_wanted(told)
+        read_subset_config(told)
 
 
 def test_a_key_as_it_is_meant():
-    assert read_wanted({"size": 9}) == SubsetConfig(9, (), 72)
-    assert read_wanted({"size": 9, "kinds": ["b", "a", "b"], "most": 9}) == SubsetConfig(9, ("a", "b"), 9)
+    assert read_subset_config({"size": 9}) == SubsetConfig(9, (), 72)
+    assert read_subset_config({"size": 9, "kinds": ["b", "a", "b"], "most": 9}) == SubsetConfig(
+        9, ("a", "b"), 9
+    )
 
 
 # A list service that knows views
@@ -443,7 +445,7 @@
     ):
         own = viewed(servers, 20, kinds)
         await until(lambda: pools(node) == own and serving.service.waiting)
-        viewing, seen = node.node.discovery.viewing, told(node)
+        viewing, seen = node.node.discovery.subset, told(node)
         assert viewing.is_chosen_by_service and viewing.shelf is None
         total = sum(not kinds or entry["kind"] in kinds for entry in servers)
         assert viewing.total == total
@@ -467,7 +469,7 @@
         for asked, size in ((6, 6), (20, 20), (1000, 30), (3, 6)):
             node.node.dispatcher.handlers[api.ResizeSubset](api.ResizeSubset(asked))
             await until(lambda size=size: pools(node) == viewed(servers, size) and serving.service.waiting)
-        assert node.node.discovery.viewing.is_chosen_by_service
+        assert node.node.discovery.subset.is_chosen_by_service
 
 
 @on_loop
@@ -483,7 +485,7 @@
         node.node.discovery.restart()
         await until(lambda: seen)
         assert seen[0].mode == "full" and sorted(host.id for host in seen[0].endpoints) == pools(node)
-        assert node.node.discovery.viewing.is_chosen_by_service
+        assert node.node.discovery.subset.is_chosen_by_service
 
 
 @pytest.mark.parametrize("first", ["views", "none"])
@@ -501,7 +503,7 @@
                 node.node.reload()
                 await until(lambda known=known: pools(node) == viewed(known, 12))
                 assert node.node.endpoints.known_ids == set(pools(node))
-                assert (node.node.discovery.viewing.shelf is None) == (place is serving)
+                assert (node.node.discovery.subset.shelf is None) == (place is serving)
             changed = [known[0] | {"state": "draining"}, *known[1:]]
             if place is serving:
                 rewrite(serving, changed)
@@ -523,7 +525,7 @@
         tree = seen["config"] | {"discovery": f"127.0.0.1:{lists.port}"}
         status, _ = await node.call(f"POST /config/apply?expect={seen['version']}", json.dumps(tree).encode())
         assert status == 200 and pools(node) == viewed(theirs, 12)  # as it is answered
-        assert node.node.discovery.viewing.shelf is not None
+        assert node.node.discovery.subset.shelf is not None
 
 
 class Strict(Lists):
@@ -543,7 +545,7 @@
         assert pools(node) == viewed(lists.servers, 12)
         lists.change([entry | {"state": "draining"} for entry in lists.named(*pools(node)[:3])])
         await until(lambda: pools(node) == viewed(lists.servers, 12))
-        assert not node.node.discovery.backoff.fails
+        assert not node.node.discovery.backoff.failure_count
 
 
 @pytest.mark.parametrize("size, whole", [(12, False), (20, True)])
@@ -564,7 +566,7 @@
         serving.service.listed, serving.service.learned_at = seen, math.inf  # no list is told
         async with Node(path=tmp_path, more=by_service(serving, size=size, keep=True)) as node:
             await until(lambda: asked)
-            assert pools(node) == viewed(servers, 12) and node.node.discovery.viewing.total == 90
+            assert pools(node) == viewed(servers, 12) and node.node.discovery.subset.total == 90
             serving.service.learned_at = 0.0
             await until(lambda: pools(node) == viewed(servers, size) and serving.service.waiting)
             assert asked[0] != whole
@@ -576,7 +578,7 @@
     """Hosts that come, drain, go, move to other zones and kinds; views that grow and move; whole lists."""
     rng = random.Random(seed)
     kinds = rng.choice([(), ("k0",), ("k0", "k2")])
-    viewing, every, mirror = Viewing(SubsetConfig(9, kinds, 40), 0, "a"), {}, {}
+    viewing, every, mirror = EndpointSubset(SubsetConfig(9, kinds, 40), 0, "a"), {}, {}
 
     def listing(mode, entries):
         text = json.dumps({"version": 1, "full": mode == "full", "servers": list(entries)}).encode()
@@ -587,7 +589,7 @@
             mirror.clear()
         for host in event.endpoints:
             mirror.pop(host.id, None) if host.state == "down" else mirror.__setitem__(host.id, host.state)
-        rings = Rings()
+        rings = EndpointRings()
         for entry in every.values():
             rings.put(entry["id"], entry["kind"], entry["zone"], entry["state"] == "up")
         assert mirror.keys() == rings.members(viewing.view) and event.available_total == rings.total(
--- a/tests/discovery/test_replicas.py
+++ b/tests/discovery/test_replicas.py
@@ -27,7 +27,7 @@
 
 
 def pools(node):
-    return sorted(node.node.hosts.pools)
+    return sorted(node.node.upstream.pools)
 
 
 @on_loop
@@ -61,7 +61,7 @@
             node = Node(path=tmp_path, more=using(one.port, lags.port))
             await node.__aenter__()
             await until(lambda: len(pools(node)) == 3)
-        await until(lambda: node.node.discovery.backoff.fails >= 5)
+        await until(lambda: node.node.discovery.backoff.failure_count >= 5)
         assert len(pools(node)) == 3 and node.node.discovery.newest_version == 44
         for name in ("h2", "h3", "h4"):
             await lags.register(name, addr=address)
@@ -80,8 +80,8 @@
             await node.__aenter__()
             await until(lambda: pools(node) == ["h1"])
         async with Serving(epoch="e2", port=first.port, learn=1000.0) as again:
-            before = node.node.discovery.backoff.fails
-            await until(lambda: node.node.discovery.backoff.fails > before + 1)
+            before = node.node.discovery.backoff.failure_count
+            await until(lambda: node.node.discovery.backoff.failure_count > before + 1)
             assert pools(node) == ["h1"]
             await again.register("h1", addr=address)
             again.service.learned_at = 0.0  # the time is over
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -17,7 +17,7 @@
 
 from api_gateway import interface as api
 from api_gateway.base import subsets as base
-from api_gateway.base.subsets import Rings, View
+from api_gateway.base.subsets import EndpointRings, SubsetSpec
 from api_gateway.discovery import compact_store
 from api_gateway.discovery.compact_store import CompactEndpointStore
 from api_gateway.policy import endpoint_table as policy
@@ -70,7 +70,7 @@
     for seed in range(3):
         counts = Counter()
         for n, number in enumerate(numbers(case, random.Random(seed))):
-            view = View(number, 120, ZONES[n % 6])
+            view = SubsetSpec(number, 120, ZONES[n % 6])
             if view not in known:
                 known[view] = rings.members(view)
             counts.update(known[view])
@@ -89,7 +89,7 @@
         w = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=n), [], seed=n + 1)
         w.do(api.EndpointList("full", 1, tuple((ring + ring)[at : at + view]), total))
         w.ask()
-        used.update(s.host.id for s in w.gw.fleet.own)
+        used.update(s.endpoint.id for s in w.gw.endpoint_pool.subset_endpoints)
     return [used[h.id] for h in hosts_]
 
 
@@ -165,7 +165,7 @@
                 )
 
         async with Node(path=tmp_path, more=more) as node:
-            viewing, now = node.node.discovery.viewing, services(stub.port)
+            viewing, now = node.node.discovery.subset, services(stub.port)
             await until(
                 lambda: pools(node) == viewed(now, 12, kinds) and viewing.is_chosen_by_service == knows
             )
@@ -193,7 +193,7 @@
     r = filled(3 * SERVICES, zones="abcdef", kinds=[f"k{n}" for n in range(SERVICES)])
     rng = random.Random(1)
     all_ = [
-        View(n, 120, ZONES[n % 6], tuple(f"k{k}" for k in rng.sample(range(SERVICES), USED)))
+        SubsetSpec(n, 120, ZONES[n % 6], tuple(f"k{k}" for k in rng.sample(range(SERVICES), USED)))
         for n in range(60)
     ]
     for view in all_:
@@ -227,7 +227,7 @@
     async with Lists(servers) as lists, Node(path=tmp_path, more=using(lists, size=120, kinds=kinds)) as node:
         await lists.watched()
         assert pools(node) == viewed(servers, 120, kinds) and len(pools(node)) == 3 * USED
-        assert node.node.discovery.viewing.shelf.size() == 3 * USED
+        assert node.node.discovery.subset.shelf.size() == 3 * USED
 
 
 # Names of equal hash
@@ -241,17 +241,17 @@
         return int(name[1:]) % 2 * 2**62 + 5
 
     for module in (base, compact_store):
-        monkeypatch.setattr(module, "place_of", place)
-    r, shelf, rings = filled(40, zones="abc"), CompactEndpointStore(()), Rings()
+        monkeypatch.setattr(module, "position_of_endpoint", place)
+    r, shelf, rings = filled(40, zones="abc"), CompactEndpointStore(()), EndpointRings()
     for name, entry in sorted(r.entries.items(), reverse=True):
         shelf.store(api.Endpoint(name, entry.host.zone, 0, 1.0, "k", "up", 0.0), None)
         rings.put(name, "k", entry.host.zone, True)
     for n in range(12):
-        view = View(n, size, "abc"[n % 3])
+        view = SubsetSpec(n, size, "abc"[n % 3])
         told = {h.id for h in r.view(1.0, None, view).hosts}
         assert told == rings.members(view) == {shelf.id_of(spot) for spot in shelf.members(view)}
         assert len(told) == size
-    view, version = View(1, 7, "b"), r.version
+    view, version = SubsetSpec(1, 7, "b"), r.version
     r.view(1.0, None, view)
     gone = sorted(members(r, view))[0]
     r.remove(2.0, r.entries[gone])
@@ -266,7 +266,7 @@
         held = {
             send.endpoint_id for _ in range(60) for send in of(w.ask()[1], api.SendAttempt)
         }  # none is answered
-        own = [s.host.id for s in w.gw.fleet.own]
+        own = [s.endpoint.id for s in w.gw.endpoint_pool.subset_endpoints]
         return own, held
 
     others, _ = used()
@@ -297,7 +297,7 @@
     hosts_ = [host(f"h{n}") for n in range(400)]
     first, second = (part(hosts_, index, 100, 20) for index in (0, 1))
     second.counts = first.counts
-    views = [set(w.gw.fleet.servers) for w in (first, second)]
+    views = [set(w.gw.endpoint_pool.endpoints) for w in (first, second)]
     assert not views[0] & views[1]
     sent, now = [[], []], first.now
     for turn in range(6):  # it comes and goes, each time for two seconds of far too much
@@ -313,7 +313,7 @@
             other = (second, first)[turn % 2]
             other.now = now
             other.do(api.TimerFired(0))
-        assert not w.gw.fleet.out
+        assert not w.gw.endpoint_pool.in_flight
     assert all(len(some) > 4 and set(some) <= views[n] for n, some in enumerate(sent))
     seconds = 100 * 0.02 * 6
     assert 24 <= sum(map(len, sent)) <= 24 + 2 * seconds + 24 / 2  # a lease may lie at the other one
@@ -364,8 +364,8 @@
         await until(lambda: pools(node) == viewed(rest, 12))
         assert len(pools(node)) == 12
         rewrite(serving, [])
-        await until(lambda: not pools(node) and not node.node.discovery.viewing.used)
+        await until(lambda: not pools(node) and not node.node.discovery.subset.used)
         assert not (await node.ask(command())).startswith(b"$")
         rewrite(serving, every)
         await until(lambda: pools(node) == own)
-        assert await node.ask(command(b"r2")) == SERVED and node.node.discovery.viewing.is_chosen_by_service
+        assert await node.ask(command(b"r2")) == SERVED and node.node.discovery.subset.is_chosen_by_service
--- a/tests/downstream/test_accept_shortage.py
+++ b/tests/downstream/test_accept_shortage.py
@@ -77,7 +77,7 @@
     """Its number may be another connection's at once, which a second close would end unread."""
     async with StubHost() as host, Node(host, path=tmp_path, more=edge) as node:
         node.node.limits.apply = lambda: None
-        node.node.clients.most = 0
+        node.node.clients.capacity = 0
         owned = []
         listener = node.node.clients.listener
         accept = listener.loop.connect_accepted_socket
--- a/tests/downstream/test_admission.py
+++ b/tests/downstream/test_admission.py
@@ -8,14 +8,14 @@
 from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, until
 
 from api_gateway.downstream import admission, peer_monitoring, rate_limits
-from api_gateway.downstream.admission_settings import AdmissionSettings, read_edge
+from api_gateway.downstream.admission_settings import AdmissionSettings, parse_admission_settings
 from api_gateway.downstream.rate_limits import ConnectionLimiter
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
 def limiter_of(**kw):
-    return ConnectionLimiter(read_edge(kw), 0.0)
+    return ConnectionLimiter(parse_admission_settings(kw), 0.0)
 
 
 def test_without_limits_all_are_taken():
@@ -106,7 +106,7 @@
 )
 def test_malformed_limits_are_refused_with_path_and_reason(told, word):
     with pytest.raises(ValueError, match=word):
-        read_edge(told)
+        parse_admission_settings(told)
 
 
 def edge(**kw):
@@ -143,7 +143,9 @@
                 if n % 3 == 0:
                     writer.write(PING[:7])
                 writer.transport.abort()
-        await until(lambda: not node.node.clients.clients and not node.node.clients.listener.coming)
+        await until(
+            lambda: not node.node.clients.connections and not node.node.clients.listener.connecting_tasks
+        )
         await until(lambda: node.node.clients.listener.limiter.sources["127.0.0.1/32"].open_connections == 0)
         assert await node.ask(command()) == SERVED
 
@@ -202,7 +204,7 @@
             sock = socket.socket()
             sock.connect(("127.0.0.1", node.port))
             socks.append(sock)
-        await until(lambda: len(node.node.clients.clients) == 100)
+        await until(lambda: len(node.node.clients.connections) == 100)
         assert max(turns) == admission.ACCEPTS_PER_TURN and sum(turns) == 100
         for sock in socks:
             sock.close()
@@ -213,7 +215,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert not isinstance(node.node.clients.listener, admission.AdmissionListener)
         assert "edge" not in (await node.call("GET /status"))[1]
-        assert AdmissionSettings() == read_edge({})
+        assert AdmissionSettings() == parse_admission_settings({})
 
 
 @on_loop
@@ -227,11 +229,12 @@
         peers[0][1].write(PING[:5])
         await until(lambda: len(server.timed_connections) == 1)
         assert (
-            len(server.clients) == 30 and next(iter(server.timed_connections)).command_due_since is not None
+            len(server.connections) == 30
+            and next(iter(server.timed_connections)).command_due_since is not None
         )
         peers[0][1].write(PING[5:] + PING[:1])  # the last byte of one and the first of another, and so on
         assert await read_reply(peers[0][0]) == b"+PONG\r\n"
-        server.sweep()
+        server.run_checks()
         assert [client.command_due_since is not None for client in server.timed_connections] == [True]
 
 
@@ -251,7 +254,7 @@
             assert got.count(SERVED) + got.count(b"-") == 2
         else:
             assert await reader.read() == b""
-        await until(lambda: not node.node.clients.clients)
+        await until(lambda: not node.node.clients.connections)
 
 
 @on_loop
@@ -276,7 +279,7 @@
             reader, writer = await node.connect()
             writer.write(PING)
             await read_reply(reader)
-            (client,) = node.node.clients.clients
+            (client,) = node.node.clients.connections
             sock = client.transport.get_extra_info("socket")
             options = (
                 (socket.SOL_SOCKET, socket.SO_KEEPALIVE),
--- a/tests/downstream/test_bad_client_storms.py
+++ b/tests/downstream/test_bad_client_storms.py
@@ -104,13 +104,21 @@
         await until(lambda: len(answers) > seen)  # it is served still
         asking.cancel()
         assert {answer[:1] for answer in answers} <= {b"$", b"-"}
-        await until(lambda: len(server.clients) == 1 and set(node.node.in_flight) <= {b"l%d" % len(answers)})
-        pools = node.node.hosts
+        await until(
+            lambda: len(server.connections) == 1 and set(node.node.in_flight) <= {b"l%d" % len(answers)}
+        )
+        pools = node.node.upstream
         await until(lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(pools.connections) * 2)
-        assert len(server.timed_connections) <= 1 and not server.budget.used and not server.budget.waiting
+        assert (
+            len(server.timed_connections) <= 1
+            and not server.body_budget.reserved_bytes
+            and not server.body_budget.waiting
+        )
         if more:
             listener = server.listener
-            await until(lambda: not listener.coming)  # a task is done a turn before it takes itself off
+            await until(
+                lambda: not listener.connecting_tasks
+            )  # a task is done a turn before it takes itself off
             assert sum(source.open_connections for source in listener.limiter.sources.values()) == 1
             assert sum(source.connection_count for source in listener.scheduler.sources.values()) == 1
             await until(lambda: listener.scheduler.waiting() == 0)
@@ -126,7 +134,7 @@
         for reader, _ in peers:
             replies = [line async for line in replies_of(reader)]
             assert len(replies) == 20 and all(reply[:1] in (b"$", b"-") for reply in replies)
-        await until(lambda: not node.node.clients.clients)
+        await until(lambda: not node.node.clients.connections)
         assert (await node.call("POST /active"))[0] == 200
         assert (await node.ask(command(b"after")))[:1] in (b"$", b"-")
 
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -116,7 +116,7 @@
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        node.node.clients.finish()
+        node.node.clients.begin_shutdown()
         writer.write(command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
@@ -145,14 +145,14 @@
         for name in (b"r1", b"r2"):
             writer.write(command(name))
             assert await read_reply(reader) == SERVED
-            for client in list(node.node.clients.clients):
+            for client in list(node.node.clients.connections):
                 client.check_timeouts(time.monotonic() + 1000)
 
 
 @on_loop
 async def test_past_the_limit_the_connection_that_rests_longest_goes(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.clients.most = 2
+        node.node.clients.capacity = 2
         peers = [await node.connect() for _ in range(2)]
         for reader, writer in reversed(peers):
             writer.write(command(b"x%d" % id(reader)))
@@ -168,7 +168,7 @@
     """Requests wait for a place at a host as long as the test likes."""
     monkeypatch.setattr(shedding, "MAX_QUEUE_TIME_FRACTION", 100.0)
     monkeypatch.setattr(shedding, "MIN_QUEUE_LENGTH", 1000)
-    return lambda node: setattr(node.node.module.fleet, "full", lambda *_: True)
+    return lambda node: setattr(node.node.engine.endpoint_pool, "is_at_limit", lambda *_: True)
 
 
 def stall_before(why, node, monkeypatch):
@@ -176,16 +176,16 @@
     if why == "pipeline":
         monkeypatch.setattr(clients, "MAX_PENDING_COMMANDS", 2)
     elif why == "body":
-        node.node.clients.budget.used = node.node.clients.budget.most = 1
+        node.node.clients.body_budget.reserved_bytes = node.node.clients.body_budget.capacity_bytes = 1
 
 
 def stall_after(why, node, monkeypatch):
     if why == "drain":
         node.node.clients.drain_read_s = 0.0
         monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.0)
-        node.node.clients.drain(True)
+        node.node.clients.set_draining(True)
     elif why == "answers":
-        (client,) = node.node.clients.clients
+        (client,) = node.node.clients.connections
         client.pause_writing()
 
 
@@ -208,13 +208,13 @@
         peer.send(command(b"r1", LONG) + command(b"r2", LONG) + (UPLOAD if why == "body" else b""))
         await until(lambda: len(node.node.in_flight) == 2)
         stall_after(why, node, monkeypatch)
-        (client,) = node.node.clients.clients
+        (client,) = node.node.clients.connections
         await until(lambda: client.reading_paused)
         if behind:
             peer.send(behind)
         peer.sock.close()
         await until(lambda: not node.node.in_flight)
-        assert not node.node.module.jobs and not host.commands
+        assert not node.node.engine.requests_in_flight and not host.commands
 
 
 @pytest.mark.parametrize(
@@ -232,8 +232,8 @@
         await until(lambda: len(node.node.in_flight) >= 0.9 * whole)  # the rest share an id
         for _, writer in peers:
             writer.close()
-        await until(lambda: not node.node.in_flight and not node.node.clients.clients)
-        assert not node.node.module.jobs and not host.commands
+        await until(lambda: not node.node.in_flight and not node.node.clients.connections)
+        assert not node.node.engine.requests_in_flight and not host.commands
 
 
 class Peer:
@@ -286,11 +286,11 @@
         monkeypatch.setattr(clients.ClientConnection, "has_unread_bytes", looking)
         peer.send(command(b"r1"))
         await until(lambda: node.node.in_flight or host.commands)
-        node.node.clients.drain(True)
+        node.node.clients.set_draining(True)
         await until(lambda: crossed)
         assert await peer.read() == b"$%d\r\n%s\r\n" % (size, b"v" * size)
         peer.sock.close()
-        await until(lambda: not node.node.clients.clients)
+        await until(lambda: not node.node.clients.connections)
         assert [got[2] for got in host.commands] == [b"r1"]
 
 
@@ -300,10 +300,10 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peer = Peer(node.port)
         peer.send(command(b"r1"))
-        await until(lambda: any(c.is_idle(time.monotonic()) for c in node.node.clients.clients))
-        node.node.clients.drain(True)
+        await until(lambda: any(c.is_idle(time.monotonic()) for c in node.node.clients.connections))
+        node.node.clients.set_draining(True)
         peer.send(command(b"after"))
-        await until(lambda: not node.node.clients.clients)
+        await until(lambda: not node.node.clients.connections)
         assert [got[2] for got in host.commands] == [b"r1"]
 
 
@@ -311,10 +311,10 @@
 async def test_past_the_limit_one_that_only_lingers_goes_first(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
-        node.node.clients.most = 2
+        node.node.clients.capacity = 2
         lingers, rests = Peer(node.port), await node.connect()
-        await until(lambda: len(node.node.clients.clients) == 2)
-        next(iter(node.node.clients.clients)).close_when_done()
+        await until(lambda: len(node.node.clients.connections) == 2)
+        next(iter(node.node.clients.connections)).close_when_done()
         assert await node.ask(command()) == SERVED
         rests[1].write(command(b"r2"))
         assert await read_reply(rests[0]) == SERVED
@@ -329,16 +329,16 @@
         peers = [Peer(node.port) for _ in range(10)]
         for n, peer in enumerate(peers):
             peer.send(command(b"r%d" % n))
-        clients_of = node.node.clients.clients
+        clients_of = node.node.clients.connections
         await until(lambda: len(clients_of) == 10 and all(c.is_idle(time.monotonic()) for c in clients_of))
-        for client in list(node.node.clients.clients):
+        for client in list(node.node.clients.connections):
             client.close_when_done()
         server = node.node.clients
-        server.most = 10
-        for client in list(server.clients)[:5]:
+        server.capacity = 10
+        for client in list(server.connections)[:5]:
             server.add_connection(type(client)(server))
-        assert sum(client.transport.is_closing() for client in list(server.clients)[:10]) == 5
-        for client in list(server.clients)[10:]:
+        assert sum(client.transport.is_closing() for client in list(server.connections)[:10]) == 5
+        for client in list(server.connections)[10:]:
             server.remove_connection(client)
 
 
@@ -349,17 +349,17 @@
         peer = Peer(node.port)
         peer.send(b"nonsense\r\n")
         assert (await peer.read()).startswith(b"-ERR")
-        await until(lambda: not node.node.clients.clients)  # though the peer has not ended its side
+        await until(lambda: not node.node.clients.connections)  # though the peer has not ended its side
 
 
 @on_loop
 async def test_a_request_that_had_come_before_its_connection_is_evicted_is_served(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
-        node.node.clients.most = 1
+        node.node.clients.capacity = 1
         peer, joined = Peer(node.port), client_server.ClientServer.add_connection
-        await until(lambda: node.node.clients.clients)
-        (first,) = node.node.clients.clients
+        await until(lambda: node.node.clients.connections)
+        (first,) = node.node.clients.connections
 
         def joining(server, client):
             if client is not first:
@@ -378,9 +378,9 @@
     """They came in one turn, and the loop takes one a turn: the listener's close would reset them."""
     monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        peers, take = [], node.node.clients.take_last
+        peers, take = [], node.node.clients.accept_backlog
         bear(node.node, 100.0)
-        node.node.module.fleet.full = lambda *_: False
+        node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
 
         async def taking(within):
             peers.extend(Peer(node.port) for _ in range(20))
@@ -388,7 +388,7 @@
                 peer.send(command(b"r%d" % n))
             await take(5.0)
 
-        node.node.clients.take_last = taking
+        node.node.clients.accept_backlog = taking
         ending = asyncio.create_task(node.node.stop())
         await until(lambda: len(peers) == 20)
         assert [await peer.read() for peer in peers] == [SERVED] * 20
@@ -427,7 +427,7 @@
         peer.send(command(b"hangs"))
         assert (await host.arrived.get())[2] == b"hangs"
         ending = asyncio.create_task(node.node.stop())
-        (client,) = node.node.clients.clients
+        (client,) = node.node.clients.connections
         await until(lambda: client.reading_stopped)
         assert node.node.in_flight  # and not only because all is over
         peer.send(command(b"late"))
@@ -444,7 +444,7 @@
         reader, writer = await node.connect()
         writer.write(command(b"r1", terms(c="none")) + command(b"r2") + b"nonsense\r\n" + b"x" * 3_000_000)
         await host.arrived.get()
-        (client,) = node.node.clients.clients
+        (client,) = node.node.clients.connections
         assert client.reading_paused  # the flood is not read
         host.writers[0].write(VALUE)
         assert (await read_reply(reader)) == b"-ERR unknown class or plan\r\n"
@@ -460,8 +460,8 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
         peers, look = [await node.connect() for _ in range(3)], clients.ClientConnection.has_unread_bytes
-        await until(lambda: len(node.node.clients.clients) == 3)
-        spoilt = next(iter(node.node.clients.clients))
+        await until(lambda: len(node.node.clients.connections) == 3)
+        spoilt = next(iter(node.node.clients.connections))
 
         def broken(client, *_):
             if client is spoilt:
@@ -474,10 +474,10 @@
                 name,
                 broken if name == "has_unread_bytes" else lambda c, now: broken(c) if c is spoilt else None,
             )
-        node.node.clients.most = 3
+        node.node.clients.capacity = 3
         assert await node.ask(command()) == SERVED
         assert [await reader.read() for reader, _ in peers[1:]] == [b"-ERR no whole command in time\r\n"] * 2
-        await until(lambda: not node.node.clients.clients)
+        await until(lambda: not node.node.clients.connections)
 
 
 @on_loop
@@ -489,18 +489,20 @@
             peers = [Peer(node.port) for _ in range(40)]
             for peer in peers:
                 peer.send(PING)
-            await until(lambda: len(server.clients) == 40 and all(c.command_count for c in server.clients))
-            server.most = 40
+            await until(
+                lambda: len(server.connections) == 40 and all(c.command_count for c in server.connections)
+            )
+            server.capacity = 40
             if drain:
-                node.node.clients.drain(True)
+                node.node.clients.set_draining(True)
             else:
-                for client in list(server.clients):
+                for client in list(server.connections):
                     client.close_when_done()
-            assert sum(not c.transport.is_closing() for c in server.clients) == most
+            assert sum(not c.transport.is_closing() for c in server.connections) == most
             for peer in peers:
                 assert await peer.read() == b"+PONG\r\n"
                 peer.sock.close()
-            await until(lambda: not server.clients)
+            await until(lambda: not server.connections)
 
 
 @on_loop
@@ -513,18 +515,18 @@
         node.node.watch.timer.cancel()
         server, peers = node.node.clients, []
         bear(node.node, 100.0)
-        node.node.module.fleet.full = lambda *_: False
-        server.most = 10
+        node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
+        server.capacity = 10
         for n in range(30):
             peers.append(Peer(node.port))
             with contextlib.suppress(ConnectionError):
                 peers[-1].send(command(b"r%d" % n, LONG))
             await until(lambda n=n: len(come) == n + 1)
-            assert sum(not client.transport.is_closing() for client in server.clients) <= 11
+            assert sum(not client.transport.is_closing() for client in server.connections) <= 11
         assert len(node.node.in_flight) >= 10
         for peer in peers:
             peer.sock.close()
-        await until(lambda: not server.clients)
+        await until(lambda: not server.connections)
 
 
 @on_loop
@@ -545,10 +547,12 @@
         peers = [Peer(node.port) for _ in range(100)]
         for peer in peers:
             peer.send(PING)
-        await until(lambda: len(server.clients) == 100 and all(c.command_count for c in server.clients))
-        server.clients, server.most = Counted(server.clients), 100
+        await until(
+            lambda: len(server.connections) == 100 and all(c.command_count for c in server.connections)
+        )
+        server.connections, server.capacity = Counted(server.connections), 100
         for _ in range(20):
             assert await node.ask(PING) == b"+PONG\r\n"
-        assert server.clients.looks <= 200
+        assert server.connections.looks <= 200
         for peer in peers:
             peer.sock.close()
