--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -32,7 +32,7 @@
     """The ids that hosts got, once whatever was on its way there has come."""
     await until(lambda: not node.node.in_flight)
     for n in range(len(hosts)):
-        node.node.hosts.listed(f"h{n + 1}", ("127.0.0.1", hosts[n].port))
+        node.node.upstream.set_address(f"h{n + 1}", ("127.0.0.1", hosts[n].port))
     for host in hosts:
         host.answer = VALUE
     assert await node.ask(command(b"last")) == SERVED
@@ -55,7 +55,7 @@
 
 
 def other(attempt):
-    return {"h1": "h2", "h2": "h1"}[attempt.host]
+    return {"h1": "h2", "h2": "h1"}[attempt.endpoint_id]
 
 
 @pytest.mark.parametrize("how", ["close", "reset", "half"])
@@ -70,10 +70,10 @@
             if cause != "connect":
                 host = one if name == "h1" else two
                 host.answer = VALUE
-                node.node.hosts.probe(name, lambda attempt: None)
+                node.node.upstream.check_health(name, lambda attempt: None)
                 await host.arrived.get()
                 host.answer = None
-                await has_settled(node.node.hosts.pools[name])
+                await has_settled(node.node.upstream.pools[name])
         for host in (one, two):
             host.commands.clear()
         host = one
@@ -82,14 +82,14 @@
         await until(lambda: one.commands or two.commands)
         work = node.node.in_flight["r1"]
         (attempt,) = work.attempts.values()
-        client, pool = work.slot.client, node.node.hosts.pools[other(attempt)]
+        client, pool = work.slot.connection, node.node.upstream.pools[other(attempt)]
         work.limits = replace(work.limits, hedging=True)
         if paused:
             client.pause_writing()
             assert client.reading_paused
         if cause == "answer":
             peer.end(how)
-            attempt.conn.data_received(BUSY)
+            attempt.connection.data_received(BUSY)
         elif cause == "copy":
             peer.end(how)
             node.node.attempts.send(api.SendAttempt("r1", other(attempt)))
@@ -136,9 +136,9 @@
         Node(one, two, path=tmp_path, settings=SETTINGS | {"limits": limits}) as node,
     ):
         for name in ("h1", "h2"):  # a connection rests at each: what goes out does so at once
-            node.node.hosts.probe(name, lambda attempt: None)
-            await until(lambda name=name: node.node.hosts.pools[name].idle)
-            await has_settled(node.node.hosts.pools[name])
+            node.node.upstream.check_health(name, lambda attempt: None)
+            await until(lambda name=name: node.node.upstream.pools[name].idle)
+            await has_settled(node.node.upstream.pools[name])
         for host in (one, two):
             host.answer = None
             host.commands.clear()
@@ -169,15 +169,15 @@
 async def test_a_burst_of_closes_ends_all_that_wait_for_a_connect(more, tmp_path):
     """None is read by the loop before the connections come up."""
     async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
-        pool, peers, go = node.node.hosts.pools["h1"], [], asyncio.Event()
+        pool, peers, go = node.node.upstream.pools["h1"], [], asyncio.Event()
         bear(node.node, 1000.0)
-        node.node.module.fleet.full = lambda *_: False
-        open_, node.node.hosts.connect_timeout = pool.open, 30.0
-        stands, send = node.node.dispatcher.clock(), node.node.hosts.send
+        node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
+        open_, node.node.upstream.connect_timeout = pool.open, 30.0
+        stands, send = node.node.dispatcher.clock(), node.node.upstream.send
         # No attempt is given up while the rest of the burst comes.
         node.node.dispatcher.clock = lambda: stands
         node.node.dispatcher.handlers[api.SetTimer] = lambda action: None
-        node.node.hosts.send = lambda attempt, timeout: send(attempt, 30.0)
+        node.node.upstream.send = lambda attempt, timeout: send(attempt, 30.0)
 
         async def opened():
             conn = await open_()
@@ -194,17 +194,17 @@
         await until(lambda: sum(bool(work.attempts) for work in node.node.in_flight.values()) == 200)
         go.set()
         assert await sent_on(node, host) == []
-        assert not node.node.module.jobs
+        assert not node.node.engine.requests_in_flight
 
 
 @on_loop
 async def test_a_command_that_is_read_with_its_clients_end_right_behind_is_not_sent_on(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command(b"r0")) == SERVED
-        await has_settled(node.node.hosts.pools["h1"])
+        await has_settled(node.node.upstream.pools["h1"])
         peer = Leaver(node)
-        await until(lambda: len(node.node.clients.clients) == 1)
-        (client,) = node.node.clients.clients
+        await until(lambda: len(node.node.clients.connections) == 1)
+        (client,) = node.node.clients.connections
         client.transport.pause_reading()  # so that the loop does not come before what follows
         peer.sock.sendall(command())
         peer.end("close")
@@ -226,9 +226,9 @@
         await until(lambda: one.commands or two.commands)
         (attempt,) = node.node.in_flight["r1"].attempts.values()
         peer.end("half")
-        next_host = two if attempt.host == "h1" else one
+        next_host = two if attempt.endpoint_id == "h1" else one
         next_host.answer = VALUE
-        attempt.conn.data_received(BUSY)
+        attempt.connection.data_received(BUSY)
         assert (await next_host.arrived.get())[2] == b"r1"
         peer.sock.settimeout(0)
         assert await asyncio.get_running_loop().sock_recv(peer.sock, 100) == SERVED
@@ -241,12 +241,12 @@
             lambda: (
                 "r2" in node.node.in_flight
                 and node.node.in_flight["r2"].attempts.get(0)
-                and node.node.in_flight["r2"].attempts[0].written
+                and node.node.in_flight["r2"].attempts[0].is_written
             )
         )
         (attempt,) = node.node.in_flight["r2"].attempts.values()
         peer.end("reset")
-        attempt.conn.data_received(BUSY)
+        attempt.connection.data_received(BUSY)
         assert (await sent_on(node, one, two)).count(b"r2") <= 1
 
 
@@ -262,7 +262,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         if wait == "settle":
             assert await node.ask(command(b"r0")) == SERVED
-        pool, go = node.node.hosts.pools["h1"], asyncio.Event()
+        pool, go = node.node.upstream.pools["h1"], asyncio.Event()
         host.commands.clear()
         pool.typical_response_time, pool.settle_time = 1e6, 1000.0
         open_ = pool.open
@@ -293,7 +293,7 @@
 @on_loop
 async def test_what_has_no_time_left_when_its_connection_comes_up_does_not_go_out(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        pool, go = node.node.hosts.pools["h1"], asyncio.Event()
+        pool, go = node.node.upstream.pools["h1"], asyncio.Event()
         open_ = pool.open
 
         async def opened():
@@ -311,7 +311,7 @@
         go.set()
         assert (await asked)[:5] == b"-BUSY"
         assert not host.commands and len(pool.idle) == 1  # the connection rests for the next
-        node.node.hosts.listed("h1", ("127.0.0.1", host.port))
+        node.node.upstream.set_address("h1", ("127.0.0.1", host.port))
 
 
 @on_loop
@@ -322,7 +322,7 @@
         await until(lambda: one.commands or two.commands)
         (attempt,) = node.node.in_flight["r1"].attempts.values()
         await asyncio.sleep(0.2)
-        attempt.conn.data_received(BUSY)
+        attempt.connection.data_received(BUSY)
         await until(lambda: one.commands and two.commands)
         first, second = sorted((told_left(host.commands[0]) for host in (one, two)), reverse=True)
         assert first <= 0.87 and second <= 0.68
@@ -335,7 +335,7 @@
     """The loop is late by the work for those before it on its connection."""
     async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
         assert await node.ask(command(b"r0")) == SERVED
-        await has_settled(node.node.hosts.pools["h1"])
+        await has_settled(node.node.upstream.pools["h1"])
         host.commands.clear()
         reader, writer = await node.connect()
         take = node.node.requests.admit
--- a/tests/downstream/test_fair_queueing.py
+++ b/tests/downstream/test_fair_queueing.py
@@ -10,7 +10,7 @@
 
 from api_gateway.downstream import client_connection as clients
 from api_gateway.downstream import client_server, fair_queueing
-from api_gateway.downstream.admission_settings import read_edge
+from api_gateway.downstream.admission_settings import parse_admission_settings
 from api_gateway.downstream.fair_queueing import BATCH_COST, QUANTUM, FairQueue, SourceQueue, command_cost
 from api_gateway.downstream.rate_limits import ConnectionLimiter
 
@@ -157,7 +157,7 @@
     "address, weight", [("10.2.0.9", 4.0), ("10.3.0.1", 0.5), ("192.0.2.1", 1.0), ("fe80::1%eth0", 1.0)]
 )
 def test_a_source_has_the_weight_of_the_first_network_that_fits(address, weight):
-    edge = read_edge({"weights": {"10.2.0.0/16": 4, "10.0.0.0/8": 0.5}})
+    edge = parse_admission_settings({"weights": {"10.2.0.0/16": 4, "10.0.0.0/8": 0.5}})
     assert ConnectionLimiter(edge, 0.0).weight(address) == weight
 
 
@@ -203,12 +203,12 @@
             for _ in range(5):
                 _, writer = await node.connect()
                 writer.write(HOG * 2)
-                await until(lambda: node.node.clients.clients)
+                await until(lambda: node.node.clients.connections)
                 if how == "reset":
                     sock = writer.get_extra_info("socket")
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 writer.transport.abort()
-            await until(lambda: not node.node.in_flight and not node.node.clients.clients)
+            await until(lambda: not node.node.in_flight and not node.node.clients.connections)
             await until(lambda: not len(scheduler.queue))
             assert (
                 not scheduler.sources
@@ -231,7 +231,7 @@
         if call:
             assert (await node.call(call))[0] == 200
         else:
-            for client in node.node.clients.clients:
+            for client in node.node.clients.connections:
                 client.close_when_done()
         replies = [await read_reply(reader) for _ in range(whole)]
         # One host may not have room for all of them; each has its answer, and none is cut off.
@@ -245,7 +245,7 @@
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
         seen, take = [], node.node.requests.admit
         node.node.requests.admit = lambda slot, parts: (
-            seen.append(len(slot.client.pending_replies)),
+            seen.append(len(slot.connection.pending_replies)),
             take(slot, parts),
         )
         reader, writer = await node.connect()
@@ -264,11 +264,11 @@
     def command(self, slot, told):
         if len(self.work) >= self.room:
             self.refused += 1
-            slot.client.pressed()
-            slot.reply(b"-BUSY\r\n")
+            slot.connection.on_overload()
+            slot.complete(b"-BUSY\r\n")
             return
         self.work.append(slot)
-        self.most = max(self.most, len(slot.client.pending_replies))
+        self.most = max(self.most, len(slot.connection.pending_replies))
 
     def gone(self, slot):
         pass
@@ -277,27 +277,27 @@
         while self.served + self.refused < until:
             for slot in [self.work.popleft() for _ in range(min(4, len(self.work)))]:
                 self.served += 1
-                slot.reply(SERVED)
+                slot.complete(SERVED)
             await asyncio.sleep(0)
 
 
 @on_loop
 async def test_a_connection_that_fails_ends_alone_and_turns_go_on(scratch):
     async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
-        handle = node.node.requests.command
+        handle = node.node.requests.handle_command
 
         def command_fails(slot, told):
             if told == [b"FAIL"]:
                 raise RuntimeError("planted")
             handle(slot, told)
 
-        node.node.requests.command = command_fails
+        node.node.requests.handle_command = command_fails
         bad, other = await node.connect(), await node.connect()
         bad[1].write(b"*1\r\n$4\r\nFAIL\r\n" * 3)
         assert await bad[0].read() == b""
         other[1].write(b"*1\r\n$4\r\nPING\r\n")
         assert await read_reply(other[0]) == b"+PONG\r\n"
-        await until(lambda: len(node.node.clients.clients) == 1)
+        await until(lambda: len(node.node.clients.connections) == 1)
 
 
 @pytest.mark.parametrize("halves", [True, False])
@@ -305,10 +305,10 @@
 async def test_pipelines_fit_themselves_to_what_hosts_have_room_for(halves, monkeypatch):
     """Additive increase, multiplicative decrease: few are refused, and the room is used."""
     if not halves:  # planted: what the module says of pressure is not heard
-        monkeypatch.setattr(fair_queueing.FairClientConnection, "pressed", lambda self: None)
+        monkeypatch.setattr(fair_queueing.FairClientConnection, "on_overload", lambda self: None)
     handler = Full(room=20)
     server = client_server.ClientServer(handler, 100)
-    port = await server.listen("127.0.0.1", 0, edge=read_edge({}))
+    port = await server.listen("127.0.0.1", 0, edge=parse_admission_settings({}))
     pairs = [await asyncio.open_connection("127.0.0.1", port) for _ in range(2)]
     for _, writer in pairs:
         writer.write(HOG * 5)
@@ -316,7 +316,7 @@
     await handler.serve(2000 * len(pairs))
     assert (handler.refused < 0.05 * handler.served) == halves
     assert handler.most >= 8  # neither pipeline has all of the room, nor next to none
-    server.finish()
+    server.begin_shutdown()
     for _, writer in pairs:
         writer.write_eof()
     got = b"".join(await asyncio.gather(*readers))
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -6,7 +6,7 @@
 import pytest
 from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, until
 
-from api_gateway.base.resp import MOST_LARGE, NO_REPLY, SMALL, Reader
+from api_gateway.base.resp import INCOMPLETE, MAX_VALUE_BYTES, STREAMING_THRESHOLD_BYTES, RespReader
 from api_gateway.downstream import client_connection as clients
 from api_gateway.downstream import client_server
 from api_gateway.downstream.body_budget import BodyBudget
@@ -26,17 +26,17 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_a_large_string_comes_whole_however_it_is_cut(seed):
     luck = random.Random(seed)
-    body = bytes(luck.choice(b"ab\r\n$") for _ in range(SMALL + 1 + luck.randrange(3)))
+    body = bytes(luck.choice(b"ab\r\n$") for _ in range(STREAMING_THRESHOLD_BYTES + 1 + luck.randrange(3)))
     ping = b"*1\r\n$4\r\nPING\r\n"
     text = ping + b"*2\r\n$1\r\na\r\n$%d\r\n%s\r\n" % (len(body), body) + ping
-    reader, got, pieces, at = Reader(SMALL, (2, 1)), [], [], 0
-    while at < len(text) or reader.begun:
+    reader, got, pieces, at = RespReader(STREAMING_THRESHOLD_BYTES, (2, 1)), [], [], 0
+    while at < len(text) or reader.large_string_bytes:
         size = luck.choice([1, 2, 3, 50, 40000])
         reader.feed(text[at : at + size])
         at += size
-        if reader.begun and luck.random() < 0.6:
+        if reader.large_string_bytes and luck.random() < 0.6:
             reader.pass_on(pieces.append)
-        while (one := reader.gets()) is not NO_REPLY:
+        while (one := reader.gets()) is not INCOMPLETE:
             got.append(one)
     assert b"".join(pieces) == body + b"\r\n" and got == [[b"PING"], [b"a", b""], [b"PING"]]
 
@@ -48,7 +48,7 @@
         b"*5\r\n$70000\r\n",
         b"$70000\r\n",
         b"*2\r\n*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$70000\r\n",
-        b"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$%d\r\n" % (MOST_LARGE + 1),
+        b"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$%d\r\n" % (MAX_VALUE_BYTES + 1),
     ],
 )
 @on_loop
@@ -89,8 +89,8 @@
         await host.arrived.get()
         big = BIG * 4
         host.writers[0].write(value(big))
-        await until(lambda: any(c.is_paused for c in node.node.hosts.connections))
-        client = next(iter(node.node.clients.clients))
+        await until(lambda: any(c.is_paused for c in node.node.upstream.connections))
+        client = next(iter(node.node.clients.connections))
         assert client.transport.get_write_buffer_size() < 1 << 20
         assert await node.ask(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
         writer.transport.resume_reading()
@@ -109,7 +109,7 @@
         out.close()
         assert len(await reader.read()) < len(BIG)
         assert len(one.commands) + len(two.commands) == 1 and not node.node.in_flight
-        assert not node.node.module.jobs
+        assert not node.node.engine.requests_in_flight
 
 
 @on_loop
@@ -155,7 +155,7 @@
         assert await read_reply(reader) == SERVED
         sent = one.commands + two.commands
         assert len(sent) == 2 and all(got[4] == BIG for got in sent)
-        assert node.node.clients.budget.used == 0
+        assert node.node.clients.body_budget.reserved_bytes == 0
 
 
 @on_loop
@@ -165,7 +165,7 @@
         reader, writer = await node.connect()
         writer.write(upload()[:5000])
         assert await reader.read() == b"-ERR no whole command in time\r\n"
-        await until(lambda: node.node.clients.budget.used == 0)
+        await until(lambda: node.node.clients.body_budget.reserved_bytes == 0)
         assert not host.commands
 
 
@@ -174,16 +174,16 @@
     monkeypatch.setattr(clients, "BODY_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
-        node.node.clients.budget.most = len(BIG)
+        node.node.clients.body_budget.capacity_bytes = len(BIG)
         head = upload()[: -len(BIG) - 2]
         reader, writer = await node.connect()
         writer.write(head)
-        await until(lambda: any(c.reader.begun for c in node.node.clients.clients))
+        await until(lambda: any(c.reader.large_string_bytes for c in node.node.clients.connections))
         assert await node.ask(upload()) == SERVED
         assert await reader.read() == b"-ERR no whole command in time\r\n"
         slow, slow_writer = await node.connect()
         slow_writer.write(upload(b"w2")[: -len(BIG) - 2])
-        await until(lambda: any(c.reader.begun for c in node.node.clients.clients))
+        await until(lambda: any(c.reader.large_string_bytes for c in node.node.clients.connections))
         slow_writer.write(upload(b"w2")[-len(BIG) - 2 :])
         assert await read_reply(slow) == SERVED
 
@@ -192,18 +192,18 @@
 async def test_a_body_without_room_waits_unread_until_there_is_some(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
-        budget = node.node.clients.budget
-        budget.most = len(BIG)
+        budget = node.node.clients.body_budget
+        budget.capacity_bytes = len(BIG)
         first, first_writer = await node.connect()
         first_writer.write(upload(b"w1")[:70000])
-        await until(lambda: budget.used)
+        await until(lambda: budget.reserved_bytes)
         second, second_writer = await node.connect()
         second_writer.write(upload(b"w2"))
         await until(lambda: budget.waiting)
         assert not host.commands
         first_writer.write(upload(b"w1")[70000:])
         assert await read_reply(first) == SERVED and await read_reply(second) == SERVED
-        assert [got[2] for got in host.commands] == [b"w1", b"w2"] and budget.used == 0
+        assert [got[2] for got in host.commands] == [b"w1", b"w2"] and budget.reserved_bytes == 0
 
 
 @on_loop
@@ -211,9 +211,9 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         bad = command(b"w1", terms(c="nothing"), b"API.WRITE", body=BIG)
         assert (await node.ask(bad)).startswith(b"-ERR")
-        assert node.node.clients.budget.used == 0 and not host.commands
+        assert node.node.clients.body_budget.reserved_bytes == 0 and not host.commands
         assert await node.ask(upload()) == SERVED
-        assert node.node.clients.budget.used == 0
+        assert node.node.clients.body_budget.reserved_bytes == 0
 
 
 def test_the_first_that_waits_gets_in_first_and_one_always_does():
@@ -228,13 +228,13 @@
             self.got = length
 
     budget, (one, two, three, four) = BodyBudget(), [Stub() for _ in range(4)]
-    budget.most = 10
+    budget.capacity_bytes = 10
     for stub, length in ((one, 20), (two, 6), (three, 5), (four, 3)):
         budget.reserve(length, stub)
     assert [s.got for s in (one, two, three, four)] == [20, 0, 0, 0]
     three.got = -1  # it left
-    budget.give(20)
-    assert [s.got for s in (two, three, four)] == [6, -1, 3] and budget.used == 9
+    budget.release(20)
+    assert [s.got for s in (two, three, four)] == [6, -1, 3] and budget.reserved_bytes == 9
 
 
 @on_loop
@@ -245,10 +245,10 @@
         reader, writer = await node.connect()
         writer.write(command(b"r1") + upload()[:90000])
         assert await read_reply(reader) == SERVED
-        await until(lambda: node.node.clients.budget.used)
+        await until(lambda: node.node.clients.body_budget.reserved_bytes)
         await node.call("POST /standby")
         assert await reader.read() == b""
-        await until(lambda: not node.node.clients.budget.used)
+        await until(lambda: not node.node.clients.body_budget.reserved_bytes)
         assert len(host.commands) == 1
 
 
@@ -260,8 +260,8 @@
         writer.transport.pause_reading()
         for n in range(6):  # more than the sockets between them hold
             writer.write(command(b"r%d" % n))
-        await until(lambda: node.node.clients.clients)
-        await until(lambda: not node.node.clients.clients)
+        await until(lambda: node.node.clients.connections)
+        await until(lambda: not node.node.clients.connections)
         await until(lambda: not node.node.in_flight)
 
 
@@ -269,10 +269,10 @@
 async def test_past_the_limit_a_connection_whose_body_is_coming_does_not_go(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
-        node.node.clients.most = 2
+        node.node.clients.capacity = 2
         reader, writer = await node.connect()
         writer.write(upload()[:90000])
-        await until(lambda: node.node.clients.budget.used)
+        await until(lambda: node.node.clients.body_budget.reserved_bytes)
         rests, _ = await node.connect()
         third, third_writer = await node.connect()
         assert await rests.read() == b""
--- a/tests/emulators/test_emulators.py
+++ b/tests/emulators/test_emulators.py
@@ -10,7 +10,7 @@
 from api_gateway.emulators.discovery import Discovery
 from api_gateway.emulators.host import BUSY, FAILED, WorkingHost, stay_registered
 from api_gateway.emulators.service import Calls, Faults
-from api_gateway.registry.config import Config
+from api_gateway.registry.config import RegistryConfig
 from api_gateway.registry.core import Registry
 from api_gateway.registry.service import Service
 
@@ -125,7 +125,7 @@
 @on_loop
 async def test_a_host_registers_itself_outlasts_the_service_and_drains_at_its_end():
     registry = Registry("e", 1)
-    service = Service(Config(("127.0.0.1", 0), None, 100, 0.0), registry)
+    service = Service(RegistryConfig(("127.0.0.1", 0), None, 100, 0.0), registry)
     port = await service.start()
     task = asyncio.create_task(stay_registered(f"127.0.0.1:{port}", "h1", "b", lambda: 7000))
     await until(lambda: "h1" in registry.entries)
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -16,7 +16,7 @@
 from api_gateway.experiments.scale import latency, page, stamped, timed
 from api_gateway.experiments.scale.latency import PLAN, Asked, Load, by_part, disturbed, joined
 from api_gateway.gateway import in_flight
-from api_gateway.policy import Gateway
+from api_gateway.policy import DecisionEngine
 from api_gateway.supervisor.sample_deployment import CLASSES
 from api_gateway.upstream import connection
 from api_gateway.upstream.pool import Pool
@@ -65,7 +65,7 @@
 # Where a fault is planted, and the part that it must show up in
 PLANTED = [
     ("read", in_flight.InFlightRequests, "parse", lambda *args: True),
-    ("module", Gateway, "handle", asked_for),
+    ("module", DecisionEngine, "handle", asked_for),
     ("send", in_flight.InFlightRequest, "payload", lambda *args: True),
     ("connect", Pool, "open", lambda *args: True),
     ("answer", connection, "read_reply", lambda *args: True),
@@ -110,7 +110,7 @@
             async with StubHost() as host, Node(host, path=tmp_path, more=edge) as gw:
                 assert await gw.ask(command()) == SERVED
                 shown_in(stamps.told_of("r1"), "connect")
-                await has_settled(gw.node.hosts.pools["h1"])
+                await has_settled(gw.node.upstream.pools["h1"])
                 assert await gw.ask(command(b"r2")) == SERVED  # which needs no connect
                 quick(stamps.told_of("r2"))
                 for name in stamps.done:
@@ -140,7 +140,7 @@
             clock.fault()
             gw.counter.silent = False
             with monkeypatch.context() as patched:
-                patched.setattr(gw.node.module.fleet, "full", lambda *args: True)
+                patched.setattr(gw.node.engine.endpoint_pool, "is_at_limit", lambda *args: True)
                 gw.counter.answer_all()
                 await until(lambda: any(trace.part == "queue" for trace in stamps.open.values()))
             gw.node.dispatcher.dispatch(api.TimerFired(0))
@@ -158,9 +158,9 @@
 async def test_a_host_that_is_not_free(clock, monkeypatch, tmp_path):
     with stamped.watching() as stamps:
         async with StubHost() as host, Node(host, path=tmp_path) as gw:
-            module = gw.node.module
+            module = gw.node.engine
             with monkeypatch.context() as patched:
-                patched.setattr(module.fleet, "full", lambda *args: True)
+                patched.setattr(module.endpoint_pool, "is_at_limit", lambda *args: True)
                 asked = asyncio.create_task(gw.ask(command()))
                 await until(lambda: "r1" in stamps.open and stamps.open["r1"].part == "queue")
                 clock.fault()
@@ -175,7 +175,7 @@
     with stamped.watching() as stamps:
         async with StubHost() as host, Node(host, path=tmp_path) as gw:
             assert await gw.ask(command()) == SERVED
-            pool = gw.node.hosts.pools["h1"]
+            pool = gw.node.upstream.pools["h1"]
             # Its answers take long, so the next one waits for it.
             pool.typical_response_time, pool.settle_time = 1e5, 3600.0
             asked = asyncio.create_task(gw.ask(command(b"r2")))
@@ -198,7 +198,7 @@
 
     with stamped.watching() as stamps:
         async with StubHost(answer) as one, StubHost(answer) as other, Node(one, other, path=tmp_path) as gw:
-            gw.node.module.retry_budget.balance = 2.0
+            gw.node.engine.retry_budget.balance = 2.0
             assert await gw.ask(command()) == SERVED
             trace = stamps.told_of("r1")
             summed(trace)
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -681,13 +681,22 @@
 # Constants that bound a number of things, and are no bounds on a fleet: on one connection, line, value or
 # caller, times, weights, or what a configuration sets.
 NO_BOUND_ON_A_FLEET = {
+    "control.config_candidate.MAX_SHOWN_LENGTH",
+    "control.server.MAX_VERSION_DIGITS",
+    "policy.cluster_clock.EMPTY_TOTAL_MAX",
+    "policy.counter_calls.MAX_COUNTER_LIFETIME_S",
+    "policy.load_shedding.MAX_QUEUE_TIME_FRACTION",
+    "policy.outlier_detection.EVIDENCE_MAX_AGE_S",
+    "policy.outlier_detection.MAX_POOL_CHANCE",
+    "policy.quota_leases.MAX_SAMPLE_WEIGHT",
+    "policy.slow_start.LIST_DELAY_MAX_PART",
     "counter_client.MAX_ANSWER_BYTES",
     "downstream.client_connection.MAX_PENDING_COMMANDS",
     "downstream.client_server.MAX_OVERFLOW_CONNECTIONS",
     "downstream.listener.MAX_CLOSED_PER_TURN",
     "base.resp.MAX_ARRAY_PARTS",
     "base.resp.MAX_LINE_BYTES",
-    "base.resp.MOST_LARGE",
+    "base.resp.MAX_VALUE_BYTES",
     "base.resp.MAX_COUNT_DIGITS",
     "gateway.in_flight.MAX_SMALL_BODY_BYTES",
     "downstream.client_connection.MAX_COMMAND_BYTES",
@@ -706,7 +715,7 @@
     "base.entry_stream.MAX_VALUE_CHARS",
     "base.subsets.MAX_NAME_CHARS",
     "base.subsets.MAX_NUMBER_DIGITS",
-    "control.config_changes.MOST_VERSIONS",
+    "control.config_history.MAX_VERSIONS",
     "counter_client.MAX_BACKOFF_S",
     "discovery.polling.MAX_GRACE_S",
     "discovery.polling.MAX_BACKOFF_S",
@@ -717,7 +726,7 @@
     "policy.retries.RETRY_MOST",
     "policy.quota_leases.UNHEARD_MOST",
     "policy.quota_leases.SAMPLE_MOST",
-    "policy.endpoint_table.LOOK_MOST",
+    "policy.endpoint_table.MAX_SAMPLE",
     "membership.local_health.MAX_SUSPICION_FACTOR",
     "membership.local_health.MAX_HEALTH_SCORE",
     "membership.messages.MAX_NAME_CHARACTERS",
@@ -954,7 +963,7 @@
 def test_a_constant_that_is_gone_is_an_error():
     assert cells.constant("registry.core", "MOST_GONE") == 1000
     assert cells.constant("control.config_schema", "MOST_BODY") == 512 * 1024
-    assert cells.constant("policy.endpoints", "LIMIT_MOST") == 4.0
+    assert cells.constant("policy.endpoints", "MAX_IN_FLIGHT_PER_ENDPOINT") == 4.0
     with pytest.raises(KeyError):
         cells.constant("registry.core", "MOST_OF_NOTHING")
 
--- a/tests/experiments/test_scale_run.py
+++ b/tests/experiments/test_scale_run.py
@@ -142,7 +142,7 @@
         "asked": len(driver.spent["request"]),
         "sends": driver.sent,
         "counts": driver.counts,
-        "known": len(driver.gateway.fleet.servers),
+        "known": len(driver.gateway.endpoint_pool.endpoints),
     }
 
 
@@ -250,8 +250,8 @@
 def test_a_connection_that_has_not_settled_or_rested_too_long_is_not_taken():
     driver = connects.Connecting(Case(hosts=1, gateways=1))
     for rested, taken in (
-        (connects.SETTLED / 2, False),
-        (connects.SETTLED * 2, True),
+        (connects.SETTLE_TIME_S / 2, False),
+        (connects.SETTLE_TIME_S * 2, True),
         (connects.IDLE_TIME - 1, True),
         (connects.IDLE_TIME + 1, False),
     ):
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -32,9 +32,9 @@
 )
 
 from api_gateway import interface as api
-from api_gateway.base.accepting import IMMEDIATE_RETRIES, LASTING
+from api_gateway.base.accepting import IMMEDIATE_RETRIES, LASTING_SHORTAGE_S
 from api_gateway.control import server as control_net
-from api_gateway.control.host_overrides import Bans
+from api_gateway.control.host_overrides import HostOverrides
 from api_gateway.downstream.listener import ReservedDescriptor
 from api_gateway.upstream import pool as hosts
 
@@ -238,7 +238,7 @@
             await discovery.__aexit__(None, None, None)
             others += [idle_socket(gateway.port, b"") for _ in range(20)]
             others += [idle_socket(gateway.control_port, b"") for _ in range(20)]
-            Bans(tmp_path, "n0").say(api.EndpointOverride("h9", True, 5.0))
+            HostOverrides(tmp_path, "n0").store(api.EndpointOverride("h9", True, 5.0))
             began, cpu = monotonic(), gateway.cpu()
             while monotonic() - began < 1.0:  # what is measured: the CPU of a second
                 for peer in rests:
@@ -353,9 +353,11 @@
             )
             with contextlib.suppress(ConnectionResetError):
                 assert await reader.read() == b""
-            assert monotonic() - listener.short_since >= LASTING
+            assert monotonic() - listener.short_since >= LASTING_SHORTAGE_S
         else:
-            await until(lambda: listener.short_since and monotonic() - listener.short_since > 2 * LASTING)
+            await until(
+                lambda: listener.short_since and monotonic() - listener.short_since > 2 * LASTING_SHORTAGE_S
+            )
             listener.sockets[0].left = 0
             assert await read_reply(reader) == SERVED
         listener.sockets[0].left = 0
@@ -411,7 +413,9 @@
 async def test_who_takes_none_of_an_answer_at_the_control_address_does_not_stay(tmp_path, monkeypatch):
     """What is left of its answer holds no descriptor past its time."""
     monkeypatch.setattr(control_net, "CALL_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(control_net.Control, "get_history", lambda *_: (200, {"versions": "x" * 20_000_000}))
+    monkeypatch.setattr(
+        control_net.ControlServer, "get_history", lambda *_: (200, {"versions": "x" * 20_000_000})
+    )
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         asks = socket.create_connection(("127.0.0.1", node.control_port))
         asks.sendall(b"GET /config/history HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -442,7 +446,7 @@
                 assert (await node.ask(command(b"r%d" % n))).startswith(BUSY)
                 assert loop.time() - began < 1.0
         assert {event.result for event in outcomes if isinstance(event, api.AttemptEnded)} == {"moot"}
-        assert "h1" not in node.node.module.fleet.health.estimates
+        assert "h1" not in node.node.engine.endpoint_pool.health.estimates
         assert await node.ask(command(b"r9")) == SERVED
 
 
@@ -450,11 +454,11 @@
 async def test_without_descriptors_one_at_rest_makes_room_for_a_host_that_has_none(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command()) == SERVED
-        await has_settled(node.node.hosts.pools["h1"])
-        rests = node.node.hosts.pools["h1"].idle[0]
+        await has_settled(node.node.upstream.pools["h1"])
+        rests = node.node.upstream.pools["h1"].idle[0]
         node.discovery.change([entry(host, "h1", "removed"), entry(host, "h2")])
-        node.node.hosts.pools["h1"].stop = lambda: None  # its connections rest on
-        await until(lambda: "h2" in node.node.hosts.pools and "h1" not in node.node.hosts.pools)
+        node.node.upstream.pools["h1"].stop = lambda: None  # its connections rest on
+        await until(lambda: "h2" in node.node.upstream.pools and "h1" not in node.node.upstream.pools)
         calls = []
 
         def short(*args):
@@ -529,11 +533,10 @@
 from pathlib import Path
 from api_gateway import interface as api
 from api_gateway.control import server as control_net
-from api_gateway.base.accepting import LASTING, IMMEDIATE_RETRIES
 from api_gateway.upstream import pool as hosts
-from api_gateway.control.host_overrides import Bans
+from api_gateway.control.host_overrides import HostOverrides
 from api_gateway.downstream.listener import ReservedDescriptor
-from api_gateway.gateway.instances import Lives
+from api_gateway.gateway.instances import GatewayInstances
 resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))
 def full():
     taken = contextlib.ExitStack()
@@ -557,13 +560,13 @@
     """One that counted itself alone would take the other's part of the descriptors."""
     without_descriptors(
         """
-one, two = Lives(folder, "n0"), Lives(folder, "n0")
-one.begin(), two.begin()
-assert two.others() == 1
+one, two = GatewayInstances(folder, "n0"), GatewayInstances(folder, "n0")
+one.register(), two.register()
+assert two.count_others() == 1
 with full():
-    assert two.others() == 1
-one.end()
-assert two.others() == 0
+    assert two.count_others() == 1
+one.unregister()
+assert two.count_others() == 0
 """,
         tmp_path,
     )
@@ -572,16 +575,16 @@
 def test_a_ban_that_cannot_be_read_is_read_later_and_never_written_over(tmp_path):
     without_descriptors(
         """
-one, two = Bans(folder, "n0"), Bans(folder, "n0")
-one.say(api.EndpointOverride("h1", True, 5.0))
+one, two = HostOverrides(folder, "n0"), HostOverrides(folder, "n0")
+one.store(api.EndpointOverride("h1", True, 5.0))
 with full():
-    assert two.changed() and not two.read() and two.changed()
+    assert two.has_changed() and not two.read() and two.has_changed()
     with contextlib.suppress(OSError):
-        two.say(api.EndpointOverride("h2", True, 6.0))
+        two.store(api.EndpointOverride("h2", True, 6.0))
         raise AssertionError
     assert not two.overrides
-assert two.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not two.changed()
-two.say(api.EndpointOverride("h2", True, 6.0))
+assert two.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not two.has_changed()
+two.store(api.EndpointOverride("h2", True, 6.0))
 assert one.read().keys() == {"h1", "h2"}
 """,
         tmp_path,
@@ -592,8 +595,8 @@
     """The files that the processes of a gateway share; the history is one."""
     without_descriptors(
         """
-from api_gateway.base.shared_file import Kept
-one, two = Kept(folder / "x.json"), Kept(folder / "x.json")
+from api_gateway.base.shared_file import SharedFile
+one, two = SharedFile(folder / "x.json"), SharedFile(folder / "x.json")
 with one.locked():
     one.write("first")
 with full():
@@ -615,15 +618,16 @@
     without_descriptors(
         """
 import asyncio
-from api_gateway.base.endpoint_list import Listing
+from api_gateway.base.endpoint_list import EndpointListing
 from api_gateway.discovery.replicas import Replicas
 async def play():
     made = Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None)
     def told(version):
         endpoint = api.Endpoint("h1", "a", 0, 1.0, "k", "up", 0.0)
-        made.record_list(Listing(api.EndpointList("full", version, (endpoint,)), {}))
+        made.record_list(EndpointListing(api.EndpointList("full", version, (endpoint,)), {}))
         made.write_cache()
-        return Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None).recall().hosts.version
+        other = Replicas(("127.0.0.1", 1), (), folder, "n0", None, print, lambda: None)
+        return other.load_cached_list().hosts.version
     assert told(1) == 1
     with full():
         try:
--- a/tests/gateway/test_node.py
+++ b/tests/gateway/test_node.py
@@ -48,7 +48,7 @@
 @on_loop
 async def test_an_exception_in_the_module_fails_that_request_only(tmp_path, caplog):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        module, real = node.node.module, node.node.module.handle
+        module, real = node.node.engine, node.node.engine.handle
 
         class Broken:
             def handle(self, now, event):
@@ -60,7 +60,7 @@
         with caplog.at_level(logging.CRITICAL):
             assert await node.ask(command(b"bad")) == b"-ERR failed\r\n"
             assert await node.ask(command(b"good")) == SERVED
-        assert module.jobs == {} and not node.node.in_flight
+        assert module.requests_in_flight == {} and not node.node.in_flight
 
 
 @on_loop
@@ -151,7 +151,7 @@
 async def test_idle_connections_close_when_the_module_says_so(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command()) == SERVED
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         assert len(pool.idle) == 1
 
         class Closer:
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -90,7 +90,7 @@
     async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
         for _ in range(2):  # connections to the host that rest
             await asyncio.gather(*(node.ask(command(b"r%d" % number)) for number in range(4)))
-        await has_settled(node.node.hosts.pools["h1"])
+        await has_settled(node.node.upstream.pools["h1"])
         host.answer = None
         while not host.arrived.empty():
             host.arrived.get_nowait()
@@ -100,7 +100,7 @@
         await host.arrived.get()
         text = command(b"late")
         late.sendall(text[:30])
-        await until(lambda: any(client.partial_command_bytes for client in node.node.clients.clients))
+        await until(lambda: any(client.partial_command_bytes for client in node.node.clients.connections))
         abandon = node.node.requests.abandon
 
         def abandoned(work):
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -20,13 +20,13 @@
 from api_gateway import interface as api
 from api_gateway.base import resp
 from api_gateway.base.endpoint_list import read_list
-from api_gateway.base.resp import NO_REPLY, Reader
+from api_gateway.base.resp import INCOMPLETE, RespReader
 from api_gateway.control import config_candidate as candidate
 from api_gateway.control import config_history
 from api_gateway.control.host_overrides import decode_overrides
 from api_gateway.counter_client import MAX_ANSWER_BYTES, Call
 from api_gateway.counter_client import CounterConnection as CounterLine
-from api_gateway.discovery.fetcher import BrokenConnectionError, Fetcher, Line
+from api_gateway.discovery.fetcher import BrokenConnectionError, FetchConnection, Fetcher
 from api_gateway.gateway.request_parser import ANSWER_RESERVE_S, BadRequestError, parse_request
 from api_gateway.membership.messages import decode_datagram as read_datagram
 from api_gateway.settings_parser import read_settings
@@ -189,10 +189,10 @@
 
 def read_pieces(pieces, large):
     """The same of the program's reader, and the pieces of large strings."""
-    reader, values, passed = Reader(MOST, large), [], []
+    reader, values, passed = RespReader(MOST, large), [], []
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(resp, "SMALL", SMALL)
-        patch.setattr(resp, "MOST_LARGE", LARGE)
+        patch.setattr(resp, "STREAMING_THRESHOLD_BYTES", SMALL)
+        patch.setattr(resp, "MAX_VALUE_BYTES", LARGE)
         return values, passed, feed(reader, pieces, values, passed)
 
 
@@ -202,7 +202,7 @@
         for piece in pieces:
             reader.feed(piece)
             while True:
-                while (value := reader.gets()) is not NO_REPLY:
+                while (value := reader.gets()) is not INCOMPLETE:
                     values.append(value)
                 if not reader.begun:
                     break
@@ -591,7 +591,7 @@
 
 def fetch(pieces):
     said = Said(pieces)
-    line = Line(("127.0.0.1", 1), said, said)
+    line = FetchConnection(("127.0.0.1", 1), said, said)
     try:
         return asyncio.run(line.get("/"))
     except BrokenConnectionError:
--- a/tests/golden/test_golden_gateway.py
+++ b/tests/golden/test_golden_gateway.py
@@ -24,6 +24,8 @@
 
 import pytest
 
+from api_gateway.supervisor.ports import free_port
+
 # Names of the program. Everything that a rename may touch stands here.
 MODULE = "api_gateway.gateway"
 ROOT = Path(__file__).resolve().parents[2]
@@ -69,11 +71,6 @@
     return masked(head + b"\r\n\r\n" + body)
 
 
-def free_port():
-    with socket.create_server(("127.0.0.1", 0)) as sock:
-        return sock.getsockname()[1]
-
-
 def until(check):
     end = time.monotonic() + PATIENCE
     while not (found := check()):
--- a/tests/golden/test_golden_registry.py
+++ b/tests/golden/test_golden_registry.py
@@ -8,13 +8,13 @@
 import pytest
 from service_process import DATA, REGISTRY, json_headers, running
 
-from api_gateway.base.subsets import View
+from api_gateway.base.subsets import SubsetSpec
 
 # Names of the code under test that are used: only here
 
 
 def view_query(index, size, zone="", kinds=()):
-    return View(index, size, zone, kinds).query()
+    return SubsetSpec(index, size, zone, kinds).query()
 
 
 CONFIG = '{"listen": "127.0.0.1:0", "hosts": "@HOSTS", "watchers": 2, "learn_ms": 0, "views": 1}'
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """A scripted world for one or several gateways: it answers nothing by itself."""
 
 from api_gateway import interface as api
-from api_gateway.policy import Gateway
+from api_gateway.policy import DecisionEngine
 
 READ = api.ServiceClass("read", 1.0, 3.0, "safe", "all", 5.0, 1.0, 0.0, False, 0.0)
 WRITE = api.ServiceClass("write", 1.0, 3.0, "keyed", "zone", 1.0, 3.0, 0.0, False, 0.0)
@@ -72,7 +72,7 @@
 class World:
     def __init__(self, conf=None, hosts=None, seed=1, start=1000.0):
         self.now, self.conf = start, conf or settings()
-        self.gw = Gateway(self.conf, seed, start)
+        self.gw = DecisionEngine(self.conf, seed, start)
         self.log, self.ids = [], 0
         self.counts = {}
         self.mode = "answer"  # or "silent", "refuse", "hold"
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -15,7 +15,7 @@
 
 def lost():
     """One answer in fifty is never written."""
-    reply, count = pending_reply.Slot.reply, 0
+    reply, count = pending_reply.PendingReply.complete, 0
 
     def forgetful(self, answer):
         nonlocal count
@@ -23,38 +23,38 @@
         if count % 50 or answer.startswith(b"+"):
             reply(self, answer)
 
-    pending_reply.Slot.reply = forgetful
+    pending_reply.PendingReply.complete = forgetful
 
 
 def duplicate():
     """What may have run is sent again, whatever its class."""
-    attempts.Attempts.can_send_to = lambda self, state, s, now: s.host.id not in state.tried_endpoints
+    attempts.Attempts.can_send_to = lambda self, state, s, now: s.endpoint.id not in state.tried_endpoints
     attempts.Attempts.send_time_left = lambda self, now, state: 1e9
 
 
 def drain():
     """Hosts that are told to leave are used on."""
-    listed = gateway.GatewayNode.listed
+    listed = gateway.GatewayNode.on_endpoint_list
 
     def deaf(self, listing):
         up = tuple(replace(host, state="up") for host in listing.hosts.endpoints)
         listed(self, replace(listing, hosts=replace(listing.hosts, endpoints=up)))
 
-    gateway.GatewayNode.listed = deaf
+    gateway.GatewayNode.on_endpoint_list = deaf
 
 
 def failback():
     """Every host counts as warm, and one that has just started as the best."""
     selector = endpoint_selection.EndpointSelector
     score = selector.score
-    endpoint_table.Server.warmth = lambda self, now, rules: 1.0
+    endpoint_table.EndpointState.warmth = lambda self, now, rules: 1.0
     selector.score = lambda self, s, keys, now: 0.0 if s.started_at > 0 else score(self, s, keys, now)
-    fleet.LIMIT_MOST = 100.0
+    fleet.MAX_IN_FLIGHT_PER_ENDPOINT = 100.0
 
 
 def gone():
     """Nobody hears that a client has gone."""
-    in_flight.InFlightRequests.gone = lambda self, slot: None
+    in_flight.InFlightRequests.on_client_disconnected = lambda self, slot: None
 
 
 def deadline():
--- a/tests/measure/loop.py
+++ b/tests/measure/loop.py
@@ -26,7 +26,7 @@
 from views import KINDS, SIZE, ZONES  # noqa: E402
 
 from api_gateway.base.serving import run  # noqa: E402
-from api_gateway.base.subsets import View  # noqa: E402
+from api_gateway.base.subsets import SubsetSpec  # noqa: E402
 from api_gateway.registry.config import read_config  # noqa: E402
 from api_gateway.registry.core import Registry  # noqa: E402
 from api_gateway.registry.service import Service  # noqa: E402
@@ -76,7 +76,7 @@
 class Gateway:
     def __init__(self, port, number):
         self.port, self.number = port, number
-        self.query = View(number, SIZE, ZONES[number % len(ZONES)]).query()
+        self.query = SubsetSpec(number, SIZE, ZONES[number % len(ZONES)]).query()
         self.version = self.told = 0
 
     async def ask(self, query=""):
--- a/tests/measure/module.py
+++ b/tests/measure/module.py
@@ -23,7 +23,7 @@
 from helpers import CELL, READ, WRITE, plan, settings  # noqa: E402
 
 from api_gateway import interface as api  # noqa: E402
-from api_gateway.policy import Gateway  # noqa: E402
+from api_gateway.policy import DecisionEngine  # noqa: E402
 from api_gateway.policy.customer_accounts import stable_hash  # noqa: E402
 
 GATEWAYS, RATE, CUSTOMERS, VIEW = 4200, 119.0, 1000, 480
@@ -35,7 +35,7 @@
 class Driver:
     """Hands events to one module in order of their time and takes the CPU of each kind of them."""
 
-    def __init__(self, gateway: Gateway, rng: random.Random) -> None:
+    def __init__(self, gateway: DecisionEngine, rng: random.Random) -> None:
         self.gateway, self.rng, self.now = gateway, rng, 1000.0
         self.events: list[tuple[float, int, str, object]] = []
         self.number = itertools.count()
@@ -105,7 +105,7 @@
     if view is not None:
         listed, more = in_view(listed, index, view), {"available_total": hosts}
     tracemalloc.start()
-    gateway = Gateway(conf, seed, 1000.0)
+    gateway = DecisionEngine(conf, seed, 1000.0)
     driver = Driver(gateway, rng)
     driver.handle("list", api.EndpointList("full", 1, tuple(listed), **more))
     held = tracemalloc.get_traced_memory()[0]
@@ -154,8 +154,8 @@
         "change_ms": mean(changed["change"]),
         "after_change_ms": mean(changed["request after a change"]),
         "memory_mb": held / 1e6,
-        "known": len(gateway.fleet.servers),
-        "own": len(gateway.fleet.own),
+        "known": len(gateway.endpoint_pool.endpoints),
+        "own": len(gateway.endpoint_pool.subset_endpoints),
     }
 
 
--- a/tests/measure/registry.py
+++ b/tests/measure/registry.py
@@ -155,7 +155,7 @@
         place = ("127.0.0.1", first.port)
         clients = [Discovery(place, None, listen(n), lambda: None, 200, n) for n in range(200)]
         for client in clients:
-            client.watch(True)
+            client.set_watching(True)
         while len(told) < 200:
             await asyncio.sleep(0.05)
     await asyncio.sleep(away)
--- a/tests/measure/served.py
+++ b/tests/measure/served.py
@@ -34,10 +34,10 @@
 from helpers import CELL, READ, WRITE, plan, settings  # noqa: E402
 
 from api_gateway import interface as api  # noqa: E402
-from api_gateway.base.subsets import Rings, View  # noqa: E402
-from api_gateway.policy import Gateway  # noqa: E402
+from api_gateway.base.subsets import EndpointRings, SubsetSpec  # noqa: E402
+from api_gateway.policy import DecisionEngine  # noqa: E402
 from api_gateway.policy.endpoint_subset import PLAIN_VIEW_FACTOR  # noqa: E402
-from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART  # noqa: E402
+from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SUBSET_SIZE_FACTOR  # noqa: E402
 
 ZONES, SLOTS, QUEUE, SPREAD = 6, 2, 4, 6
 WORK = {READ.name: 0.2, WRITE.name: 0.4, CELL.name: 0.6}  # s, the mean of each class; each as frequent
@@ -102,19 +102,24 @@
         self.now, self.views_on, self.event = START, views, event
         self.order, self.events = itertools.count(), list[tuple]()
         self.machines = {f"h{n}": Machine(f"h{n}", n) for n in range(hosts)}
-        self.rings = Rings()
+        self.rings = EndpointRings()
         for m in self.machines.values():
             self.rings.put(m.name, "k", m.zone, True)
         self.size = min(
-            hosts, math.ceil(PLAIN_VIEW_FACTOR * OWN_PART * max(1.0, LIMIT_MOST * hosts / gateways))
+            hosts,
+            math.ceil(
+                PLAIN_VIEW_FACTOR
+                * SUBSET_SIZE_FACTOR
+                * max(1.0, MAX_IN_FLIGHT_PER_ENDPOINT * hosts / gateways)
+            ),
         )
         confs = [
             settings(plans=[BIG], gateway_count=gateways, gateway_index=n, zone=f"z{n % ZONES}")
             for n in range(gateways)
         ]
         self.rules, self.version = confs[0].rules, 1
-        self.gateways = [Gateway(conf, self.luck.getrandbits(32), START) for conf in confs]
-        self.views = [View(n, self.size, conf.zone) for n, conf in enumerate(confs)]
+        self.gateways = [DecisionEngine(conf, self.luck.getrandbits(32), START) for conf in confs]
+        self.views = [SubsetSpec(n, self.size, conf.zone) for n, conf in enumerate(confs)]
         self.known = [set[str]() for _ in confs]
         self.counts: dict[int, float] = {}
         self.asked = [dict[str, Asked]() for _ in confs]
@@ -344,10 +349,10 @@
         play.tell_all(n)
         play.asked[n]["r"] = Asked(START, READ.name)
         play.tell(n, api.Request("r", READ.deadline, "c", "p", READ.name, 1.0, n, 1))
-        while not gateway.fleet.out:
+        while not gateway.endpoint_pool.in_flight:
             play.now, _, act, args = heapq.heappop(play.events)
             act(*args)
-        users.update(s.host.id for s in gateway.fleet.own)
+        users.update(s.endpoint.id for s in gateway.endpoint_pool.subset_endpoints)
     counts = [users[name] for name in play.machines]
     return (
         f"{hosts} hosts, told of {play.size if views else hosts}: a host is used by {min(counts)} to "
--- a/tests/measure/views.py
+++ b/tests/measure/views.py
@@ -19,8 +19,8 @@
 sys.path[:0] = [str(ROOT)]
 
 from api_gateway.base import subsets as base  # noqa: E402
-from api_gateway.base.subsets import Rings, View  # noqa: E402
-from api_gateway.registry.config import Config  # noqa: E402
+from api_gateway.base.subsets import EndpointRings, SubsetSpec  # noqa: E402
+from api_gateway.registry.config import RegistryConfig  # noqa: E402
 from api_gateway.registry.core import Host, Registry  # noqa: E402
 from api_gateway.registry.service import Service  # noqa: E402
 
@@ -29,7 +29,7 @@
 
 
 def rings_of(zones, kinds=1):
-    rings = Rings()
+    rings = EndpointRings()
     for n in range(HOSTS):
         rings.put(f"s-{n:08x}", f"svc-{n % kinds}", zones[n // kinds % len(zones)], True)
     return rings
@@ -39,7 +39,7 @@
     """Gateways of all zones in turn; each uses kinds drawn for it."""
     rng = random.Random(1)
     return [
-        View(n, SIZE, ZONES[n % 6], tuple(f"svc-{k}" for k in rng.sample(range(KINDS), kinds)))
+        SubsetSpec(n, SIZE, ZONES[n % 6], tuple(f"svc-{k}" for k in rng.sample(range(KINDS), kinds)))
         for n in range(GATEWAYS)
     ]
 
@@ -75,7 +75,7 @@
 
 def uneven():
     for name, (zones, gateways) in UNEVEN.items():
-        views = [View(n, SIZE, gateways[n % len(gateways)]) for n in range(GATEWAYS)]
+        views = [SubsetSpec(n, SIZE, gateways[n % len(gateways)]) for n in range(GATEWAYS)]
         for chance, how in ((1e9, "half in the own zone"), (base.CHANCE, "as far as even")):
             kept, base.CHANCE = base.CHANCE, chance
             evenness(f"zones uneven, {name}, {how}", rings_of(zones), views)
@@ -156,7 +156,7 @@
 
 async def service(count, kinds):
     registry = Registry("e", 1)
-    encoder = Service(Config(("127.0.0.1", 0), None, 10, 0.0), registry)
+    encoder = Service(RegistryConfig(("127.0.0.1", 0), None, 10, 0.0), registry)
     gc.collect()
     sizes, began = [rss()], time.process_time()
     for n in range(HOSTS):
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -35,7 +35,7 @@
     c.run(60)
     assert c.agreed() and not c.dead() and not c.referee.breaches
     if size > 1:  # each has been passed on often enough
-        assert not any(len(m.rumours) for m in c.members.values())
+        assert not any(len(m.pending_rumours) for m in c.members.values())
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -97,8 +97,8 @@
 
 def bear(node, attempts):
     """So many attempts may be out at a host, whatever later lists say."""
-    node.module.fleet.selector.in_flight_limit = attempts
-    node.module.fleet.update_limits = lambda: None
+    node.engine.endpoint_pool.selector.in_flight_limit = attempts
+    node.engine.endpoint_pool.update_limits = lambda: None
 
 
 async def until(check):
@@ -170,14 +170,14 @@
             writer.close()
         if self.node.watch.timer:
             self.node.watch.timer.cancel()
-        self.node.clients.finish()
+        self.node.clients.begin_shutdown()
         self.node.clients.close()
         self.node.control.close()
         self.node.changes.close()
         if self.node.member:
             self.node.member.close()
-        self.node.lives.end()
-        self.node.hosts.close()
+        self.node.siblings.unregister()
+        self.node.upstream.close()
         self.node.counter.close()
         await self.node.discovery.close()
         if not self.beside:
--- a/tests/policy/test_cluster_clock.py
+++ b/tests/policy/test_cluster_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from api_gateway.policy.cluster_clock import LIFETIME, FleetTime, wrapped
+from api_gateway.policy.cluster_clock import BEACON_LIFETIME_S, ClusterClock, wrapped
 
 HOUR = 3600.0
 TICK = 0.01  # s of virtual time
@@ -19,7 +19,7 @@
     def add(self, now, amount):
         self.calls += 1
         if now >= self.ends:
-            self.total, self.ends = 0.0, now + LIFETIME
+            self.total, self.ends = 0.0, now + BEACON_LIFETIME_S
         self.total = round(self.total + amount, 1)
         return self.total
 
@@ -29,7 +29,7 @@
         self.rng, self.now, self.beacon = random.Random(seed), 0.0, Beacon()
         self.members = []
         for clock, start in zip(clocks, starts or [0.0] * len(clocks), strict=True):
-            self.members.append([FleetTime(len(clocks), random.Random(self.rng.random())), clock, start])
+            self.members.append([ClusterClock(len(clocks), random.Random(self.rng.random())), clock, start])
         self.down = lambda now: False
 
     def run(self, until):
@@ -40,13 +40,13 @@
                 if start is not None and self.now >= start:
                     time.start(self.now + clock)
                     member[2] = None
-                while time.due <= self.now + clock:
-                    amount = time.call(self.now + clock)
+                while time.next_call_at <= self.now + clock:
+                    amount = time.begin_call(self.now + clock)
                     ok = not self.down(self.now)
                     total = self.beacon.add(self.now, amount) if ok else 0.0
-                    time.counted(self.now + clock, ok, total)
+                    time.on_total(self.now + clock, ok, total)
                 if not self.down(self.now) and self.rng.random() < 2 * TICK:  # a lease is asked for
-                    time.counter_answers(self.now + clock)
+                    time.on_counter_answer(self.now + clock)
 
     def spread(self):
         """The largest difference of two gateways' times."""
@@ -69,7 +69,7 @@
     fleet = Fleet(seed, clocks_of(count, wrong, off, rng), [rng.uniform(0, 1.0) for _ in range(count)])
     fleet.run(30.0 + 2 * count)
     assert fleet.spread() <= 0.6
-    assert not any(time.synchronizing for time, _, _ in fleet.members)
+    assert not any(time.is_synchronizing for time, _, _ in fleet.members)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -81,7 +81,7 @@
     fleet.members[-1][1] += off
     fleet.run(59.0)
     before = [time.offset for time, _, _ in fleet.members[:-1]]
-    fleet.run(61.0 + 4 * LIFETIME)
+    fleet.run(61.0 + 4 * BEACON_LIFETIME_S)
     assert [time.offset for time, _, _ in fleet.members[:-1]] == before
     assert fleet.spread() <= 0.6
 
@@ -123,7 +123,7 @@
     fleet.members[-1][1] += HOUR
     fleet.run(60.0)
     for member in fleet.members[:-1]:  # the beacon's maker stops for a while, the rest look seldom
-        member[0].due = max(member[0].due, 67.2 + rng.uniform(0, 4.0))
+        member[0].next_call_at = max(member[0].next_call_at, 67.2 + rng.uniform(0, 4.0))
     before = [time.offset for time, _, _ in fleet.members[:-1]]
     fleet.run(140.0)
     assert [time.offset for time, _, _ in fleet.members[:-1]] == before
@@ -135,9 +135,9 @@
     rng = random.Random(seed)
     fleet = Fleet(seed, clocks_of(60, 0, 0.0, rng))
     fleet.down, calls = (lambda now: now < 10.0), []
-    call = FleetTime.call
+    call = ClusterClock.begin_call
     for time, _, _ in fleet.members:
-        time.call = lambda now, time=time: (calls.append(0), call(time, now))[1]
+        time.begin_call = lambda now, time=time: (calls.append(0), call(time, now))[1]
     fleet.run(9.0)
     assert len(calls) == 60
     fleet.run(60.0)
@@ -158,25 +158,25 @@
         if fleet.now > restart:
             restart += rng.uniform(30.0, 90.0)
             member = fleet.members[rng.randrange(count)]
-            member[0] = FleetTime(count, random.Random(rng.random()))
+            member[0] = ClusterClock(count, random.Random(rng.random()))
             member[2] = fleet.now + rng.uniform(0.5, 3.0)
         for member in fleet.members:
             time, clock, start = member
             if start is not None and fleet.now >= start:
                 time.start(fleet.now + clock)
                 member[2] = None
-            while time.due <= fleet.now + clock:
-                amount = time.call(fleet.now + clock)
+            while time.next_call_at <= fleet.now + clock:
+                amount = time.begin_call(fleet.now + clock)
                 if silent:
                     owed.append(amount)
-                    time.counted(fleet.now + clock, False, 0.0)
+                    time.on_total(fleet.now + clock, False, 0.0)
                 else:
                     total = fleet.beacon.add(fleet.now, amount)
-                    time.counted(fleet.now + clock, rng.random() >= 0.05, total)
+                    time.on_total(fleet.now + clock, rng.random() >= 0.05, total)
             if not silent and rng.random() < 10 * TICK:
-                time.counter_answers(fleet.now + clock)
+                time.on_counter_answer(fleet.now + clock)
             wrong += TICK * (abs(time.offset) > 0.5)
-            seeking += TICK * time.synchronizing
+            seeking += TICK * time.is_synchronizing
     return wrong, seeking
 
 
--- a/tests/policy/test_decision_streams.py
+++ b/tests/policy/test_decision_streams.py
@@ -21,7 +21,7 @@
 from helpers import CELL, NOTE, READ, WRITE, plan, settings
 
 from api_gateway import interface as api
-from api_gateway.policy import Gateway
+from api_gateway.policy import DecisionEngine
 
 RECORDED = Path(__file__).resolve().parent / "decision_streams.json"
 STREAM = api.ServiceClass("stream", 1.0, 6.0, "safe", "all", 5.0, 1.0, 0.5, True, 0.0)
@@ -82,7 +82,7 @@
             self.start(0.0 if self.rng.random() >= cold else self.now - 12 * self.rng.random())
         self.conf = self.configure()
         self.index = self.conf.gateway_index
-        self.gw = Gateway(self.conf, seed, self.now)
+        self.gw = DecisionEngine(self.conf, seed, self.now)
         self.digest, self.events, self.kinds = hashlib.sha256(), 0, {}
         self.due, self.open, self.bad, self.counts = [], {}, {}, {}
 
--- a/tests/policy/test_endpoint_subsets.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -17,8 +17,8 @@
     VIEW_RESIZE_TIMEOUT_S,
     VIEW_SKIPPED_PART,
 )
-from api_gateway.policy.endpoint_table import DEPARTED_MEMORY_FLOOR, DEPARTED_MEMORY_S, LOOK_MOST
-from api_gateway.policy.endpoints import LIMIT_MOST, OWN_PART
+from api_gateway.policy.endpoint_table import DEPARTED_MEMORY_FLOOR, DEPARTED_MEMORY_S, MAX_SAMPLE
+from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SUBSET_SIZE_FACTOR
 from api_gateway.simulator_adapter import WRITERS
 
 BIG = plan(rate=1000.0, burst=4000.0)
@@ -41,7 +41,10 @@
 
 def passed_over(hosts, index, gateways):
     """Hosts of a view before those that are used, counted from all hosts and the places of all gateways."""
-    need, place = OWN_PART * max(1.0, LIMIT_MOST * len(hosts) / gateways), index * GOLDEN_STEP % 1.0
+    need, place = (
+        SUBSET_SIZE_FACTOR * max(1.0, MAX_IN_FLIGHT_PER_ENDPOINT * len(hosts) / gateways),
+        index * GOLDEN_STEP % 1.0,
+    )
     follow = sum((stable_hash(h.id, "place") / 2**63 - place) % 1.0 < need / len(hosts) for h in hosts)
     rank = sorted(n * GOLDEN_STEP % 1.0 for n in range(gateways)).index(place)
     ahead = len(hosts) * (rank / gateways - place)
@@ -76,14 +79,16 @@
     whole = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=7), hosts, seed=7)
     part = viewing(hosts, view, gateways, index=7)
     assert (
-        part.gw.fleet.table.gateway_count == max(1.0, gateways * view / total)
-        and whole.gw.fleet.table.gateway_count == gateways
+        part.gw.endpoint_pool.table.gateway_count == max(1.0, gateways * view / total)
+        and whole.gw.endpoint_pool.table.gateway_count == gateways
     )
     for w in (whole, part):
         asked(w, 4)
-    assert abs(len(whole.gw.fleet.own) - len(part.gw.fleet.own)) <= 2
-    own, skip = part.gw.fleet.own, passed_over(hosts, 7, gateways)
-    assert [s.host for s in own] == in_view(hosts, 7, view)[skip : skip + len(own)]
+    assert (
+        abs(len(whole.gw.endpoint_pool.subset_endpoints) - len(part.gw.endpoint_pool.subset_endpoints)) <= 2
+    )
+    own, skip = part.gw.endpoint_pool.subset_endpoints, passed_over(hosts, 7, gateways)
+    assert [s.endpoint for s in own] == in_view(hosts, 7, view)[skip : skip + len(own)]
     assert not wishes(part) and not wishes(whole)
     out = {}
     for name, w in (("whole", whole), ("part", part)):
@@ -102,10 +107,12 @@
     for k in range(gateways):
         w = viewing(hosts, view, gateways, index=k)
         asked(w, 1)
-        for s in w.gw.fleet.own:
-            seen[s.host.id] += 1
+        for s in w.gw.endpoint_pool.subset_endpoints:
+            seen[s.endpoint.id] += 1
     mean = sum(seen.values()) / total
-    assert abs(mean - OWN_PART * LIMIT_MOST) < 0.75  # as many gateways a host as with a whole list
+    assert (
+        abs(mean - SUBSET_SIZE_FACTOR * MAX_IN_FLIGHT_PER_ENDPOINT) < 0.75
+    )  # as many gateways a host as with a whole list
     assert statistics.pstdev(seen.values()) < most
     assert max(seen.values()) < 1.55 * mean and min(seen.values()) > 0.6 * mean
 
@@ -115,20 +122,20 @@
     w = World(settings(plans=[BIG], gateway_count=40), hosts)
     w.do(api.EndpointOverride("h3", True, w.now))
     w.do(api.EndpointList("full", 2, hosts, 20))
-    assert w.gw.fleet.table.gateway_count == 40 and w.gw.fleet.table.total == 0
+    assert w.gw.endpoint_pool.table.gateway_count == 40 and w.gw.endpoint_pool.table.total == 0
     w.do(api.EndpointList("delta", 3, (), 200))
-    assert w.gw.fleet.table.gateway_count == 4.0 and w.gw.fleet.table.total == 200
+    assert w.gw.endpoint_pool.table.gateway_count == 4.0 and w.gw.endpoint_pool.table.total == 200
     w.do(api.EndpointList("failed", 3, ()))
-    assert w.gw.fleet.table.total == 200  # nothing was told
+    assert w.gw.endpoint_pool.table.total == 200  # nothing was told
     w.do(api.EndpointList("delta", 4, (host("h20"),)))
-    assert w.gw.fleet.table.gateway_count == 40 and w.gw.fleet.table.total == 0
+    assert w.gw.endpoint_pool.table.gateway_count == 40 and w.gw.endpoint_pool.table.total == 0
 
 
 def test_a_view_that_empties_asks_for_more_and_works_again_when_it_fills():
     hosts = [host(f"h{n}", zone=f"z{n % 3}") for n in range(3000)]
     w = viewing([h for h in hosts if h.zone == "z1"], 60, 300, total=3000)
     assert asked(w)
-    lost = [s.host for s in w.gw.fleet.up]
+    lost = [s.endpoint for s in w.gw.endpoint_pool.available]
     for n in range(0, 60, 20):
         w.do(api.EndpointList("delta", 2 + n, down(*lost[n : n + 20]), 2000))
     w.log.clear()
@@ -136,7 +143,7 @@
         w.now += 0.1
         assert not of(w.ask()[1], api.SendAttempt)
     assert len(wishes(w)) == math.ceil(10.0 / VIEW_RESIZE_TIMEOUT_S) and min(wishes(w)) > 60
-    assert not w.gw.fleet.own and w.gw.fleet.table.gateway_count == 1.0
+    assert not w.gw.endpoint_pool.subset_endpoints and w.gw.endpoint_pool.table.gateway_count == 1.0
     back = tuple(h for h in hosts if h.zone == "z2")[: wishes(w)[0]]
     w.do(api.EndpointList("delta", 99, back, 2000))
     w.log.clear()
@@ -157,7 +164,7 @@
         api.EndpointList("delta", 3, tuple(host(h.id, started=w.now) for h in in_view(hosts, 0, most)), 2000)
     )
     asked(w, 100, step=0.5)  # all were cold, so all of the wide view was needed
-    assert len(w.gw.fleet.own) <= most and all(n >= most for n in wishes(w))
+    assert len(w.gw.endpoint_pool.subset_endpoints) <= most and all(n >= most for n in wishes(w))
     w.log.clear()
     asked(w, int(2.2 * VIEW_EASE_S / 0.5), step=0.5)
     plain = wishes(w)[-1]
@@ -191,39 +198,39 @@
     w = viewing(hosts, 40, 100, total=400)
     name, acts = w.ask(cls=cls)
     (send,) = of(acts, api.SendAttempt)
-    left = w.gw.fleet.servers[send.endpoint_id].host
+    left = w.gw.endpoint_pool.endpoints[send.endpoint_id].endpoint
     w.do(api.EndpointList("delta", 2, down(left), 400))
-    assert w.gw.fleet.out == 1 and left.id in w.gw.fleet.servers
+    assert w.gw.endpoint_pool.in_flight == 1 and left.id in w.gw.endpoint_pool.endpoints
     assert left.id not in asked(w, 60, step=0.001)
     for n in range(3 * DEPARTED_MEMORY_FLOOR):  # so many leave after it that it would be forgotten
         w.do(api.EndpointList("delta", 3 + 2 * n, (host(f"x{n}"),), 400))
         w.do(api.EndpointList("delta", 4 + 2 * n, down(host(f"x{n}")), 400))
-    assert left.id in w.gw.fleet.servers
+    assert left.id in w.gw.endpoint_pool.endpoints
     (again,) = of(w.end(send, "reset"), api.SendAttempt)
-    to = w.gw.fleet.servers[again.endpoint_id].host
+    to = w.gw.endpoint_pool.endpoints[again.endpoint_id].endpoint
     assert to.id != left.id and getattr(to, scope) == getattr(left, scope)
-    assert w.gw.fleet.out == 1
+    assert w.gw.endpoint_pool.in_flight == 1
 
 
 def test_a_word_on_a_forgotten_host_is_no_fault():
     w = viewing([host(f"h{n}") for n in range(20)], 20, 40, total=200)
     _, acts = w.ask()
     (send,) = of(acts, api.SendAttempt)
-    gone = w.gw.fleet.servers[send.endpoint_id].host
+    gone = w.gw.endpoint_pool.endpoints[send.endpoint_id].endpoint
     w.do(api.EndpointList("delta", 2, down(gone), 200))
     w.end(send)
     w.now += DEPARTED_MEMORY_S + 1.0
     w.do(api.EndpointList("delta", 3, (), 200))
-    fleet = w.gw.fleet
-    assert gone.id not in fleet.servers and gone.id not in fleet.health.estimates
+    fleet = w.gw.endpoint_pool
+    assert gone.id not in fleet.endpoints and gone.id not in fleet.health.estimates
     w.end(send, "timeout")
     w.do(api.ResponseStarted(send.request_id, 0, send.endpoint_id, 0.1))
     w.do(api.EndpointOverride(gone.id, True, w.now))
-    assert gone.id not in fleet.servers and fleet.out == 0
+    assert gone.id not in fleet.endpoints and fleet.in_flight == 0
     w.do(api.EndpointList("delta", 4, (gone,), 200))  # its ban was kept
-    assert gone.id not in [s.host.id for s in fleet.up] and gone.id not in asked(w)
+    assert gone.id not in [s.endpoint.id for s in fleet.available] and gone.id not in asked(w)
     w.do(api.EndpointOverride(gone.id, False, w.now))
-    assert gone.id in [s.host.id for s in fleet.up]
+    assert gone.id in [s.endpoint.id for s in fleet.available]
 
 
 def test_a_ban_outlives_what_is_known_of_its_host():
@@ -232,7 +239,7 @@
     w.do(api.EndpointList("full", 2, (host("h2"),)))
     w.now += DEPARTED_MEMORY_S + 1.0
     w.do(api.EndpointList("full", 3, (host("h2"),)))
-    assert list(w.gw.fleet.servers) == ["h2"]
+    assert list(w.gw.endpoint_pool.endpoints) == ["h2"]
     w.do(api.EndpointList("full", 4, (host("h1"), host("h2"))))
     assert set(asked(w)) == {"h2"}
 
@@ -252,7 +259,9 @@
             api.EndpointList("delta", 2 + n, (host(f"far{n}", state="leaving"), *down(host(f"off{n}"))), 5000)
         )
     assert (
-        len(w.gw.fleet.servers) == 50 and not w.gw.fleet.table.departed and len(w.gw.fleet.table.ring) == 50
+        len(w.gw.endpoint_pool.endpoints) == 50
+        and not w.gw.endpoint_pool.table.departed
+        and len(w.gw.endpoint_pool.table.ring) == 50
     )
 
 
@@ -262,12 +271,14 @@
     sent = asked(w, 3000)
     weight = {h.id: h.weight for h in hosts}
     heavy = sum(weight[name] == 10.0 for name in sent) / len(sent)
-    share = [s.host.weight for s in w.gw.fleet.own]
+    share = [s.endpoint.weight for s in w.gw.endpoint_pool.subset_endpoints]
     even = share.count(10.0) * 10 / (share.count(10.0) * 10 + share.count(1.0))
     assert abs(heavy - even) < 0.12
-    assert w.gw.fleet.table.largest_weight == 10.0
+    assert w.gw.endpoint_pool.table.largest_weight == 10.0
     w.do(api.EndpointList("delta", 2, down(*(h for h in hosts if h.weight == 10.0)), 2000))
-    assert w.gw.fleet.table.largest_weight == 1.0 and w.gw.fleet.table.weights == [1.0] * len(w.gw.fleet.up)
+    assert w.gw.endpoint_pool.table.largest_weight == 1.0 and w.gw.endpoint_pool.table.weights == [1.0] * len(
+        w.gw.endpoint_pool.available
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -335,25 +346,25 @@
         else:
             w.do(api.EndpointList("full", version + 1, tuple(stay)))
         w.log.clear()
-        assert len(w.gw.fleet.servers) <= 201
+        assert len(w.gw.endpoint_pool.endpoints) <= 201
         if n in (2000, 9999):
             gc.collect()
             objects.append(len(gc.get_objects()))
-    fleet = w.gw.fleet
+    fleet = w.gw.endpoint_pool
     assert (
         len(fleet.table.departed) <= 100
-        and len(fleet.table.ring) == len(fleet.up) == len(fleet.table.weights) == 100
+        and len(fleet.table.ring) == len(fleet.available) == len(fleet.table.weights) == 100
     )
     assert len(fleet.health.estimates) <= 201 and len(fleet.table.warming_up) <= 101
     assert objects[1] < objects[0] + 300  # each known host is three at least
     w.now += DEPARTED_MEMORY_S + 1.0
     asked(w, 1)
-    assert len(fleet.servers) == 100 and not fleet.table.departed
+    assert len(fleet.endpoints) == 100 and not fleet.table.departed
 
 
 def test_what_is_kept_by_change_is_what_a_sort_of_all_finds():
     w = World(settings(plans=[BIG], gateway_count=20), [weighing(f"h{n}", 1.0 + n % 5) for n in range(200)])
-    fleet, rng = w.gw.fleet, random.Random(5)
+    fleet, rng = w.gw.endpoint_pool, random.Random(5)
     for n in range(600):
         w.now += 0.05
         name = f"h{rng.randrange(240)}"
@@ -368,9 +379,9 @@
                 w.do(api.EndpointList("delta", n, (host(name, state=rng.choice(("down", "leaving"))),)))
             case 4:
                 asked(w, 1)
-        kept = [fleet.up[:], fleet.table.ring[:], fleet.table.weights[:], set(fleet.table.warming_up)]
+        kept = [fleet.available[:], fleet.table.ring[:], fleet.table.weights[:], set(fleet.table.warming_up)]
         fleet.table.rebuild(w.now)
-        assert kept[:3] == [fleet.up, fleet.table.ring, fleet.table.weights] and kept[3] >= set(
+        assert kept[:3] == [fleet.available, fleet.table.ring, fleet.table.weights] and kept[3] >= set(
             fleet.table.warming_up
         )
         fleet.on_table_change(w.now)
@@ -387,11 +398,11 @@
 
     for gateways in (1, 10, 400):
         w = World(settings(plans=[BIG], gateway_count=gateways), [host(f"h{n}") for n in range(5000)])
-        w.gw.fleet.selector.__class__ = Counting
+        w.gw.endpoint_pool.selector.__class__ = Counting
         looked = 0
         for _ in range(20):
             w.now += 0.05
             for s in of(w.ask()[1], api.SendAttempt):
                 for again in of(w.end(s, "error"), api.SendAttempt):
                     w.end(again)
-        assert looked <= 40 * 2 * LOOK_MOST
+        assert looked <= 40 * 2 * MAX_SAMPLE
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -66,8 +66,8 @@
     assert failed and "h1" not in {s.endpoint_id for s in failed}
     w.now += 5.0
     w.do(api.EndpointOverride("h1", False, w.now))
-    server = w.gw.fleet.servers["h1"]
-    assert server.warmth(w.now, w.conf.rules) == 0.2 and server in w.gw.fleet.up
+    server = w.gw.endpoint_pool.endpoints["h1"]
+    assert server.warmth(w.now, w.conf.rules) == 0.2 and server in w.gw.endpoint_pool.available
     assert server.warmth(w.now + 10.0, w.conf.rules) == 1.0
 
 
@@ -77,14 +77,14 @@
     w.do(api.EndpointList("delta", 2, (host("h1", started=w.now + 1.0),)))
     w.now += 6.0
     w.do(api.EndpointOverride("h1", False, w.now))
-    assert abs(w.gw.fleet.servers["h1"].warmth(w.now, w.conf.rules) - 0.6) < 1e-9
+    assert abs(w.gw.endpoint_pool.endpoints["h1"].warmth(w.now, w.conf.rules) - 0.6) < 1e-9
 
 
 def test_a_return_is_heard_of_by_a_process_that_did_not_see_the_ban():
     w = World(settings(plans=[BIG]), [host("h1"), host("h2")])
     w.do(api.EndpointOverride("h1", False, w.now - 5.0))
     w.do(api.EndpointOverride("h9", False, w.now))  # of a host that no list has named here
-    assert abs(w.gw.fleet.servers["h1"].warmth(w.now, w.conf.rules) - 0.6) < 1e-9
+    assert abs(w.gw.endpoint_pool.endpoints["h1"].warmth(w.now, w.conf.rules) - 0.6) < 1e-9
 
 
 def test_a_host_that_started_again_is_not_held_to_what_its_last_life_did():
@@ -166,8 +166,8 @@
     for w in worlds:
         w.now += 1.0
         w.end(of(w.ask()[1], api.SendAttempt)[0])
-        for s in w.gw.fleet.own:
-            hosts[s.host.id] = hosts.get(s.host.id, 0) + 1
+        for s in w.gw.endpoint_pool.subset_endpoints:
+            hosts[s.endpoint.id] = hosts.get(s.endpoint.id, 0) + 1
     return hosts
 
 
@@ -190,7 +190,7 @@
 def test_a_gateway_whose_hosts_fail_uses_others():
     w = World(settings(plans=[BIG], gateway_count=40), [host(f"h{n}") for n in range(60)])
     w.end(of(w.ask()[1], api.SendAttempt)[0])
-    bad = {s.host.id for s in w.gw.fleet.own}
+    bad = {s.endpoint.id for s in w.gw.endpoint_pool.subset_endpoints}
     assert len(bad) <= 20
     good = 0
     for _ in range(80):
@@ -226,7 +226,7 @@
 
 
 def warmth(world, name):
-    return world.gw.fleet.servers[name].warmth(world.now, world.conf.rules)
+    return world.gw.endpoint_pool.endpoints[name].warmth(world.now, world.conf.rules)
 
 
 @pytest.mark.parametrize("off", [-HOUR, HOUR])
--- a/tests/policy/test_quota_leases.py
+++ b/tests/policy/test_quota_leases.py
@@ -66,7 +66,7 @@
     start = w.now
     n = served(w, 60)
     assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
-    assert all(not j.stage == "units" for j in w.gw.jobs.values())
+    assert all(not j.stage == "units" for j in w.gw.requests_in_flight.values())
     assert w.gw.accounts["c"].lease == 0
 
 
--- a/tests/policy/test_quota_leases_cluster.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -23,8 +23,8 @@
 from api_gateway.emulators.service import Faults
 from api_gateway.gateway.config import read_config
 from api_gateway.gateway.node import GatewayNode
-from api_gateway.gateway.wall_clock import Clock
-from api_gateway.policy.cluster_clock import BEACON
+from api_gateway.gateway.wall_clock import GatewayClock
+from api_gateway.policy.cluster_clock import BEACON_NAME
 from api_gateway.policy.customer_accounts import stable_hash
 
 GATEWAYS, RATE, BURST = 4, 2.0, 24.0
@@ -51,7 +51,7 @@
 
 class Fleet:
     def __init__(self, path, timeout):
-        self.path, self.timeout, self.clock, self.stack = path, timeout, Clock(), AsyncExitStack()
+        self.path, self.timeout, self.clock, self.stack = path, timeout, GatewayClock(), AsyncExitStack()
         self.counter, self.quota, self.passed, self.names = StubCounter(), Bucket(), 0, 0
 
     async def __aenter__(self):
@@ -70,20 +70,19 @@
         file.write_text(json.dumps(told(listed, discovery, self.counter.port, settings | {"index": n})))
         node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
         node.clock = node.dispatcher.clock = node.watch.clock = self.clock
-        node.module.cluster_clock.start = lambda now: (
-            None
-        )  # one clock for all, which the parts move on by hand
+        # One clock for all, which the parts move on by hand.
+        node.engine.cluster_clock.start = lambda now: None
         bear(node, 1000.0)  # hosts have room for all
-        node.module.fleet.full = lambda *_: False
+        node.engine.endpoint_pool.is_at_limit = lambda *_: False
         node.port = await node.start()
         self.stack.push_async_callback(self.end, node)
         return node
 
     async def end(self, node):
         node.watch.timer.cancel()
-        node.clients.finish()
+        node.clients.begin_shutdown()
         node.clients.close()
-        node.hosts.close()
+        node.upstream.close()
         node.counter.close()
         await node.discovery.close()
 
@@ -112,11 +111,11 @@
 
     def to(self, left):
         """On to where so much of a window is left."""
-        self.clock.zero += (self.window() - left) % LENGTH
+        self.clock.epoch += (self.window() - left) % LENGTH
 
     def leases_asked(self):
         """Calls to the counter, but for those that tell the fleet's time."""
-        return sum(words[1] != b"%d" % BEACON for words in self.counter.calls)
+        return sum(words[1] != b"%d" % BEACON_NAME for words in self.counter.calls)
 
     @property
     def beyond(self):
@@ -137,7 +136,7 @@
     before = fleet.leases_asked()
     crowd = asyncio.create_task(fleet.crowd(60))
     await until(lambda: fleet.leases_asked() - before == GATEWAYS)
-    fleet.clock.zero += fleet.window()
+    fleet.clock.epoch += fleet.window()
     fleet.counter.silent = False
     fleet.counter.answer_all()
     await crowd
@@ -155,7 +154,7 @@
     await fleet.crowd(1)
     fleet.to(EDGE)
     await fleet.crowd(60)
-    fleet.clock.zero += 2 * EDGE
+    fleet.clock.epoch += 2 * EDGE
     await fleet.crowd(60)
 
 
@@ -165,7 +164,7 @@
     for _ in range(3):
         fleet.to(EDGE)
         await fleet.crowd(30)
-        fleet.clock.zero += 2 * EDGE
+        fleet.clock.epoch += 2 * EDGE
         await fleet.crowd(30)
 
 
--- a/tests/policy/test_request_handling.py
+++ b/tests/policy/test_request_handling.py
@@ -295,21 +295,23 @@
     assert [s.request_id for s in copy] == [first.request_id] and copy[0].endpoint_id != first.endpoint_id
     acts = w.do(api.ResponseStarted(first.request_id, 1, copy[0].endpoint_id, 2.0))
     assert of(acts, api.CancelAttempt) == [api.CancelAttempt(first.request_id, 0)]
-    assert not w.gw.fleet.servers[copy[0].endpoint_id].in_flight and w.gw.fleet.out == 0
+    assert (
+        not w.gw.endpoint_pool.endpoints[copy[0].endpoint_id].in_flight and w.gw.endpoint_pool.in_flight == 0
+    )
     acts = w.end(first, "cancelled") + w.wait(3.0)
     assert not of(
         acts, (api.SendAttempt, api.RejectRequest, api.FailRequest)
     )  # its time does not count any longer
     w.do(api.AttemptEnded(first.request_id, 1, copy[0].endpoint_id, "reset", 2.0, True))
-    assert not w.gw.jobs
+    assert not w.gw.requests_in_flight
 
 
 def test_what_flows_at_its_clients_pace_leaves_its_host_room_for_others():
     w = World(settings(plans=[BIG]), [host("h1")])
     sent = [s for _ in range(8) for s in of(w.ask()[1], api.SendAttempt)]
-    assert len(sent) == 2 and w.gw.fleet.out == 2
+    assert len(sent) == 2 and w.gw.endpoint_pool.in_flight == 2
     acts = w.do(api.ResponseStarted(sent[0].request_id, 0, "h1", 0.1))
-    assert len(of(acts, api.SendAttempt)) == 1 and w.gw.fleet.out == 2
+    assert len(of(acts, api.SendAttempt)) == 1 and w.gw.endpoint_pool.in_flight == 2
 
 
 def test_a_refusal_tells_whether_hosts_had_no_room():
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -119,7 +119,7 @@
         waiting = "" if of(acts, api.SendAttempt) else name
         for s in of(acts, api.SendAttempt):
             w.end(s)
-    assert w.gw.jobs[waiting].stage == "units"
+    assert w.gw.requests_in_flight[waiting].stage == "units"
     change(w, FASTER)
     w.ask()
     assert w.gw.accounts["c"].previous_accounts
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -15,8 +15,8 @@
 from helpers import host, of, plan, settings
 
 from api_gateway import interface as api
-from api_gateway.policy import Gateway
-from api_gateway.policy.endpoint_table import Server
+from api_gateway.policy import DecisionEngine
+from api_gateway.policy.endpoint_table import EndpointState
 
 BIG = plan(rate=1e6, burst=1e6)
 LENGTH = 13.0  # s of a play
@@ -117,7 +117,7 @@
         return tuple(host(m.name, started=m.started) for m in machines)
 
     def begin(self, n):
-        self.gateways[n] = Gateway(self.conf[n], self.rng.getrandbits(32), self.now)
+        self.gateways[n] = DecisionEngine(self.conf[n], self.rng.getrandbits(32), self.now)
         self.tell(self.gateways[n], api.EndpointList("cached", 1, self.listed(self.machines.values())))
 
     def restart(self, count):
@@ -157,7 +157,7 @@
     def send(self, gateway, send):
         number = self.sends[send.request_id] = self.sends.get(send.request_id, -1) + 1
         machine = self.machines[send.endpoint_id]
-        if gateway.fleet.servers[send.endpoint_id].started_at == machine.started:
+        if gateway.endpoint_pool.endpoints[send.endpoint_id].started_at == machine.started:
             machine.told.append(self.now)
         ends = machine.take(self.now, self.rng.uniform(0.5, 1.5) * self.work, self.rules)
         result = "full" if ends is None else "ok"
@@ -234,6 +234,6 @@
 @pytest.mark.parametrize("day", ["most", "small hosts", "small hosts, crowded"])
 def test_the_play_tells_where_cold_hosts_get_too_much(day, monkeypatch):
     """Planted: cold hosts are taken for warm ones."""
-    monkeypatch.setattr(Server, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(EndpointState, "warmth", lambda *_: 1.0)
     played = Play(1, **DAYS[day] | dict(load=0.95, overload_multiple=1.0))
     assert played.run() > 1.0 and played.told() > 1.0
--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -17,7 +17,7 @@
 
 from api_gateway.base import serving
 from api_gateway.registry import service as module
-from api_gateway.registry.config import Config, read_config
+from api_gateway.registry.config import RegistryConfig, read_config
 from api_gateway.registry.core import Registry
 from api_gateway.registry.service import Service
 
@@ -36,7 +36,7 @@
     async def __aenter__(self):
         if self.file:
             self.file.write_text(json.dumps({"servers": list(self.hosts)}))
-        config = Config(("127.0.0.1", self.port), self.file, self.watchers, self.learn)
+        config = RegistryConfig(("127.0.0.1", self.port), self.file, self.watchers, self.learn)
         self.service = Service(config, Registry(self.epoch, self.first))
         self.port = await self.service.start()
         self.session = aiohttp.ClientSession(f"http://127.0.0.1:{self.port}", trust_env=False)
@@ -246,12 +246,12 @@
             tree = json.loads(node.file.read_text()) | {"discovery": f"127.0.0.1:{serving.port}"}
             node.file.write_text(json.dumps(tree))
             node.node.reload()
-            await until(lambda: list(node.node.hosts.pools) == ["h1"])
+            await until(lambda: list(node.node.upstream.pools) == ["h1"])
             assert await node.ask(command(b"a")) == SERVED
             await serving.register("h2", addr=f"127.0.0.1:{other.port}")
-            await until(lambda: len(node.node.hosts.pools) == 2)
+            await until(lambda: len(node.node.upstream.pools) == 2)
             assert (await serving.call("POST", "/v1/hosts/h1/drain?incarnation=1"))[0] == 200
-            await until(lambda: list(node.node.hosts.pools) == ["h2"])
+            await until(lambda: list(node.node.upstream.pools) == ["h2"])
             assert await node.ask(command(b"b")) == SERVED
 
 
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -10,7 +10,7 @@
 from test_registry import host, settle
 from test_registry_service import Serving
 
-from api_gateway.base.subsets import RING, View, place_of
+from api_gateway.base.subsets import RING_SIZE, SubsetSpec, position_of_endpoint
 from api_gateway.registry import answer_encoding, core, live_view, view_arcs
 from api_gateway.registry import service as module
 from api_gateway.registry import subsets as views
@@ -43,7 +43,7 @@
 
 
 def test_a_watch_by_view_is_told_what_changes_within_it_and_not_woken_by_the_rest():
-    r, view = filled(200), View(3, 20, "a")
+    r, view = filled(200), SubsetSpec(3, 20, "a")
     whole = r.view(1.0, "k", view)
     assert whole.index is None and {h.id for h in whole.hosts} == members(r, view) and whole.total == 200
     assert r.watch_view(1.0, "k", view, whole.version, 60.0, "e") is None
@@ -58,7 +58,7 @@
 
 
 def test_what_enters_and_leaves_is_told_as_changes():
-    r, view = filled(200), View(3, 20, "a")
+    r, view = filled(200), SubsetSpec(3, 20, "a")
     at, before = r.view(1.0, "k", view).version, members(r, view)
     gone = sorted(before)[0]
     back = r.entries[gone].host
@@ -79,10 +79,12 @@
 
 def test_a_host_that_moves_to_another_kind_leaves_one_view_and_enters_another():
     r = filled(40, kinds=("k", "l"))
-    views_ = [View(1, 6, "a", (kind,)) for kind in "kl"]
+    views_ = [SubsetSpec(1, 6, "a", (kind,)) for kind in "kl"]
     at = [r.view(1.0, None, view).version for view in views_]
-    name = next(n for n in sorted(members(r, views_[0]), key=place_of) if r.entries[n].host.kind == "k")
-    near = View(1, 100, "a", ("l",))
+    name = next(
+        n for n in sorted(members(r, views_[0]), key=position_of_endpoint) if r.entries[n].host.kind == "k"
+    )
+    near = SubsetSpec(1, 100, "a", ("l",))
     r.view(1.0, None, near)
     change(r, 2.0, name, kind="l")
     left = {h.id: h.state for h in r.watch_view(2.0, "k", views_[0], at[0], 0.0, "e").hosts}
@@ -103,20 +105,20 @@
     ],
 )
 def test_an_index_that_is_not_known_or_of_another_epoch_gets_the_whole_view(index, epoch, whole):
-    r, view = filled(200), View(3, 20, "a")
+    r, view = filled(200), SubsetSpec(3, 20, "a")
     r.view(1.0, "k", view)
     answer = r.watch_view(1.0, "k", view, r.version + index, 0.0, epoch)
     assert (answer.index is None) == whole and len(answer.hosts) == (20 if whole else 0)
 
 
 def test_another_size_or_one_that_nobody_asked_for_is_told_as_a_whole():
-    r, view = filled(200), View(3, 20, "a")
+    r, view = filled(200), SubsetSpec(3, 20, "a")
     at = r.view(1.0, "k", view).version
     change(r, 1.5, "h0", weight=3.0)
-    larger = r.watch_view(2.0, "k", View(3, 30, "a"), at, 60.0, "e")
+    larger = r.watch_view(2.0, "k", SubsetSpec(3, 30, "a"), at, 60.0, "e")
     assert larger.index is None and len(larger.hosts) == 30
     settle(r, now := 2.0 + views.IDLE_LIFETIME_S - 1.0)
-    assert r.watch_view(now, "k", View(3, 30, "a"), larger.version, 0.0, "e").index is not None
+    assert r.watch_view(now, "k", SubsetSpec(3, 30, "a"), larger.version, 0.0, "e").index is not None
     assert view not in r.views.live_views
     settle(r, 2.0 + 2 * views.IDLE_LIFETIME_S)
     assert not r.views.live_views and not r.views.idle_until and not r.views.arcs_by_group
@@ -124,7 +126,7 @@
 
 
 def test_a_view_that_is_watched_is_kept_and_one_whose_watchers_vanish_goes():
-    r, view = filled(200), View(3, 20, "a")
+    r, view = filled(200), SubsetSpec(3, 20, "a")
     at = r.view(1.0, "k", view).version
     for n in range(5):
         assert r.watch_view(2.0, n, view, at, 60.0, "e") is None
@@ -139,7 +141,7 @@
 
 def test_changes_remembered_within_a_view_are_bounded(monkeypatch):
     monkeypatch.setattr(live_view, "MIN_CHANGES_KEPT", 10)
-    r, view = filled(40), View(3, 5, "a")
+    r, view = filled(40), SubsetSpec(3, 5, "a")
     first = r.view(1.0, "k", view).version
     for n in range(200):
         name = f"h{n % 40}"
@@ -151,7 +153,7 @@
 
 
 def test_changes_within_a_view_are_forgotten_in_time():
-    r, view = filled(400), View(3, 40, "a")
+    r, view = filled(400), SubsetSpec(3, 40, "a")
     r.view(1.0, "k", view)
     live, now, names = r.views.live_views[view], 1.0, sorted(members(r, view))
     at = []  # by the minute
@@ -172,7 +174,7 @@
 def test_a_zone_that_goes_is_told_to_views_as_changes_though_whole_lists_forget_it(monkeypatch):
     monkeypatch.setattr(core, "MOST_GONE", 20)
     r = filled(600, zones="abc")
-    all_ = [View(n, 40, "abc"[n % 3]) for n in range(12)]
+    all_ = [SubsetSpec(n, 40, "abc"[n % 3]) for n in range(12)]
     before = {view: members(r, view) for view in all_}
     lists = r.version
     for view in all_:
@@ -192,7 +194,7 @@
 
 
 def test_a_host_that_leaves_a_view_anew_is_told_as_it_was_last():
-    r, view = filled(200), View(3, 20, "a")
+    r, view = filled(200), SubsetSpec(3, 20, "a")
     at = r.view(1.0, None, view).version
     name = sorted(members(r, view))[0]
     for started in (7, 9):
@@ -208,20 +210,24 @@
 def test_more_views_than_may_be_are_refused_and_idle_ones_make_room():
     r = filled(50, most=3)
     for n in range(3):
-        r.view(1.0, None, View(n, 5))
+        r.view(1.0, None, SubsetSpec(n, 5))
     with pytest.raises(TooManyViewsError):
-        r.view(2.0, None, View(3, 5))
-    assert r.watch_view(2.0, "k", View(0, 5), r.version, 60.0, "e") is None
-    r.view(1.5 + views.MIN_IDLE_LIFETIME_S, None, View(3, 5))
-    assert set(r.views.live_views) == {View(0, 5), View(2, 5), View(3, 5)}  # the one that is watched stays
-    r.views.remove_watch(View(1, 5), "k")  # of one that is not there any longer
+        r.view(2.0, None, SubsetSpec(3, 5))
+    assert r.watch_view(2.0, "k", SubsetSpec(0, 5), r.version, 60.0, "e") is None
+    r.view(1.5 + views.MIN_IDLE_LIFETIME_S, None, SubsetSpec(3, 5))
+    assert set(r.views.live_views) == {
+        SubsetSpec(0, 5),
+        SubsetSpec(2, 5),
+        SubsetSpec(3, 5),
+    }  # the one that is watched stays
+    r.views.remove_watch(SubsetSpec(1, 5), "k")  # of one that is not there any longer
 
 
 def test_a_burst_is_told_as_a_whole_and_in_slices(monkeypatch):
     monkeypatch.setattr(core, "SLICE", 100)
     monkeypatch.setattr(views, "BURST_CHANGES", 20)
     r = filled(600, zones="abc")
-    all_ = [View(n, 30, "abc"[n % 3]) for n in range(40)]
+    all_ = [SubsetSpec(n, 30, "abc"[n % 3]) for n in range(40)]
     for view in all_:
         assert r.watch_view(1.0, view, view, r.view(1.0, None, view).version, 60.0, "e") is None
     before = {view: members(r, view) for view in all_}
@@ -240,7 +246,7 @@
 
 def test_a_change_makes_only_those_views_anew_that_it_concerns(monkeypatch):
     r = filled(6000, zones="abcdef")
-    all_ = [View(n, 48, "abcdef"[n % 6]) for n in range(500)]
+    all_ = [SubsetSpec(n, 48, "abcdef"[n % 6]) for n in range(500)]
     for view in all_:
         r.view(1.0, None, view)
     made, remake = [], views.LiveViews.rebuild_group
@@ -261,13 +267,15 @@
 @pytest.mark.parametrize("kinds", [(), ("k",)])
 def test_the_first_host_of_a_zone_and_its_last_are_told_to_all_views_that_they_move(kinds):
     """A view takes more of its own zone the more zones there are beside it."""
-    r, view = filled(600, zones="abbbb"), View(3, 60, "a", kinds)
+    r, view = filled(600, zones="abbbb"), SubsetSpec(3, 60, "a", kinds)
     at, before = r.view(1.0, None, view).version, members(r, view)
     assert r.watch_view(1.0, "k", view, at, 60.0, "e") is None
     r.register(
         2.0,
         host(
-            far := max(r.entries, key=lambda n: (place_of(n) - view.place) % RING) + "x", zone="c", kind="k"
+            far := max(r.entries, key=lambda n: (position_of_endpoint(n) - view.position) % RING_SIZE) + "x",
+            zone="c",
+            kind="k",
         ),
         1,
         60.0,
@@ -289,20 +297,20 @@
     rng, arcs, told = random.Random(3), view_arcs.Arcs(), {}
     for _ in range(600):
         number = rng.randrange(40)
-        live = told[number][0] if number in told else live_view.LiveView(View(number, 5), number, 1)
+        live = told[number][0] if number in told else live_view.LiveView(SubsetSpec(number, 5), number, 1)
         if rng.random() < 0.2:
             arcs.discard(live)
             told.pop(number, None)
         else:
-            length = rng.choice([0, rng.randrange(RING // 50), rng.randrange(RING), None])
-            end = None if length is None else ((live.view.place + length) % RING, "x")
-            arcs.put(live, view_arcs.Part(None, True, (), end))
+            length = rng.choice([0, rng.randrange(RING_SIZE // 50), rng.randrange(RING_SIZE), None])
+            end = None if length is None else ((live.view.position + length) % RING_SIZE, "x")
+            arcs.put(live, view_arcs.SubsetPart(None, True, (), end))
             told[number] = live, length
-        place = rng.choice([0, RING - 1, rng.randrange(RING), live.view.place])
+        place = rng.choice([0, RING_SIZE - 1, rng.randrange(RING_SIZE), live.view.position])
         assert sorted(found.number for found in arcs.covering(place)) == sorted(
             n
             for n, (other, length) in told.items()
-            if length is None or (place - other.view.place) % RING <= length
+            if length is None or (place - other.view.position) % RING_SIZE <= length
         )
 
 
@@ -341,7 +349,7 @@
     zones, kinds = rng.choice(["a", "ab", "abcd"]), rng.choice(["k", "kl"])
     clients = [
         Client(
-            View(
+            SubsetSpec(
                 rng.randrange(9),
                 rng.choice([1, 4, 9, 40]),
                 rng.choice([*zones, ""]),
@@ -430,7 +438,7 @@
         lambda self, place: (
             live
             for live in covering(self, place)
-            if any(place_of(name) == place for hosts in live.hosts.values() for name in hosts)
+            if any(position_of_endpoint(name) == place for hosts in live.hosts.values() for name in hosts)
         ),
     )
 
@@ -526,7 +534,7 @@
 async def test_a_watch_by_view_over_sockets(tmp_path):
     hosts = listed(300)
     async with Serving(tmp_path, hosts) as serving:
-        view = View(4, 30, "b")
+        view = SubsetSpec(4, 30, "b")
         told = await serving.list("?" + view.query())
         assert list(told) == ["version", "full", "epoch", "view", "total", "servers"]
         assert (told["version"], told["full"], told["view"], told["total"]) == (341, True, True, 300)
@@ -565,11 +573,11 @@
 async def test_kinds_are_asked_for_by_name(tmp_path):
     hosts = [h | {"kind": "a,b &%"} if h["kind"] == "k0" else h for h in listed(90)]
     async with Serving(tmp_path, hosts) as serving:
-        view = View(4, 20, "b", ("a,b &%", "k1"))
+        view = SubsetSpec(4, 20, "b", ("a,b &%", "k1"))
         told = await serving.list("?" + view.query())
         assert {h["kind"] for h in told["servers"]} == {"a,b &%", "k1"} and len(told["servers"]) == 20
         assert told["total"] == 60
-        many = View(4, 4000, "b", tuple(f"service-{n}" for n in range(2600)) + ("k1",))
+        many = SubsetSpec(4, 4000, "b", tuple(f"service-{n}" for n in range(2600)) + ("k1",))
         assert len((await serving.list("?" + many.query()))["servers"]) == 6
 
 
@@ -611,7 +619,7 @@
 async def test_many_watchers_of_one_view_get_one_encoding(tmp_path, monkeypatch):
     hosts, made = listed(300), []
     async with Serving(tmp_path, hosts) as serving:
-        view = View(4, 30, "b")
+        view = SubsetSpec(4, 30, "b")
         version = (await serving.list("?" + view.query()))["version"]
         watches = [
             asyncio.create_task(serving.list(f"?{view.query()}&index={version}&wait=20000"))
@@ -639,7 +647,7 @@
         )
         sizes = []
         for n in range(60):
-            told = await serving.list("?" + View(n, 30, "b").query())
+            told = await serving.list("?" + SubsetSpec(n, 30, "b").query())
             sizes.append(len(dumps(told)))
         assert len(made) == len(set(made)) <= 300
         encoder = serving.service.encoder
@@ -686,7 +694,7 @@
 
 @on_loop
 async def test_after_a_restart_of_the_service_the_whole_view_is_told(tmp_path):
-    view = View(4, 30, "b")
+    view = SubsetSpec(4, 30, "b")
     async with Serving(tmp_path, listed(300)) as serving:
         told = await serving.list("?" + view.query())
     async with Serving(tmp_path, listed(300), epoch="e2", first=10_000) as serving:
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -5,7 +5,7 @@
 import pytest
 from netkit import SERVED, Node, StubCounter, StubHost, command, on_loop
 
-from api_gateway.counter_client import Counter, CounterConnection
+from api_gateway.counter_client import CounterClient, CounterConnection
 
 
 @on_loop
@@ -16,7 +16,7 @@
         def add(amount):
             counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
 
-        while counter.lines[0].transport is None:
+        while counter.connections[0].transport is None:
             await asyncio.sleep(0)
         node.counter.silent = True
         add(1)
@@ -37,7 +37,7 @@
         def add():
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
 
-        while counter.lines[0].transport is None:
+        while counter.connections[0].transport is None:
             await asyncio.sleep(0)
         node.counter.silent = True
         add()
@@ -48,7 +48,7 @@
         add()
         assert await results.get() == "connect_failed"
         node.counter.silent = False
-        while counter.lines[0].transport is None:
+        while counter.connections[0].transport is None:
             await asyncio.sleep(0.01)
         add()
         assert await results.get() == "ok"
@@ -61,15 +61,15 @@
 async def test_odd_answers_of_the_counter_cost_only_the_connection(odd, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         counter, results = node.node.counter, asyncio.Queue()
-        while counter.lines[0].transport is None:
+        while counter.connections[0].transport is None:
             await asyncio.sleep(0)
-        old, node.counter.silent = counter.lines[0].transport, True
+        old, node.counter.silent = counter.connections[0].transport, True
         counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
         await node.counter.arrived.get()
         for writer in node.counter.writers:
             writer.write(odd)
         assert await results.get() == "timeout"
-        while counter.lines[0].transport in (None, old):
+        while counter.connections[0].transport in (None, old):
             await asyncio.sleep(0.01)
         assert await node.ask(command()) == SERVED
 
@@ -78,12 +78,12 @@
 async def test_connections_outlive_a_counter_that_closes_idle_ones_early(tmp_path):
     async with StubCounter() as stub:
         stub.idle = 1.0
-        counter = Counter(("127.0.0.1", stub.port), 0.5)
+        counter = CounterClient(("127.0.0.1", stub.port), 0.5)
         counter.start()
-        for _ in counter.lines:  # each line loses one connection and learns from it
+        for _ in counter.connections:  # each line loses one connection and learns from it
             await stub.closed.get()
         seen = stub.pings
-        while stub.pings < seen + 6 * len(counter.lines):
+        while stub.pings < seen + 6 * len(counter.connections):
             await asyncio.sleep(0.01)
         assert stub.closed.qsize() == 0
         counter.close()
@@ -92,9 +92,9 @@
 @on_loop
 async def test_a_call_on_a_connection_just_lost_waits_for_the_next_one():
     async with StubCounter() as stub:
-        counter, results = Counter(("127.0.0.1", stub.port), 5.0), asyncio.Queue()
+        counter, results = CounterClient(("127.0.0.1", stub.port), 5.0), asyncio.Queue()
         counter.start()
-        line = counter.lines[0]
+        line = counter.connections[0]
         while line.transport is None:
             await asyncio.sleep(0)
         for _ in range(4):
@@ -111,9 +111,9 @@
 @on_loop
 async def test_after_a_broken_answer_the_total_is_read(odd):
     async with StubCounter() as stub:
-        counter, results = Counter(("127.0.0.1", stub.port), 5.0), asyncio.Queue()
+        counter, results = CounterClient(("127.0.0.1", stub.port), 5.0), asyncio.Queue()
         counter.start()
-        while counter.lines[0].transport is None:
+        while counter.connections[0].transport is None:
             await asyncio.sleep(0)
         stub.silent = True
         counter.add(8, 2.5, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
--- a/tests/upstream/test_connect_limits.py
+++ b/tests/upstream/test_connect_limits.py
@@ -9,8 +9,8 @@
 from netkit import Node, StubHost, command, on_loop, read_reply, until
 
 from api_gateway.upstream.attempt import Attempt
-from api_gateway.upstream.connect_limits import SharedPool, shared
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.connect_limits import SharedPool, limited_pool_factory
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 
 class Line:
@@ -30,7 +30,7 @@
 
     def start(self, attempt):
         assert not self.ended and not attempt.result
-        attempt.conn, self.is_used = self, True
+        attempt.connection, self.is_used = self, True
         self.served += 1
         asyncio.get_running_loop().call_later(self.rng.random() * 0.002, self.done, attempt)
         return True
@@ -74,8 +74,8 @@
 async def play(seed, kind=SharedPool):
     rng = random.Random(seed)
     host_most, most = rng.randint(1, 4), rng.choice((0, 2, 5))
-    hosts, ended, seen, connects = Hosts(10.0, 30.0, 1000), [], 0, 0
-    make = shared(host_most, most)
+    hosts, ended, seen, connects = EndpointPools(10.0, 30.0, 1000), [], 0, 0
+    make = limited_pool_factory(host_most, most)
 
     class Tried(kind):
         settle_time = 0.002
@@ -86,19 +86,21 @@
             await asyncio.sleep(rng.random() * 0.003)
             return None if rng.random() < 0.1 else Line(self, rng)
 
-    hosts.make = lambda *args: Tried(*args, make(*args).limits)
+    hosts.make_pool = lambda *args: Tried(*args, make(*args).limits)
     for name in ("a", "b", "c"):
-        hosts.listed(name, ("127.0.0.1", 1))
+        hosts.set_address(name, ("127.0.0.1", 1))
     attempts, beside = [], Counter()
     for _ in range(150):
         for _ in range(rng.choice((0, 1, 1, 8))):
             attempts.append(Attempt(rng.choice("abc"), lambda _: b"x", lambda attempt: ended.append(attempt)))
             hosts.send(attempts[-1], 30.0)
         if rng.random() < 0.1:
-            hosts.give_up(rng.choice(attempts), "cancelled") if attempts and not attempts[-1].conn else None
+            hosts.abandon(rng.choice(attempts), "cancelled") if attempts and not attempts[
+                -1
+            ].connection else None
         if rng.random() < 0.02:  # a host goes and comes back elsewhere
-            hosts.listed("a", None)
-            hosts.listed("a", ("127.0.0.1", 2))
+            hosts.set_address("a", None)
+            hosts.set_address("a", ("127.0.0.1", 2))
         await asyncio.sleep(0.0005)
         pools = list(hosts.pools.values())
         seen = max(seen, *(len(pool.connecting) for pool in pools))
@@ -153,11 +155,11 @@
         async def open(self):
             await asyncio.Event().wait()
 
-    hosts, ended = Hosts(0.05, 30.0, 1000), []
-    make = shared(1, most)
-    hosts.make = lambda *args: Slow(*args, make(*args).limits)
+    hosts, ended = EndpointPools(0.05, 30.0, 1000), []
+    make = limited_pool_factory(1, most)
+    hosts.make_pool = lambda *args: Slow(*args, make(*args).limits)
     for name in "ab":
-        hosts.listed(name, ("127.0.0.1", 1))
+        hosts.set_address(name, ("127.0.0.1", 1))
         hosts.send(Attempt(name, lambda _: b"x", ended.append), 30.0)
     await until(lambda: len(ended) == 2)
     assert {attempt.result for attempt in ended} == {"connect_failed"}
@@ -185,15 +187,15 @@
         writer.write(b"".join(command(b"r%d" % n, customer=b"%016x" % n) for n in range(40)))
         most = 0
         for _ in range(40):
-            most = max(most, *(len(pool.connecting) for pool in node.node.hosts.pools.values()))
+            most = max(most, *(len(pool.connecting) for pool in node.node.upstream.pools.values()))
             assert (await read_reply(reader))[:1] in (b"$", b"-")
-        assert all(isinstance(pool, SharedPool) == bounded for pool in node.node.hosts.pools.values())
+        assert all(isinstance(pool, SharedPool) == bounded for pool in node.node.upstream.pools.values())
         if bounded:
             assert most <= 2
             for host in (one, two):  # the loop closes a listener later than it says so
                 host.server.close()
                 await refused(host.port)
-            for conn in list(node.node.hosts.connections):
+            for conn in list(node.node.upstream.connections):
                 conn.close()
             assert (await node.ask(command(b"last"))).startswith((b"-ERR", b"-BUSY"))
-            await until(lambda: not any(pool.waiting for pool in node.node.hosts.pools.values()))
+            await until(lambda: not any(pool.waiting for pool in node.node.upstream.pools.values()))
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -36,7 +36,7 @@
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
             assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
-        assert not node.node.module.fleet.load.has_reports
+        assert not node.node.engine.endpoint_pool.load.has_reports
 
 
 @pytest.mark.parametrize(
@@ -115,14 +115,15 @@
     asks = {"read": command, "note": lambda name: write(name, cls=b"note")}[effect]
     async with ScriptedHost() as host, Node(host, path=tmp_path) as node:
         bear(node.node, 1.0)  # the next one waits for the first one's place
-        node.node.module.fleet.full = lambda *_: (
-            bool(node.node.hosts.connections) and any(conn.attempt for conn in node.node.hosts.connections)
+        node.node.engine.endpoint_pool.is_at_limit = lambda *_: (
+            bool(node.node.upstream.connections)
+            and any(conn.attempt for conn in node.node.upstream.connections)
         )
         first = asyncio.create_task(node.ask(asks(b"r1")))
         _, out = await host.commands.get()
         second = asyncio.create_task(node.ask(asks(b"r2")))
         await until(lambda: "r2" in node.node.in_flight)
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         pool.settle_time, pool.typical_response_time = 10.0, 100.0  # far more than this machine is late
         out.write(value_reply(b"one"))
         assert await first == b"$3\r\none\r\n"
@@ -143,7 +144,7 @@
         _, out = await host.commands.get()
         out.write(value_reply(b"one"))
         assert await first == b"$3\r\none\r\n"
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         (conn,) = pool.idle
         conn.idle_since -= pool.settle_time
         conn.transport.pause_reading()  # as between two turns of the loop
@@ -173,10 +174,10 @@
                 return [api.SendAttempt(event.request_id, "silent")] if isinstance(event, api.Request) else []
 
         node.node.dispatcher.engine = Sender()
-        node.node.hosts.listed("silent", silent.getsockname())
+        node.node.upstream.set_address("silent", silent.getsockname())
         asked = asyncio.create_task(node.ask(command(b"r1", terms(c="note"), b"API.WRITE", body=body)))
-        await until(lambda: any(conn.attempt for conn in node.node.hosts.connections))
-        (conn,) = node.node.hosts.connections
+        await until(lambda: any(conn.attempt for conn in node.node.upstream.connections))
+        (conn,) = node.node.upstream.connections
         await until(lambda: not conn.is_written or len(body) < 100)
         silent.close()  # what nobody accepted is reset
         assert await asked == b"-ERR failed\r\n" and seen == [result]
--- a/tests/upstream/test_endpoint_pools.py
+++ b/tests/upstream/test_endpoint_pools.py
@@ -19,7 +19,7 @@
 
 from api_gateway import interface as api
 from api_gateway.upstream.attempt import Attempt
-from api_gateway.upstream.endpoint_pools import Hosts
+from api_gateway.upstream.endpoint_pools import EndpointPools
 
 
 @on_loop
@@ -46,14 +46,14 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(3):
             assert await node.ask(command(b"r%d" % n)) == SERVED
-            await has_settled(node.node.hosts.pools["h1"])
+            await has_settled(node.node.upstream.pools["h1"])
         assert len(host.writers) == 1
-        (conn,) = node.node.hosts.pools["h1"].idle
-        node.node.hosts.close_stale()
-        assert node.node.hosts.pools["h1"].idle == [conn]
+        (conn,) = node.node.upstream.pools["h1"].idle
+        node.node.upstream.close_stale()
+        assert node.node.upstream.pools["h1"].idle == [conn]
         conn.idle_since -= 28.0  # of the 30 s after which the host would close it
-        node.node.hosts.close_stale()
-        assert node.node.hosts.pools["h1"].idle == []
+        node.node.upstream.close_stale()
+        assert node.node.upstream.pools["h1"].idle == []
         while await host.arrived.get() is not None:
             pass
 
@@ -61,11 +61,11 @@
 @on_loop
 async def test_the_cap_on_connections_holds(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        node.node.hosts.most = 2
+        node.node.upstream.max_connections = 2
         bear(node.node, 100.0)
         asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
         await asyncio.gather(*asked)
-        assert len(host.writers) <= 2 * 3 and node.node.hosts.open <= 2
+        assert len(host.writers) <= 2 * 3 and node.node.upstream.connection_count <= 2
 
 
 @on_loop
@@ -87,7 +87,7 @@
         asked = asyncio.create_task(node.ask(command()))
         await one.arrived.get()
         (attempt,) = node.node.in_flight["r1"].attempts.values()
-        ended = attempt.conn.sock
+        ended = attempt.connection.sock
         node.node.attempts.cancel(api.CancelAttempt("r1", 0))
         with pytest.raises(OSError):  # the socket was shut at once, not in a later turn of the loop
             ended.send(b"x")
@@ -98,12 +98,12 @@
 @on_loop
 async def test_connects_called_off_before_they_began_take_no_room(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        hosts = node.node.hosts
-        hosts.most = 2
+        hosts = node.node.upstream
+        hosts.max_connections = 2
         for _ in range(5):
             attempt = Attempt("h1", lambda _: command(), lambda attempt: None)
             hosts.send(attempt, 3.0)
-            hosts.give_up(attempt, "cancelled")
+            hosts.abandon(attempt, "cancelled")
             assert attempt.result == "connect_failed"
         assert await node.ask(command()) == SERVED
         assert len(host.commands) == 1
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_those_that_rest_stand_in_the_order_of_their_resting_also_those_that_are_put_back(seed):
-    rng, hosts, taken, now = random.Random(seed), Hosts(1.0, 30.0, 10), [], 0.0
+    rng, hosts, taken, now = random.Random(seed), EndpointPools(1.0, 30.0, 10), [], 0.0
     for _ in range(300):
         now += rng.choice((0.0, 0.01, 1.0))
         if hosts.idle and rng.random() < 0.4:
@@ -142,9 +142,9 @@
 @on_loop
 async def test_no_request_change_or_timer_walks_over_all_pools(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        hosts = node.node.hosts
+        hosts = node.node.upstream
         hosts.pools = Walked(hosts.pools)
-        hosts.most = 1
+        hosts.max_connections = 1
         for n in range(3):
             assert await node.ask(command(b"r%d" % n)) == SERVED
         node.discovery.change([entry(host, "h2")])
@@ -153,6 +153,6 @@
         await until(lambda: "h1" not in hosts.pools)
         assert await node.ask(command(b"r4")) == SERVED  # the place of the one that rested
         hosts.close_stale()
-        hosts.make_room()
-        assert hosts.resting() <= hosts.open <= 1
+        hosts.close_excess_idle()
+        assert hosts.idle_count() <= hosts.connection_count <= 1
         hosts.pools = dict(dict.items(hosts.pools))
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -49,9 +49,9 @@
 async def test_an_attempt_whose_time_to_go_out_is_over_ends_unsent_on_a_resting_connection_too(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command()) == SERVED
-        pool, ended = node.node.hosts.pools["h1"], []
+        pool, ended = node.node.upstream.pools["h1"], []
         pool.idle[0].idle_since -= pool.settle_time
-        node.node.hosts.send(Attempt("h1", lambda _: command(b"r2"), ended.append, within=-1.0), 3.0)
+        node.node.upstream.send(Attempt("h1", lambda _: command(b"r2"), ended.append, within=-1.0), 3.0)
         assert [attempt.result for attempt in ended] == ["connect_failed"]
         assert len(pool.idle) == 1 and len(host.commands) == 1
 
@@ -60,7 +60,7 @@
 @on_loop
 async def test_a_request_waits_for_a_connection_that_settles_and_ends_once_however_that_ends(end, tmp_path):
     async with ScriptedHost() as host, Node(host, path=tmp_path) as node:
-        hosts, ended = node.node.hosts, []
+        hosts, ended = node.node.upstream, []
         first = asyncio.create_task(node.ask(command(b"r1")))
         _, out = await host.commands.get()
         pool = hosts.pools["h1"]
@@ -78,10 +78,10 @@
             await until(lambda: ended)
             assert ended[0].result == "ok" and len(hosts.connections) == 1
         elif end == "called off":
-            hosts.give_up(attempt, "cancelled")
+            hosts.abandon(attempt, "cancelled")
             assert pool.idle == [conn] and ended[0].result == "connect_failed"
         elif end == "drained":
-            hosts.listed("h1", None)
+            hosts.set_address("h1", None)
             assert ended[0].result == "connect_failed" and not hosts.connections
         else:
             out.write(value_reply(b"one"))
@@ -96,7 +96,7 @@
     """A request would take many times what the host needs for it."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.ask(command()) == SERVED
-        pool = node.node.hosts.pools["h1"]
+        pool = node.node.upstream.pools["h1"]
         pool.settle_time, pool.typical_response_time = 0.3, pace
         pool.idle[0].idle_since = monotonic()
         assert await node.ask(command(b"r2")) == SERVED
