--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -25,6 +25,7 @@
 )
 
 from api_gateway.control import config_changes as module
+from api_gateway.control import config_history
 from api_gateway.control import config_schema as keys
 from api_gateway.control import server as control
 from api_gateway.control.config_history import ConfigHistory, content_digest, decode_history, make_version
@@ -633,10 +634,10 @@
     history = ConfigHistory("f", (made(1, 10),))
     for n in range(2, 60):
         history = history.add({"n": n}, 1.0, "call")
-    assert len(history.versions) == module.MOST_VERSIONS and history.newest.number == 59
+    assert len(history.versions) == config_history.MAX_VERSIONS and history.newest.number == 59
     for n in range(10):
-        history = history.add({"text": "x" * (module.MOST_BYTES // 2 - 100), "n": n}, 1.0, "call")
-    assert len(history.versions) == 2 and len(history.encode()) < module.MOST_BYTES + 1000
+        history = history.add({"text": "x" * (config_history.MAX_BYTES // 2 - 100), "n": n}, 1.0, "call")
+    assert len(history.versions) == 2 and len(history.encode()) < config_history.MAX_BYTES + 1000
     assert decode_history(history.encode()) == history
 
 
@@ -679,7 +680,7 @@
             SERVED,
             b"-ERR unknown class or plan\r\n",
         }
-        assert not node.node.in_flight and len(changes.history.versions) == module.MOST_VERSIONS
+        assert not node.node.in_flight and len(changes.history.versions) == config_history.MAX_VERSIONS
 
 
 @on_loop
--- a/tests/downstream/test_fair_queueing.py
+++ b/tests/downstream/test_fair_queueing.py
@@ -261,7 +261,7 @@
         self.room, self.work, self.refused, self.served = room, deque(), 0, 0
         self.most = 0
 
-    def command(self, slot, told):
+    def handle_command(self, slot, told):
         if len(self.work) >= self.room:
             self.refused += 1
             slot.connection.on_overload()
@@ -270,7 +270,7 @@
         self.work.append(slot)
         self.most = max(self.most, len(slot.connection.pending_replies))
 
-    def gone(self, slot):
+    def on_client_disconnected(self, slot):
         pass
 
     async def serve(self, until):
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -204,7 +204,7 @@
             while True:
                 while (value := reader.gets()) is not INCOMPLETE:
                     values.append(value)
-                if not reader.begun:
+                if not reader.large_string_bytes:
                     break
                 reader.pass_on(passed.append)
     except hiredis.ProtocolError:
