--- a/api_gateway/control/host_overrides.py
+++ b/api_gateway/control/host_overrides.py
@@ -33,7 +33,7 @@
 
 def encode_overrides(overrides: dict[str, api.EndpointOverride]) -> str:
     """Return the text of the file."""
-    return json.dumps({host: {"out": o.ejected, "at": o.at} for host, o in overrides.items()})
+    return json.dumps({host: {"out": o.ejected, "at": o.overridden_at} for host, o in overrides.items()})
 
 
 def decode_overrides(text: str) -> dict[str, api.EndpointOverride]:
@@ -118,6 +118,6 @@
             self.overrides = {
                 endpoint_id: known
                 for endpoint_id, known in overrides.items()
-                if known.ejected or override.at - known.at < ENDED_OVERRIDE_TTL_S
+                if known.ejected or override.overridden_at - known.overridden_at < ENDED_OVERRIDE_TTL_S
             }
             self.shared_file.write(encode_overrides(self.overrides))
--- a/api_gateway/gateway/attempt_runner.py
+++ b/api_gateway/gateway/attempt_runner.py
@@ -37,7 +37,7 @@
         number = request.attempt_count
         time_left = request.deadline - time.monotonic()
         request.attempt_count += 1
-        is_forbidden_hedge = request.attempts and not request.limits.hedging
+        is_forbidden_hedge = request.attempts and not request.limits.can_hedge
         if time_left <= 0 or number >= request.limits.max_attempts or is_forbidden_hedge:
             ended = api.AttemptEnded(request.id, number, action.endpoint_id, "moot", 0.0, False)
             self._dispatcher.dispatch(ended)
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -13,7 +13,7 @@
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import Address, EndpointListing, read_address, read_list
 from api_gateway.base.errors import ConfigError, config_errors_in_one_line
-from api_gateway.settings_parser import read_settings, seconds
+from api_gateway.settings_parser import read_seconds, read_settings
 
 if TYPE_CHECKING:
     from api_gateway.discovery.subset_config import SubsetConfig
@@ -200,8 +200,8 @@
         max_memory_bytes=float(document["limits"]["memory_mb"]) * BYTES_PER_MB,
         initial_list=read_list(document["known"], "cached"),
         settings=settings,
-        connect_timeout=seconds(limits["connect_timeout"]),
-        endpoint_idle_close=seconds(limits["idle_close"]),
+        connect_timeout=read_seconds(limits["connect_timeout"]),
+        endpoint_idle_close=read_seconds(limits["idle_close"]),
         max_in_flight=int(limits["max_open"]),
         other_replicas=other_replicas,
         saves_list=saves_list,
--- a/api_gateway/gateway/operator_overrides.py
+++ b/api_gateway/gateway/operator_overrides.py
@@ -84,7 +84,7 @@
             return
         self.latest[override.endpoint_id] = override
         # Another process may have made it by another wall clock.
-        override = replace(override, at=self._dispatcher.clock())
+        override = replace(override, overridden_at=self._dispatcher.clock())
         if override.ejected:
             log.info("endpoint ejected by operator override endpoint=%s", override.endpoint_id)
             # The module first: what ends with the connections is not to be sent there once more.
--- a/api_gateway/gateway/request_parser.py
+++ b/api_gateway/gateway/request_parser.py
@@ -63,7 +63,7 @@
     if not _suits_command(service_class, is_write, fields):
         raise BadRequestError("class does not go with this command")
     # The module weighs a request by its units against the mean of all: one of 1e12 spoils that for long.
-    is_in_range = 0 < units <= settings.max_units and milliseconds <= 1000 * LONGEST_CLIENT_WAIT_S
+    is_in_range = 0 < units <= settings.max_request_units and milliseconds <= 1000 * LONGEST_CLIENT_WAIT_S
     if not is_in_range or not 1 <= spread <= settings.gateway_count or first >= settings.gateway_count:
         raise BadRequestError("field out of range")
     return api.Request(
--- a/api_gateway/interface/__init__.py
+++ b/api_gateway/interface/__init__.py
@@ -1,4 +1,4 @@
-"""The types between a gateway and its decision module: settings, events in, actions out."""
+"""Types shared by a gateway and its decision module: settings, input events and output actions."""
 
 from api_gateway.interface.actions import (
     Action,
--- a/api_gateway/interface/actions.py
+++ b/api_gateway/interface/actions.py
@@ -1,6 +1,6 @@
-"""What the decision module has its gateway do: one type for each kind of action.
+"""Actions that the decision module returns for its gateway to execute, one type for each kind.
 
-Times are seconds (floats), ids are opaque text.
+Times are in seconds (floats). IDs are opaque strings.
 """
 
 from __future__ import annotations
@@ -11,53 +11,58 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send a request to an endpoint; its attempts are numbered from 0 in the order of these actions."""
+    """Send a request to an endpoint.
+
+    The attempts of a request are numbered from 0, in the order of these actions.
+    """
 
     request_id: str
     endpoint_id: str
-    timeout: float = 0  # s; 0: until the client gives up
-    send_within: float = math.inf  # s within which it is written, whatever a connect takes; else not at all
+    timeout: float = 0  # s; 0: wait until the client gives up
+    # Seconds within which the request must be written, connecting included. After that it is not sent.
+    send_within: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Tell a client that its request was not carried out, so that trying again is harmless."""
+    """Reject a request that was not executed, so the client can safely retry it."""
 
     request_id: str
-    retry_after: float = 0  # s after which the client may try again; 0: not said
-    overloaded: bool = False  # endpoints lacked capacity, so more of the same sender would find none either
+    retry_after: float = 0  # s after which the client may retry; 0: unspecified
+    # The endpoints lacked capacity, so further requests of the same sender would be rejected as well.
+    overloaded: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Tell a client that its request failed; it may have been executed."""
+    """Answer a client that its request failed, although it may have been executed."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt in flight; its end is reported like any other."""
+    """Cancel an attempt in flight. Its end is reported by AttemptEnded, like that of any other attempt."""
 
     request_id: str
-    attempt: int  # its number
+    attempt: int  # number of the attempt
 
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a count of the shared counter, which reports the total."""
+    """Add an amount to an entry of the shared counter, which replies with the new total."""
 
-    name: int  # of the count
-    amount: float  # below 0 to give back
-    lifetime: float  # s for which the counter keeps the count
+    name: int  # of the counter entry
+    amount: float  # negative to return units
+    lifetime: float  # s until the counter discards the entry
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report when some time has passed; a later timer does not replace those before it."""
+    """Send a TimerFired event after a delay. A new timer does not replace earlier ones."""
 
     delay: float  # s
-    label: int  # comes back with the event
+    label: int  # copied to the TimerFired event
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,28 +81,28 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Poll discovery for the complete endpoint list, once."""
+    """Request the complete endpoint list from discovery once."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Begin or end the watch of the endpoint list."""
+    """Start or stop watching discovery for changes of the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ResizeSubset:
-    """Have this gateway's subset hold so many endpoints that are up from now on, more or fewer."""
+    """Grow or shrink this gateway's subset to the given number of endpoints that are up."""
 
     endpoint_count: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterClockChanged:
-    """Tell whether this gateway's clock is known to differ from the cluster's and is being set.
+    """Report whether this gateway's clock is known to differ from the cluster's and is being adjusted.
 
-    Given after the first check of the cluster's time, and with each change.
+    Returned after the first check of the cluster's time, and again at each change.
     """
 
     synchronizing: bool
@@ -105,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """Write a line to the log."""
+    """Write one line to the gateway's log."""
 
     text: str
 
--- a/api_gateway/interface/checks.py
+++ b/api_gateway/interface/checks.py
@@ -1,15 +1,15 @@
-"""The check that the types of the interface make of their values."""
+"""Value validation for the interface types."""
 
 
 def require(condition: bool, message: str) -> None:
-    """Check a value of the interface.
+    """Raise ValueError unless a condition on a field value holds.
 
     Args:
-        condition: What must hold.
-        message: What is wrong if it does not.
+        condition: Whether the value is valid.
+        message: Describes the fault if the value is invalid.
 
     Raises:
-        ValueError: With the message, if the condition does not hold.
+        ValueError: The condition does not hold; the text is the message.
     """
     if not condition:
         raise ValueError(message)
--- a/api_gateway/interface/events.py
+++ b/api_gateway/interface/events.py
@@ -1,6 +1,7 @@
-"""What happens at a gateway, for its decision module: one type for each kind of event.
+"""Events that a gateway reports to its decision module, one type for each kind.
 
-Times are seconds (floats), ids are opaque text. The clock reading comes with each event, beside it.
+Times are in seconds (floats). IDs are opaque strings. The clock reading is passed next to the event,
+not in it.
 """
 
 from __future__ import annotations
@@ -10,174 +11,176 @@
 from api_gateway.interface.checks import require
 from api_gateway.interface.settings import Settings
 
-# full: the endpoint had no capacity and did not execute it; moot: called off before it was sent, which says
-# nothing of the endpoint
+# full: the endpoint had no capacity and did not execute the request
+# moot: the attempt was cancelled before it was sent, so it says nothing about the endpoint
 ATTEMPT_RESULTS = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot")
-COUNTER_RESULTS = ("ok", "full", "connect_failed", "timeout", "late")  # late: ok, but after its time-out
-# delta: what has changed; full: the complete list; cached: the one that was known; failed: none was had
+COUNTER_RESULTS = ("ok", "full", "connect_failed", "timeout", "late")  # late: ok, but after the timeout
+# delta: only the changes; full: the complete list; cached: the last known list; failed: no list available
 LIST_MODES = ("delta", "full", "cached", "failed")
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A server that requests are sent to, as the endpoint list describes it."""
+    """A server that handles requests, as described by the endpoint list."""
 
     id: str
     zone: str
-    cell: int  # its group within the zone
-    weight: float  # relative size
+    cell: int  # group of endpoints within the zone
+    weight: float  # relative capacity
     kind: str
     state: str  # "up", "leaving" (draining) or "down"
-    started_at: float  # s, clock time of its last start; 0: long ago
+    started_at: float  # s, clock time of the last start; 0: long ago
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(self.state in ("up", "leaving", "down"), f"host {self.id}: unknown state {self.state!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """The endpoint list or changes of it, or that it could not be had."""
+    """The endpoint list, changes to it, or the failure to fetch it."""
 
     mode: str  # one of LIST_MODES
     version: int
     endpoints: tuple[Endpoint, ...]
-    # Endpoints that are up in all: if more than are listed so, the list is a subset of them; 0: no subset
+    # Number of endpoints that are up in the whole deployment. If it exceeds the listed ones that are up, the
+    # list is a subset. 0: the list is not a subset.
     available_total: int = 0
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(self.mode in LIST_MODES, f"unknown list mode {self.mode!r}")
         require(self.available_total >= 0, "negative total")
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request that a client sent."""
+    """A request received from a client."""
 
     request_id: str
     time_left: float  # s until the client gives up
     customer: str
     plan: str
     service_class: str
-    units: float  # that it takes from the quota
-    first_gateway: int  # the first of the customer's gateways, which are counted in a row
-    gateway_spread: int  # how many these are
-    is_retry: bool = False  # the client marks it as a retry of its own
+    units: float  # quota units that the request consumes
+    first_gateway: int  # index of the first of the customer's gateways, which have consecutive indexes
+    gateway_spread: int  # number of the customer's gateways
+    is_retry: bool = False  # marked by the client as its own retry
     is_write: bool = False
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(self.units >= 0, f"request {self.request_id}: negative units")
         require(self.gateway_spread >= 1, f"request {self.request_id}: spread must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended, with or without an answer."""
+    """An attempt ended, with or without a response."""
 
     request_id: str
-    attempt: int  # its number
+    attempt: int  # number of the attempt
     endpoint_id: str
     result: str  # one of ATTEMPT_RESULTS
-    elapsed: float  # s since it was sent
-    is_final: bool  # the request has its answer, or none is wanted any longer
-    metered_use: int = 0  # 1 + percent of the customer's rate used in the last metered period; 0: none
-    actual_units: float = 0  # units that the request really counted; 0: none
-    load_report: dict[str, float] = field(default_factory=dict)  # by field; empty: none
+    elapsed: float  # s since the attempt was sent
+    is_final: bool  # the request has been answered, or no longer needs an answer
+    # 1 + percent of the customer's rate used in the last metered period; 0: not reported
+    metered_use: int = 0
+    actual_units: float = 0  # units that the request actually consumed; 0: not reported
+    load_report: dict[str, float] = field(default_factory=dict)  # value by field; empty: not reported
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(self.result in ATTEMPT_RESULTS, f"unknown result {self.result!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
-    """A call to the shared counter ended."""
+    """A call to the shared counter returned a total or failed."""
 
-    name: int  # of the count
+    name: int  # of the counter entry
     result: str  # one of COUNTER_RESULTS
-    total: float  # of the count after the call
-    elapsed: float  # s since the call
+    total: float  # of the entry after the call
+    elapsed: float  # s since the call was made
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(self.result in COUNTER_RESULTS, f"unknown counter result {self.result!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A health check ended."""
+    """A health check of an endpoint returned or failed."""
 
     endpoint_id: str
     result: str  # one of ATTEMPT_RESULTS
-    elapsed: float  # s
+    elapsed: float  # s since the check was sent
     load_report: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was asked for has fired."""
+    """The delay of a SetTimer action has passed."""
 
-    label: int  # as it was given with the action
+    label: int  # copied from the SetTimer action
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """An endpoint has begun to answer, and the answer flows to the client."""
+    """An endpoint began its response, which is streamed to the client."""
 
     request_id: str
-    attempt: int  # its number
+    attempt: int  # number of the attempt
     endpoint_id: str
-    elapsed: float  # s since it was sent
+    elapsed: float  # s since the attempt was sent
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """A client went away before it had its answer."""
+    """A client disconnected before it received its answer."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another gateway sent a message."""
+    """A message arrived from another gateway."""
 
-    sender: int  # number of that gateway
+    sender: int  # index of the sending gateway
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointOverride:
-    """An operator ejected an endpoint or ended that, whatever the list says of it."""
+    """An operator ejected an endpoint or ended its ejection. This takes precedence over the endpoint list."""
 
     endpoint_id: str
-    ejected: bool  # False: used again, from a slow start: it started at `at` or later
-    at: float  # s, clock time of the override
+    ejected: bool  # False: in use again with a slow start, as if started at `overridden_at` or later
+    overridden_at: float  # s, clock time of the override
 
 
 @dataclass(frozen=True, slots=True)
 class DrainChanged:
-    """A graceful shutdown sends clients away, or they come back."""
+    """A graceful shutdown began to move clients to other gateways, or was cancelled."""
 
-    draining: bool  # False: they come back
+    draining: bool  # False: clients return to this gateway
 
 
 @dataclass(frozen=True, slots=True)
 class WallClockStepped:
-    """The wall clock stepped, or was found to be wrong; the clock that events carry did not move."""
+    """The wall clock stepped or was found to be wrong. The clock used for events did not change."""
 
-    offset: float  # s by which the wall clock is ahead of the clock of events now
+    offset: float  # s by which the wall clock is now ahead of the clock used for events
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterClockNeeded:
-    """The clock comes from a wall clock, so gateways have to agree on the cluster's time by the counter."""
+    """The clock follows a wall clock, so gateways must agree on the cluster's time through the counter."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Settings changed for the requests that come from now on."""
+    """New settings apply to all requests that arrive from now on."""
 
     settings: Settings
 
--- a/api_gateway/interface/settings.py
+++ b/api_gateway/interface/settings.py
@@ -1,7 +1,7 @@
-"""The settings of one deployment, as the decision module reads them.
+"""Settings of one deployment, in the form that the decision module uses.
 
-Times are seconds (floats), names are opaque text. `settings_parser.py` makes these records of a site's
-configuration, whose keys have other names.
+Times are in seconds (floats). Names are opaque strings. `settings_parser.py` builds these records from a
+site's configuration, whose keys have different names.
 """
 
 from __future__ import annotations
@@ -10,29 +10,31 @@
 
 from api_gateway.interface.checks import require
 
-# safe: a repeat changes nothing; keyed: endpoints discard a repeat by its idempotency key; unsafe: neither
+# safe: a repeat has no effect
+# keyed: endpoints discard a repeat by its idempotency key
+# unsafe: a repeat is executed again
 IDEMPOTENCY_LEVELS = ("safe", "keyed", "unsafe")
-# Which endpoints know each other's keys: all, those of a zone, those of a cell
+# Which endpoints share their idempotency keys: all, those of the same zone, or those of the same cell
 DEDUP_SCOPES = ("all", "zone", "cell")
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceClass:
-    """A class of requests: what an answer is worth by when, and whether a repeat is harmless."""
+    """A class of requests: its latency objective, its priority and whether a repeat is harmless."""
 
     name: str
-    latency_objective: float  # s within which an answer has the full priority weight
-    deadline: float  # s that a client waits at most
+    latency_objective: float  # s within which an answer gets the full priority weight
+    deadline: float  # s, maximum time that a client waits
     idempotency: str  # one of IDEMPOTENCY_LEVELS
-    dedup_scope: str  # keyed only: the endpoints that discard a repeat, one of DEDUP_SCOPES
-    dedup_window: float  # keyed only: s for which they do
-    priority_weight: float  # of an answer within the objective, for a unit
-    late_priority_weight: float  # of an answer after it
-    is_streaming: bool  # answers flow for a while after they have begun
+    dedup_scope: str  # keyed only: which endpoints discard a repeat, one of DEDUP_SCOPES
+    dedup_window: float  # keyed only: s for which endpoints remember a key
+    priority_weight: float  # per unit, of an answer within the objective
+    late_priority_weight: float  # of an answer after the objective
+    is_streaming: bool  # responses are streamed and take a while after their start
     objective_stretch: float  # not used by the decision module
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(
             self.idempotency in IDEMPOTENCY_LEVELS, f"class {self.name}: unknown effect {self.idempotency!r}"
         )
@@ -49,26 +51,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer may use: quotas over all gateways, and the worth of its requests."""
+    """A customer's quotas, which hold over all gateways together, and the priority of its requests."""
 
     name: str
-    rate: float  # units a second; 0: no such quota
+    rate: float  # units per second; 0: no rate quota
     burst: float  # units
-    max_concurrent: int  # attempts open at once over all gateways; 0: no such quota
-    price_factor: float  # multiplies the class's priority weight
-    over_quota_weight: float  # what a unit beyond quota earns
-    over_quota_cost: float  # what it costs
-    ceiling_rate: float  # units a second; 0: no ceiling
+    max_concurrent: int  # attempts in flight over all gateways; 0: unlimited
+    priority_factor: float  # multiplies the class's priority weight
+    over_quota_weight: float  # priority weight of a unit over quota
+    over_quota_cost: float  # cost of a unit over quota
+    ceiling_rate: float  # units per second; 0: no ceiling
     ceiling_burst: float  # units
     ceiling_slack: float  # not used by the decision module
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         low = min(
             self.rate,
             self.burst,
             self.max_concurrent,
-            self.price_factor,
+            self.priority_factor,
             self.over_quota_weight,
             self.over_quota_cost,
             self.ceiling_rate,
@@ -84,35 +86,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment can do, and how far an answer may go."""
+    """Features that the deployment supports, and limits on attempts and retries."""
 
     can_cancel: bool  # attempts in flight may be cancelled
-    hedging: bool  # a second attempt may be sent while one is in flight
-    health_checks: bool  # endpoints answer health checks
-    peer_messages: bool  # gateways can send each other messages
-    sends_retry_after: bool  # a rejection says when to come again
-    max_attempts: int  # of a request, the first one included
-    max_retry_after: float  # s
+    can_hedge: bool  # a second attempt may be sent while one is in flight
+    can_check_health: bool  # endpoints answer health checks
+    can_message_peers: bool  # gateways can send each other messages
+    sends_retry_after: bool  # a rejection says when to retry
+    max_attempts: int  # per request, including the first one
+    max_retry_after: float  # s, maximum retry delay in a rejection
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(self.max_attempts >= 1, "max_attempts must be at least 1")
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """How endpoints and discovery behave in this deployment."""
+    """Known behaviour of the endpoints and of discovery in this deployment."""
 
-    answer_slack: float  # s
-    drain_grace: float  # s for which a draining endpoint may still get requests
-    slow_start_min_capacity: float  # part of its capacity that an endpoint has at its start
-    slow_start_duration: float  # s after which it has all of it
-    overload_multiple: float  # of its capacity: an endpoint that gets more while it warms up fails
-    overload_window: float  # s of such load that it bears
-    poll_deadline: float  # s; only where discovery answers polls
+    answer_slack: float  # s; not used by the decision module
+    drain_grace: float  # s for which a draining endpoint may still receive requests
+    slow_start_min_capacity: float  # fraction of its capacity that an endpoint has when it starts
+    slow_start_duration: float  # s until an endpoint has its full capacity
+    overload_multiple: float  # of its current capacity: load above this makes an endpoint in slow start fail
+    overload_window: float  # s for which an endpoint withstands such load
+    poll_deadline: float  # s; only used where discovery is polled
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(0 <= self.slow_start_min_capacity <= 1, "cold_share must lie in 0..1")
         low = min(self.drain_grace, self.slow_start_duration, self.overload_multiple, self.overload_window)
         require(low >= 0, "negative rule figure")
@@ -120,28 +122,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All settings of one gateway."""
+    """The complete settings of one gateway."""
 
-    gateway_index: int  # number of this gateway
+    gateway_index: int  # of this gateway, from 0
     gateway_count: int
     zone: str
     classes: dict[str, ServiceClass]
     plans: dict[str, Plan]
     limits: Limits
     rules: Rules
-    prices: dict[str, float]  # by what they are for, such as cross_zone
-    has_counter: bool  # there is a shared counter
-    counter_price: float  # of a call to it, in attempts
+    prices: dict[str, float]  # by the operation priced, such as cross_zone
+    has_counter: bool  # a shared counter is available
+    counter_price: float  # cost of a call to the counter, in attempts
     counter_timeout: float  # s
-    meter_period: float  # s; 0: use is not metered
-    settles_units: bool  # endpoints tell what units a request really took
-    max_units: float  # of one request
-    discovery_mode: str  # "push": changes are sent, or "ask": the list is polled and watched
+    meter_period: float  # s; 0: usage is not metered
+    reports_actual_units: bool  # endpoints report the units that a request actually consumed
+    max_request_units: float  # maximum units of one request
+    discovery_mode: str  # "push": discovery sends changes; "ask": the list is polled and watched
     load_report_fields: tuple[str, ...]
-    weight_kind: str  # what an endpoint's weight stands for
+    weight_kind: str  # meaning of an endpoint's weight
 
     def __post_init__(self) -> None:
-        """Check the values."""
+        """Validate the field values."""
         require(0 <= self.gateway_index < self.gateway_count, "index must lie in 0..gateways-1")
         require(self.discovery_mode in ("push", "ask"), f"unknown discovery mode {self.discovery_mode!r}")
         require(not self.has_counter or self.counter_timeout > 0, "a counter needs a time-out")
--- a/api_gateway/policy/endpoint_table.py
+++ b/api_gateway/policy/endpoint_table.py
@@ -203,11 +203,11 @@
         old = self.endpoints.get(event.endpoint_id)
         if old is not None:
             self._remove(old)
-        since = self.ejected.pop(event.endpoint_id, event.at)
+        since = self.ejected.pop(event.endpoint_id, event.overridden_at)
         if event.ejected:
-            self.ejected[event.endpoint_id] = event.at
+            self.ejected[event.endpoint_id] = event.overridden_at
         if old is not None and not event.ejected:
-            started_at = old.started_at if old.endpoint.started_at > since else min(event.at, now)
+            started_at = old.started_at if old.endpoint.started_at > since else min(event.overridden_at, now)
             endpoint = EndpointState(old.endpoint, now, self.rng.random(), started_at)
             self._replace(endpoint, old)
             endpoint.is_listed_up = old.is_listed_up
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -190,7 +190,7 @@
         service_class = self.settings.classes[event.service_class]
         plan = self.settings.plans[event.plan]
         account = self.account_table.account_for(now, event, plan, self.cluster_clock.offset)
-        priority = service_class.priority_weight * plan.price_factor * event.units
+        priority = service_class.priority_weight * plan.priority_factor * event.units
         self.quota.record_priority(priority)
         state = RequestState(
             request=event,
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -106,7 +106,7 @@
         """Send one more attempt if there is an endpoint for it; say whether one was sent."""
         if state.sent_count >= state.limits.max_attempts or state.is_streaming:
             return False
-        if state.in_flight and not state.limits.hedging:
+        if state.in_flight and not state.limits.can_hedge:
             return False
         server = self.choose_endpoint(now, state)
         if server is None:
@@ -132,7 +132,12 @@
             return
         self.endpoint_pool.on_attempt_ended(now, event, state.service_class, state.health_keys)
         sent = state.in_flight.pop(event.attempt, None)
-        if event.actual_units and self.settings.settles_units and state.plan.rate and not state.is_over_quota:
+        if (
+            event.actual_units
+            and self.settings.reports_actual_units
+            and state.plan.rate
+            and not state.is_over_quota
+        ):
             state.account.uncharged_units += event.actual_units - state.request.units
         if event.is_final:
             self.requests.finish(now, state)
@@ -189,7 +194,7 @@
             return
         if not self.retry_budget.can_afford(RETRY_COST):
             return
-        if state.limits.hedging:
+        if state.limits.can_hedge:
             if self.send_attempt(now, state):
                 self.retry_budget.spend(RETRY_COST)
             return
--- a/api_gateway/simulator_adapter.py
+++ b/api_gateway/simulator_adapter.py
@@ -1,6 +1,7 @@
-"""Wire adapter: reads batches on standard input, hands events to one Gateway per instance, writes actions.
+"""Simulator adapter: reads event batches from standard input and writes actions to standard output.
 
-It translates only. Run as `python -m api_gateway.simulator_adapter`.
+Each simulated instance has its own DecisionEngine. The adapter only translates between the simulator's
+protocol and the interface types. Run as `python -m api_gateway.simulator_adapter`.
 """
 
 from __future__ import annotations
@@ -13,10 +14,16 @@
 
 from api_gateway import interface as api
 from api_gateway.policy import DecisionEngine
-from api_gateway.settings_parser import NANOSECONDS_PER_SECOND, flag, read_load_report, read_settings, seconds
-
-STATE = {"U": "up", "L": "leaving", "D": "down"}
-RESULT = {
+from api_gateway.settings_parser import (
+    NANOSECONDS_PER_SECOND,
+    read_flag,
+    read_load_report,
+    read_seconds,
+    read_settings,
+)
+
+STATE_BY_AVAILABILITY = {"U": "up", "L": "leaving", "D": "down"}
+RESULT_BY_REASON = {
     "GOOD": "ok",
     "BAD": "error",
     "FULL": "full",
@@ -28,25 +35,25 @@
 }
 
 
-# What follows a line's first word, by name.
+# The name=value parts that follow the first word of a line, by name.
 Fields = dict[str, str]
 
 
 class WireError(Exception):
-    """A line that does not follow the wire.
+    """A line violates the simulator's protocol.
 
     Attributes:
-        instance: The instance that the line named, if any.
+        instance: The instance named by the line, or None.
     """
 
     def __init__(self, text: str, instance: int | None = None) -> None:
-        """Make the error with its text and the instance."""
+        """Create the error from its text and the instance."""
         super().__init__(text)
         self.instance = instance
 
 
-def _tree(pairs: Fields) -> dict[str, Any]:
-    """Return the tree of settings that flat paths name."""
+def _build_settings_tree(pairs: Fields) -> dict[str, Any]:
+    """Convert settings with dotted paths to a nested tree."""
     root: dict[str, Any] = {}
     for path, value in pairs.items():
         branch = root
@@ -59,97 +66,98 @@
     return root
 
 
-def _stats(fields: Fields) -> dict[str, float]:
+def _read_server_stats(fields: Fields) -> dict[str, float]:
     return read_load_report(
         pair.split(":", 1) for pair in fields.get("server_stats", "").split(",") if ":" in pair
     )
 
 
-def _host(fields: Fields) -> api.Endpoint:
+def _read_endpoint(fields: Fields) -> api.Endpoint:
     return api.Endpoint(
         id=fields["host"],
         zone=fields.get("zone", ""),
         cell=int(fields.get("unit_group", 0)),
         weight=float(fields.get("heft", 1)),
         kind=fields.get("flavor", ""),
-        state=STATE[fields["availability"]],
-        started_at=seconds(fields.get("ready_at", "0")),
+        state=STATE_BY_AVAILABILITY[fields["availability"]],
+        started_at=read_seconds(fields.get("ready_at", "0")),
     )
 
 
-def _work_item(fields: Fields) -> api.Request:
-    marks = int(fields.get("marks", 0))
+def _read_request(fields: Fields) -> api.Request:
+    flags = int(fields.get("marks", 0))
     return api.Request(
         request_id=fields["txn"],
-        time_left=seconds(fields["patience_left"]),
+        time_left=read_seconds(fields["patience_left"]),
         customer=fields["customer"],
         plan=fields["tier"],
         service_class=fields["type"],
         units=float(fields["cost_units"]),
         first_gateway=int(float(fields.get("first", 0))),
         gateway_spread=int(float(fields["n_entries"])),
-        is_retry=bool(marks & 2),
-        is_write=bool(marks & 4),
+        is_retry=bool(flags & 2),
+        is_write=bool(flags & 4),
     )
 
 
-def _outcome(fields: Fields) -> api.AttemptEnded:
+def _read_attempt_ended(fields: Fields) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=fields["txn"],
         attempt=int(fields["attempt"]),
         endpoint_id=fields["host"],
-        result=RESULT[fields["reason"]],
-        elapsed=seconds(fields.get("time_taken", "0")),
-        is_final=flag(fields, "terminal"),
+        result=RESULT_BY_REASON[fields["reason"]],
+        elapsed=read_seconds(fields.get("time_taken", "0")),
+        is_final=read_flag(fields, "terminal"),
         metered_use=int(float(fields.get("fleet_use", 0))),
         actual_units=float(fields.get("actual", 0)),
-        load_report=_stats(fields),
+        load_report=_read_server_stats(fields),
     )
 
 
-def _memo(fields: Fields) -> api.PeerMessage:
+def _read_peer_message(fields: Fields) -> api.PeerMessage:
     return api.PeerMessage(sender=int(fields["from"]), data=bytes.fromhex(fields["octets"].strip("-")))
 
 
-READERS: dict[str, Callable[[Fields], api.Event]] = {
-    "WORK_ITEM": _work_item,
-    "REPORT_BACK": _outcome,
+EVENT_READERS: dict[str, Callable[[Fields], api.Event]] = {
+    "WORK_ITEM": _read_request,
+    "REPORT_BACK": _read_attempt_ended,
     "ADDED": lambda fields: api.CounterReply(
         name=int(fields["entry_name"]),
-        result=RESULT[fields["reason"]],
+        result=RESULT_BY_REASON[fields["reason"]],
         total=float(fields.get("now_at", 0)),
-        elapsed=seconds(fields.get("time_taken", "0")),
+        elapsed=read_seconds(fields.get("time_taken", "0")),
     ),
     "PING_RESULT": lambda fields: api.HealthCheckEnded(
         endpoint_id=fields["host"],
-        result=RESULT[fields["reason"]],
-        elapsed=seconds(fields.get("time_taken", "0")),
-        load_report=_stats(fields),
+        result=RESULT_BY_REASON[fields["reason"]],
+        elapsed=read_seconds(fields.get("time_taken", "0")),
+        load_report=_read_server_stats(fields),
     ),
     "DUE": lambda fields: api.TimerFired(label=int(fields["label"])),
     "BEGUN": lambda fields: api.ResponseStarted(
         request_id=fields["txn"],
         attempt=int(fields["attempt"]),
         endpoint_id=fields["host"],
-        elapsed=seconds(fields.get("time_taken", "0")),
+        elapsed=read_seconds(fields.get("time_taken", "0")),
     ),
     "DROPPED": lambda fields: api.ClientDisconnected(request_id=fields["txn"]),
-    "MEMO": _memo,
+    "MEMO": _read_peer_message,
 }
 
 
-def _nanoseconds(seconds: float) -> int:
+def _to_nanoseconds(seconds: float) -> int:
     return math.ceil(seconds * NANOSECONDS_PER_SECOND)
 
 
-# Each takes the instance and the one type of action that it stands for, which a map cannot say.
-WRITERS: dict[type[api.Action], Callable[[int, Any], str]] = {
+# Each function takes an instance and an action of its key's type. The dict type cannot express that relation,
+# hence Any.
+ACTION_WRITERS: dict[type[api.Action], Callable[[int, Any], str]] = {
     api.SendAttempt: lambda instance, action: (
         f"ASSIGN i={instance} txn={action.request_id} "
-        f"timeout={_nanoseconds(action.timeout)} host={action.endpoint_id}"
+        f"timeout={_to_nanoseconds(action.timeout)} host={action.endpoint_id}"
     ),
     api.RejectRequest: lambda instance, action: (
-        f"DECLINE i={instance} txn={action.request_id} hold_off={_nanoseconds(action.retry_after)}"
+        f"DECLINE i={instance} txn={action.request_id} hold_off={_to_nanoseconds(action.retry_after)}"
     ),
     api.FailRequest: lambda instance, action: f"DROP_REQUEST i={instance} txn={action.request_id}",
     api.CancelAttempt: lambda instance, action: (
@@ -157,16 +165,16 @@
     ),
     api.AddToCounter: lambda instance, action: (
         f"CHARGE_COUNTER i={instance} entry_name={action.name} by={action.amount:.7g} "
-        f"forget_after={_nanoseconds(action.lifetime)}"
+        f"forget_after={_to_nanoseconds(action.lifetime)}"
     ),
     api.SetTimer: lambda instance, action: (
-        f"AFTER i={instance} sleep_for={_nanoseconds(action.delay)} label={action.label}"
+        f"AFTER i={instance} sleep_for={_to_nanoseconds(action.delay)} label={action.label}"
     ),
     api.CheckHealth: lambda instance, action: f"TOUCH i={instance} host={action.endpoint_id}",
     api.CloseIdleConnections: lambda instance, action: f"RELEASE i={instance} host={action.endpoint_id}",
     api.FetchEndpoints: lambda instance, action: f"PULL i={instance}",
     api.WatchEndpoints: lambda instance, action: f"WATCH i={instance} active={int(action.enabled)}",
-    # Lists on this wire are complete, and its clock needs no agreement: both are remarks only.
+    # The simulator sends complete lists and its clock needs no synchronization, so both are sent as remarks.
     api.ResizeSubset: lambda instance, action: (
         f"REMARK i={instance} words=a view of {action.endpoint_count} hosts is wanted"
     ),
@@ -177,7 +185,7 @@
 }
 
 
-def _fields(parts: list[str]) -> Fields:
+def _parse_fields(parts: list[str]) -> Fields:
     fields: Fields = {}
     for part in parts:
         name, equals, value = part.partition("=")
@@ -188,34 +196,34 @@
 
 
 class Adapter:
-    """Speaks the wire for all instances of one simulation.
+    """Serves all instances of one simulation over the simulator's protocol.
 
     Attributes:
-        gateways: The decision module of each instance.
-        line: The line that was read last.
-        line_number: Its number, from 1.
+        engines: The decision module of each instance.
+        line: The last line read.
+        line_number: The number of that line, from 1.
     """
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        """Speak on two text streams, which the caller owns."""
+        """Use two text streams, which the caller opens and closes."""
         self.source = source
         self.sink = sink
         self.line_number = 0
         self.line = ""
-        self.gateways: dict[int, DecisionEngine] = {}
+        self.engines: dict[int, DecisionEngine] = {}
 
     def run(self) -> int:
-        """Answer batches until the input ends; return the exit status."""
+        """Answer batches until the end of the input and return the exit status."""
         try:
             while self._answer_batch():
                 pass
-        except WireError as err:
-            print(f"api_gateway: line {self.line_number}: {err}: {self.line[:200]}", file=sys.stderr)
+        except WireError as error:
+            print(f"api_gateway: line {self.line_number}: {error}: {self.line[:200]}", file=sys.stderr)
             return 1
         return 0
 
     def _answer_batch(self) -> bool:
-        """Answer one batch; return False at the end of the input."""
+        """Answer one batch, and return False at the end of the input."""
         line = self._read_line()
         while line == "":
             line = self._read_line()
@@ -223,91 +231,93 @@
             return False
         replies: list[str] = []
         try:
-            now = _read_round(line)
+            now = _read_batch_time(line)
             while (line := self._read_line()) != "GO":
                 if line is None:
                     raise WireError("input ended inside a batch")
                 if line:
                     self._handle_line(now, replies)
-        except WireError as err:
-            if err.instance is not None:
-                replies.append(f"INTERNAL_ERROR i={err.instance} words=line {self.line_number}: {err}")
+        except WireError as error:
+            if error.instance is not None:
+                replies.append(f"INTERNAL_ERROR i={error.instance} words=line {self.line_number}: {error}")
                 self._write(replies)
             raise
         self._write(replies)
         return True
 
     def _handle_line(self, now: float, replies: list[str]) -> None:
-        """Handle the event of the last line."""
-        word, *parts = self.line.split(" ")
+        """Handle the event in the last line read."""
+        command, *parts = self.line.split(" ")
         instance: int | None = None
         try:
-            fields = _fields(parts)
+            fields = _parse_fields(parts)
             instance = int(fields["i"])
-            if word == "DETACH":
-                self.gateways.pop(instance, None)
+            if command == "DETACH":
+                self.engines.pop(instance, None)
                 return
-            read = self._read_instance if word == "PROVISION" else self._read_event
-            act = read(instance, word, fields, now)
-        except WireError as err:
-            raise WireError(str(err), instance) from err
-        except KeyError as err:
-            raise WireError(f"missing or unknown {err}", instance) from err
-        except ValueError as err:
-            raise WireError(str(err), instance) from err
+            read = self._read_instance if command == "PROVISION" else self._read_event
+            handle = read(instance, command, fields, now)
+        except WireError as error:
+            raise WireError(str(error), instance) from error
+        except KeyError as error:
+            raise WireError(f"missing or unknown {error}", instance) from error
+        except ValueError as error:
+            raise WireError(str(error), instance) from error
         try:
-            replies.extend(act())
-        except Exception as err:  # the wire's own way to say that the decision code failed
+            replies.extend(handle())
+        except Exception as error:  # the protocol reports a failure of the decision code as INTERNAL_ERROR
             traceback.print_exc(file=sys.stderr)
-            words = " ".join(f"{type(err).__name__}: {err}".split())
-            replies.append(f"INTERNAL_ERROR i={instance} words={words}")
+            error_text = " ".join(f"{type(error).__name__}: {error}".split())
+            replies.append(f"INTERNAL_ERROR i={instance} words={error_text}")
 
     def _read_instance(
-        self, instance: int, word: str, fields: Fields, now: float
+        self, instance: int, command: str, fields: Fields, now: float
     ) -> Callable[[], Iterable[str]]:
-        """Read the settings of a new instance; return what makes its decision module."""
+        """Read the settings of a new instance and return a function that creates its decision module."""
         seed = int(fields["nonce64"])
         settings = read_settings(
-            _tree({name: value for name, value in fields.items() if name not in ("i", "nonce64")})
+            _build_settings_tree(
+                {name: value for name, value in fields.items() if name not in ("i", "nonce64")}
+            )
         )
 
-        def make() -> Iterable[str]:
-            self.gateways[instance] = DecisionEngine(settings, seed, now)
+        def create_engine() -> Iterable[str]:
+            self.engines[instance] = DecisionEngine(settings, seed, now)
             return ()
 
-        return make
+        return create_engine
 
     def _read_event(
-        self, instance: int, word: str, fields: Fields, now: float
+        self, instance: int, command: str, fields: Fields, now: float
     ) -> Callable[[], Iterable[str]]:
-        """Read an event; return what hands it to its decision module and gives the lines to answer."""
-        if word == "TARGETS":
+        """Read an event and return a function that handles it and returns the reply lines."""
+        if command == "TARGETS":
             event: api.Event = api.EndpointList(
                 mode=fields["mode"],
                 version=int(fields.get("index", 0)),
                 endpoints=self._read_endpoints(int(fields.get("rows_in", 0))),
             )
-        elif word in READERS:
-            event = READERS[word](fields)
+        elif command in EVENT_READERS:
+            event = EVENT_READERS[command](fields)
         else:
-            raise WireError(f"unknown event {word!r}")
-        if instance not in self.gateways:
+            raise WireError(f"unknown event {command!r}")
+        if instance not in self.engines:
             raise WireError(f"instance {instance} has not been set up")
 
-        def handle() -> Iterable[str]:
-            actions = self.gateways[instance].handle(now, event)
-            return (WRITERS[type(action)](instance, action) for action in actions)
+        def handle_event() -> Iterable[str]:
+            actions = self.engines[instance].handle(now, event)
+            return (ACTION_WRITERS[type(action)](instance, action) for action in actions)
 
-        return handle
+        return handle_event
 
     def _read_endpoints(self, count: int) -> tuple[api.Endpoint, ...]:
         endpoints = []
         for _ in range(count):
             line = self._read_line() or ""
-            word, *parts = line.split(" ")
-            if word != "HOST":
-                raise WireError(f"expected HOST, found {word!r}")
-            endpoints.append(_host(_fields(parts)))
+            row_type, *parts = line.split(" ")
+            if row_type != "HOST":
+                raise WireError(f"expected HOST, found {row_type!r}")
+            endpoints.append(_read_endpoint(_parse_fields(parts)))
         return tuple(endpoints)
 
     def _read_line(self) -> str | None:
@@ -324,19 +334,19 @@
         self.sink.flush()
 
 
-def _read_round(line: str) -> float:
-    """Return the time of a batch, in seconds, from its first line."""
-    word, *parts = line.split(" ")
-    if word != "ROUND":
-        raise WireError(f"expected ROUND, found {word!r}")
+def _read_batch_time(line: str) -> float:
+    """Return the time of a batch in seconds, taken from its first line."""
+    command, *parts = line.split(" ")
+    if command != "ROUND":
+        raise WireError(f"expected ROUND, found {command!r}")
     try:
-        return seconds(_fields(parts)["at_time"])
-    except (KeyError, ValueError) as err:
-        raise WireError(f"bad clock: {err}") from err
+        return read_seconds(_parse_fields(parts)["at_time"])
+    except (KeyError, ValueError) as error:
+        raise WireError(f"invalid round time: {error}") from error
 
 
 def main() -> int:
-    """Speak the wire on standard input and output; return the exit status."""
+    """Serve the simulator on standard input and output, and return the exit status."""
     for stream in (sys.stdin, sys.stdout):
         stream.reconfigure(encoding="utf-8")  # type: ignore[union-attr]
     return Adapter(sys.stdin, sys.stdout).run()
--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -83,7 +83,7 @@
         work = node.node.in_flight["r1"]
         (attempt,) = work.attempts.values()
         client, pool = work.slot.connection, node.node.upstream.pools[other(attempt)]
-        work.limits = replace(work.limits, hedging=True)
+        work.limits = replace(work.limits, can_hedge=True)
         if paused:
             client.pause_writing()
             assert client.reading_paused
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -313,7 +313,7 @@
     if (verb == "API.WRITE") != (fields["c"] != "read") or fields["c"] == "write" and not fields.get("k"):
         return None
     if (
-        not 0 < units <= SET.max_units
+        not 0 < units <= SET.max_request_units
         or not 1 <= spread <= SET.gateway_count
         or not 0 <= first < SET.gateway_count
     ):
--- a/tests/golden/test_golden_experiments.py
+++ b/tests/golden/test_golden_experiments.py
@@ -32,8 +32,8 @@
 # Names of the code
 
 HOST, HOST_LIST = api.Endpoint, api.EndpointList
-WORDS_IN = {*adapter.READERS, "TARGETS"}
-KINDS_OUT = set(adapter.WRITERS)
+WORDS_IN = {*adapter.EVENT_READERS, "TARGETS"}
+KINDS_OUT = set(adapter.ACTION_WRITERS)
 STAND_INS = {
     "counter": counter.Counter,
     "discovery": discovery.Discovery,
@@ -98,7 +98,7 @@
 def talk(recorder, *lines):
     out = io.StringIO()
     simulated = adapter.Adapter(io.StringIO("\n".join(("ROUND at_time=1500000000", *lines, "GO", ""))), out)
-    simulated.gateways[3] = recorder
+    simulated.engines[3] = recorder
     return simulated.run(), out.getvalue()
 
 
--- a/tests/policy/test_decision_streams.py
+++ b/tests/policy/test_decision_streams.py
@@ -90,14 +90,14 @@
         rng = self.rng
         plans = [
             plan("small", rate=2.0, burst=8.0),
-            plan("wide", rate=50.0, burst=200.0, price_factor=2.0),
+            plan("wide", rate=50.0, burst=200.0, priority_factor=2.0),
             plan("even", rate=1.0 + rng.randrange(3), burst=6.0, over_quota_weight=0.5, over_quota_cost=0.2),
             plan("capped", rate=20.0, burst=40.0, max_concurrent=12, ceiling_rate=30.0, ceiling_burst=90.0),
         ]
         rules = dict(
             slow_start_duration=rng.choice((5.0, 10.0, 18.0)), slow_start_min_capacity=rng.choice((0.0, 0.2))
         )
-        limits = dict(hedging=rng.random() < 0.7, can_cancel=rng.random() < 0.8)
+        limits = dict(can_hedge=rng.random() < 0.7, can_cancel=rng.random() < 0.8)
         index = getattr(self, "index", rng.randrange(self.gateways))
         return settings(
             plans,
--- a/tests/policy/test_endpoint_subsets.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -19,7 +19,7 @@
 )
 from api_gateway.policy.endpoint_table import DEPARTED_MEMORY_FLOOR, DEPARTED_MEMORY_S, MAX_SAMPLE
 from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SUBSET_SIZE_FACTOR
-from api_gateway.simulator_adapter import WRITERS
+from api_gateway.simulator_adapter import ACTION_WRITERS
 
 BIG = plan(rate=1000.0, burst=4000.0)
 
@@ -176,9 +176,9 @@
 
 
 def test_each_action_has_its_line_on_the_wire():
-    assert set(WRITERS) == set(api.Action.__args__)
+    assert set(ACTION_WRITERS) == set(api.Action.__args__)
     assert (
-        WRITERS[api.ResizeSubset](3, api.ResizeSubset(960))
+        ACTION_WRITERS[api.ResizeSubset](3, api.ResizeSubset(960))
         == "REMARK i=3 words=a view of 960 hosts is wanted"
     )
 
--- a/tests/policy/test_quota_leases.py
+++ b/tests/policy/test_quota_leases.py
@@ -147,7 +147,7 @@
 
 
 def test_settled_units_are_charged():
-    w = World(settings(settles_units=True))
+    w = World(settings(reports_actual_units=True))
     _, acts = w.ask()
     s = of(acts, api.SendAttempt)[0]
     w.end(s, actual_units=6)
--- a/tests/policy/test_request_handling.py
+++ b/tests/policy/test_request_handling.py
@@ -115,7 +115,7 @@
 
 
 def test_no_second_copy_where_not_allowed():
-    w = world(limits=dict(hedging=False))
+    w = world(limits=dict(can_hedge=False))
     out, most = {}, 0
     for _ in range(40):
         acts = w.ask()[1] + w.wait(0.05)
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -7,7 +7,7 @@
 
 OLD = plan(rate=2.0, burst=20.0)
 FASTER = plan(rate=3.0, burst=20.0)  # its windows are shorter
-DEARER = plan(rate=2.0, burst=20.0, price_factor=2.0)
+DEARER = plan(rate=2.0, burst=20.0, priority_factor=2.0)
 TWICE = plan(rate=4.0, burst=40.0)  # windows of the same length
 
 
