--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 from commands import ROOT
-from netkit import on_loop, until
+from netkit import on_loop, wait_until
 
 from api_gateway.budgets.client import BudgetClient, ReserveLock
 from api_gateway.budgets.config import Config
@@ -660,25 +660,25 @@
     def granted(client):
         return client.holder.granted_amount(client.clock(), client.holder.allowances["connections"])
 
-    await until(lambda: all(granted(client) >= 1 for client in clients))
+    await wait_until(lambda: all(granted(client) >= 1 for client in clients))
     twin = BudgetClient(service.config.terms, f"127.0.0.1:{port}", "g0", "z", 0, tmp_path)
     assert not twin.holder.uses_reserve and twin.holder.allowed_amount(twin.clock(), "connections") == 0
-    await until(lambda: service.stored_as_complete)
+    await wait_until(lambda: service.stored_as_complete)
     await service.close()
-    await until(lambda: all(client.failures for client in clients))
+    await wait_until(lambda: all(client.failures for client in clients))
     service = GrantorService(Config(("127.0.0.1", port), service.config.terms, service.config.log, {}))
     await service.start()
     assert describe_grantor(service.grantor, service.clock())["learning"] == 0
-    await until(lambda: all(not client.failures for client in clients))
+    await wait_until(lambda: all(not client.failures for client in clients))
     service.store.write = lambda *_, **__: (_ for _ in ()).throw(GrantLogError(tmp_path, "full"))
     late = BudgetClient(service.config.terms, f"127.0.0.1:{port}", "late", "z", 5, tmp_path)
     late.start()
-    await until(lambda: not service.grantor.is_log_writable and late.holder.was_answered)
+    await wait_until(lambda: not service.grantor.is_log_writable and late.holder.was_answered)
     assert granted(late) == 0 and all(granted(client) >= 1 for client in clients)
     del service.store.write
-    await until(lambda: granted(late) >= 1 and service.grantor.is_log_writable)
+    await wait_until(lambda: granted(late) >= 1 and service.grantor.is_log_writable)
     clients[0].holder.incarnation -= 1  # it is told that a newer one is there
-    await until(lambda: clients[0].holder.is_superseded)
+    await wait_until(lambda: clients[0].holder.is_superseded)
     async with aiohttp.ClientSession() as session:
         base = f"http://127.0.0.1:{port}"
         for method, path, data, status in (
@@ -699,15 +699,15 @@
 async def test_a_second_grantor_on_one_log_waits_until_what_the_first_granted_has_ended(tmp_path):
     first, second = GrantorService(config(tmp_path)), GrantorService(config(tmp_path))
     await first.start()
-    await until(lambda: first.writes)
+    await wait_until(lambda: first.writes)
     await second.start()
     second.grantor.learned_at = 0.0  # it has waited long enough by its own start
-    await until(lambda: not second.log_waiters)
+    await wait_until(lambda: not second.log_waiters)
     assert (
         not second.grantor.is_log_writable and not second.is_log_read
     )  # a paused one has the log still, too
     await first.close()
-    await until(lambda: second.is_log_read and second.grantor.is_log_writable)
+    await wait_until(lambda: second.is_log_read and second.grantor.is_log_writable)
     assert second.grantor.term > first.grantor.term
     assert describe_grantor(second.grantor, second.clock())["learning"] > 0 and not second.stored_as_complete
     await second.close()
--- a/tests/commands.py
+++ b/tests/commands.py
@@ -18,8 +18,8 @@
     def __init__(
         self, *args, cwd=ROOT, program=(sys.executable, "-m", "api_gateway.cli"), scratch=None, env=None
     ):
-        self.mark, self.scratch = uuid.uuid4().hex, scratch
-        env = {**os.environ, **(env or {}), "CINDER_TEST": self.mark}
+        self.environment_marker, self.scratch = uuid.uuid4().hex, scratch
+        env = {**os.environ, **(env or {}), "CINDER_TEST": self.environment_marker}
         if scratch:
             env["TMPDIR"] = str(scratch)
         self.process = subprocess.Popen(
@@ -32,27 +32,27 @@
             start_new_session=True,
         )
 
-    def left(self):
+    def running_processes(self):
         """Command lines by process id; those that have ended and are not waited for yet do not count."""
         found = {}
         for path in Path("/proc").glob("[0-9]*"):
             try:
-                if self.mark.encode() in (path / "environ").read_bytes():
+                if self.environment_marker.encode() in (path / "environ").read_bytes():
                     found[int(path.name)] = (path / "cmdline").read_bytes().replace(b"\0", b" ").decode()
             except OSError:
                 pass
-        return {number: line for number, line in found.items() if line}
+        return {pid: line for pid, line in found.items() if line}
 
-    def until(self, check, seconds=30):
-        end = time.monotonic() + seconds
-        while not check():
-            assert time.monotonic() < end, "not in time"
+    def wait_until(self, condition, seconds=30):
+        deadline = time.monotonic() + seconds
+        while not condition():
+            assert time.monotonic() < deadline, "not in time"
             time.sleep(0.05)
 
-    def asking(self):
+    def wait_for_clients(self):
         """Waits until a gateway of the demo has clients."""
 
-        def clients():
+        def has_clients():
             try:
                 (file,) = self.scratch.glob("cinderrouter-*/gateway-0.json")
                 control = json.loads(file.read_text())["control"]
@@ -61,7 +61,7 @@
             except (OSError, ValueError):
                 return False
 
-        self.until(clients)
+        self.wait_until(has_clients)
 
     def result(self, seconds=60):
         out, err = self.process.communicate(timeout=seconds)
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -17,11 +17,11 @@
     StubHost,
     command,
     entry,
-    has_settled,
     on_loop,
     read_reply,
     terms,
-    until,
+    wait_until,
+    wait_until_settled,
 )
 
 from api_gateway.control import config_changes as module
@@ -42,7 +42,7 @@
 
 
 async def config(node):
-    return (await node.call("GET /config"))[1]
+    return (await node.call_control("GET /config"))[1]
 
 
 async def candidate(node, **kw):
@@ -59,7 +59,7 @@
 async def apply(node, text, expect=None, within=None):
     expect = (await config(node))["version"] if expect is None else expect
     more = f"&confirm_within={within}" if within else ""
-    return await node.call(f"POST /config/apply?expect={expect}{more}", text)
+    return await node.call_control(f"POST /config/apply?expect={expect}{more}", text)
 
 
 def in_force(node):
@@ -97,7 +97,7 @@
         )
         before = in_force(node)
         good = await candidate(node, settings__plans__0__rate=5.0, limits__sockets=900)
-        assert await node.call("POST /config/check", good) == (
+        assert await node.call_control("POST /config/check", good) == (
             200,
             {
                 "more": 0,
@@ -108,10 +108,10 @@
             },
         )
         bad = await candidate(node, settings__plans__0__rate="5", discovery="nowhere")
-        status, told = await node.call("POST /config/check", bad)
+        status, told = await node.call_control("POST /config/check", bad)
         assert status == 400 and {f["path"] for f in told["faults"]} == {"discovery", "settings.plans.0.rate"}
-        assert (await node.call("POST /config/check", b"{"))[0] == 400
-        assert (await node.call("POST /config/check", b" " * (keys.MOST_BODY + 1)))[0] == 400
+        assert (await node.call_control("POST /config/check", b"{"))[0] == 400
+        assert (await node.call_control("POST /config/check", b" " * (keys.MOST_BODY + 1)))[0] == 400
         assert in_force(node) == before and (await config(node))["version"] == 1
 
 
@@ -124,13 +124,13 @@
             settings__limits__connect_timeout=100_000_000,
             limits__sockets=512,
         )
-        assert await node.ask(command(b"early", terms(c="extra"))) != SERVED
+        assert await node.send_command(command(b"early", terms(c="extra"))) != SERVED
         for changed in (True, False):
             status, told = await apply(node, text, 1)
             assert (status, told["version"], told["by"], told["changed"]) == (200, 2, "call", changed)
-        assert await node.ask(command(b"late", terms(c="extra"))) == SERVED
+        assert await node.send_command(command(b"late", terms(c="extra"))) == SERVED
         assert node.node.upstream.connect_timeout == 0.1 and node.node.clients.capacity == (512 - 64) // 2
-        history = (await node.call("GET /config/history"))[1]["versions"]
+        history = (await node.call_control("GET /config/history"))[1]["versions"]
         assert [(v["version"], v["by"], v["in_force"]) for v in history] == [
             (1, "start", False),
             (2, "call", True),
@@ -142,7 +142,7 @@
     """Nothing may fail once a change is being brought into force."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         status, told = await apply(node, await candidate(node, limits__memory_mb=1e308), 1)
-        assert (status, told["version"]) == (200, 2) and await node.ask(command()) == SERVED
+        assert (status, told["version"]) == (200, 2) and await node.send_command(command()) == SERVED
 
 
 @on_loop
@@ -189,7 +189,7 @@
 async def test_a_wrong_call_is_a_no_and_changes_nothing(call, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         before, text = in_force(node), await candidate(node, settings__plans__0__rate=5.0)
-        assert 400 <= (await node.call(call, text))[0] < 500
+        assert 400 <= (await node.call_control(call, text))[0] < 500
         assert in_force(node) == before
 
 
@@ -222,10 +222,10 @@
         text = await candidate(node, settings__services=[*SETTINGS["services"], EXTRA])
         status, told = await apply(node, text, within=1)
         assert status == 200 and told["pending"]["version"] == 2 and told["pending"]["back"] == 1
-        await until(lambda: "extra" not in node.node.settings.classes)
+        await wait_until(lambda: "extra" not in node.node.settings.classes)
         told = await config(node)
         assert (told["version"], told["by"], told["of"], told["pending"]) == (3, "expiry", 1, None)
-        assert (await node.call("POST /config/confirm?version=2"))[0] == 409
+        assert (await node.call_control("POST /config/confirm?version=2"))[0] == 409
 
 
 @on_loop
@@ -235,9 +235,9 @@
         assert (await apply(node, text, within=600))[0] == 200
         other = await candidate(node, settings__plans__0__rate=7.0)
         assert (await apply(node, other))[0] == 409  # until it is confirmed
-        assert (await node.call("POST /config/confirm?version=1"))[0] == 409
+        assert (await node.call_control("POST /config/confirm?version=1"))[0] == 409
         for _ in range(2):
-            status, told = await node.call("POST /config/confirm?version=2")
+            status, told = await node.call_control("POST /config/confirm?version=2")
             assert status == 200 and told["pending"] is None
         assert node.node.changes.confirmation_timer is None and (await config(node))["version"] == 2
 
@@ -251,7 +251,7 @@
             number = (await apply(node, text, within=3600))[1]["version"]
             until_ = changes.history.pending.deadline
             node.node.clock = lambda until_=until_, late=late: until_ - (0 if late else 1e-6)
-            status, _ = await node.call(f"POST /config/confirm?version={number}")
+            status, _ = await node.call_control(f"POST /config/confirm?version={number}")
             node.node.clock = lambda: now
             assert status == (409 if late else 200)
             assert (await config(node))["by"] == ("expiry" if late else "call")
@@ -264,13 +264,13 @@
             other.servers = [entry(host)]
             assert (await apply(node, await candidate(node, discovery=f"127.0.0.1:{other.port}")))[0] == 200
             assert node.node.discovery.url.startswith(f"http://127.0.0.1:{other.port}/")
-            status, told = await node.call("POST /config/rollback?to=1")
+            status, told = await node.call_control("POST /config/rollback?to=1")
             assert (status, told["version"], told["by"], told["of"]) == (200, 3, "rollback", 1)
-            assert (await node.call("POST /config/rollback?to=1"))[1]["changed"] is False
+            assert (await node.call_control("POST /config/rollback?to=1"))[1]["changed"] is False
         before = in_force(node)
-        status, told = await node.call("POST /config/rollback?to=2")  # its discovery is gone
+        status, told = await node.call_control("POST /config/rollback?to=2")  # its discovery is gone
         assert status == 503 and told["step"] == "discovery" and in_force(node) == before
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
 
 
 @on_loop
@@ -297,10 +297,10 @@
         assert (await config(node))["by"] == "signal" and node.node.discovery.url.startswith(
             "http://127.0.0.1:1/"
         )
-        assert await node.ask(command(b"a")) == SERVED
-        assert (await node.call("POST /config/rollback?to=1"))[0] == 200
+        assert await node.send_command(command(b"a")) == SERVED
+        assert (await node.call_control("POST /config/rollback?to=1"))[0] == 200
         assert node.node.discovery.url.startswith(f"http://127.0.0.1:{node.discovery.port}/")
-        assert await node.ask(command(b"b")) == SERVED
+        assert await node.send_command(command(b"b")) == SERVED
 
 
 @on_loop
@@ -360,10 +360,12 @@
         Node(host, path=tmp_path) as node,
     ):
         other.servers = [entry(host), entry(host, "h2")]
-        await until(lambda: all(line.transport for line in node.node.counter.connections))
-        assert await node.ask(command(b"before")) == SERVED
-        await until(lambda: not node.node.clients.connections)
-        await has_settled(node.node.upstream.pools["h1"])  # the next request goes out on the same connection
+        await wait_until(lambda: all(line.transport for line in node.node.counter.connections))
+        assert await node.send_command(command(b"before")) == SERVED
+        await wait_until(lambda: not node.node.clients.connections)
+        await wait_until_settled(
+            node.node.upstream.pools["h1"]
+        )  # the next request goes out on the same connection
         text = await candidate(
             node,
             settings__services=[*SETTINGS["services"], EXTRA],
@@ -386,8 +388,8 @@
             status, told = await apply(node, text)
         assert status == 503 and told["step"] == step and "planted" in told["error"]
         assert in_force(node) == before and (tmp_path / "n0-config.json").read_bytes() == kept
-        assert await node.ask(command(b"after")) == SERVED
-        await until(lambda: not node.node.clients.connections)
+        assert await node.send_command(command(b"after")) == SERVED
+        await wait_until(lambda: not node.node.clients.connections)
         assert (await apply(node, text))[0] == 200  # and nothing stands in the way of a second try
         now = in_force(node)
         assert {name for name in now if now[name] == before[name]} == {"connections"}
@@ -410,7 +412,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for _ in range(45):
             await node.connect()
-        await until(lambda: len(node.node.clients.connections) == 45)
+        await wait_until(lambda: len(node.node.clients.connections) == 45)
         before = in_force(node)
         status, told = await apply(node, await candidate(node, **{path: value}))
         assert status == 409 and word in told["error"] and in_force(node) == before
@@ -428,9 +430,9 @@
             assert (await read_reply(reader))[:1] in (b"$", b"-")
         host.answer = None
         peers[0][1].write(command(b"open"))
-        await until(lambda: host.commands and host.commands[-1][2] == b"open")
+        await wait_until(lambda: host.commands and host.commands[-1][2] == b"open")
         assert (await apply(node, await candidate(node, limits__sockets=140)))[0] == 200
-        await until(lambda: len(node.node.clients.connections) <= node.node.clients.capacity)
+        await wait_until(lambda: len(node.node.clients.connections) <= node.node.clients.capacity)
         assert (
             0 < node.node.clients.capacity < 45
             and node.node.upstream.connection_count <= node.node.upstream.max_connections
@@ -449,8 +451,8 @@
             assert status == 503 and told["step"] == "counter"
         silent.close()
         assert (await apply(node, await candidate(node, counter=f"127.0.0.1:{other.port}")))[0] == 200
-        await until(lambda: all(line.transport for line in node.node.counter.connections))
-        assert await node.ask(command(b"a", terms(t="small"))) == SERVED
+        await wait_until(lambda: all(line.transport for line in node.node.counter.connections))
+        assert await node.send_command(command(b"a", terms(t="small"))) == SERVED
         assert other.pings >= 1 and all(
             line.address[1] == other.port for line in node.node.counter.connections
         )
@@ -459,10 +461,10 @@
 @on_loop
 async def test_at_its_end_a_process_takes_no_change_and_a_drain_does_not_mind_one(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert (await node.call("POST /standby"))[0] == 200
+        assert (await node.call_control("POST /standby"))[0] == 200
         text = await candidate(node, settings__plans__0__rate=5.0)
         assert (await apply(node, text))[0] == 200 and node.node.state == "standby"
-        assert (await node.call("POST /active"))[0] == 200
+        assert (await node.call_control("POST /active"))[0] == 200
 
         async def told_to_end(changes, change):
             node.node.serving.state = "stopping"
@@ -485,8 +487,8 @@
             node, settings__services=SETTINGS["services"][1:], settings__plans=SETTINGS["plans"][:1]
         )
         assert (await apply(node, text))[0] == 200
-        assert await node.ask(command(b"new", terms(c="read"))) == b"-ERR unknown class or plan\r\n"
-        assert await node.ask(command(b"new", terms(t="small"))) == b"-ERR unknown class or plan\r\n"
+        assert await node.send_command(command(b"new", terms(c="read"))) == b"-ERR unknown class or plan\r\n"
+        assert await node.send_command(command(b"new", terms(t="small"))) == b"-ERR unknown class or plan\r\n"
         host.writers[0].write(VALUE)
         assert await read_reply(reader) == SERVED
 
@@ -498,12 +500,12 @@
 async def test_two_processes_end_on_the_same_version_whichever_got_the_call(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as old:
         assert (await apply(old, await candidate(old, settings__plans__0__rate=5.0)))[0] == 200
-        async with Node(host, path=tmp_path, beside=old) as new:
+        async with Node(host, path=tmp_path, sibling=old) as new:
             assert new.node.settings.plans["p"].rate == 5.0  # it goes on where the other stands
             for number, (one, two) in enumerate(((old, new), (new, old)), 3):
                 text = await candidate(one, settings__plans__0__rate=float(number))
                 assert (await apply(one, text))[0] == 200
-                await until(lambda two=two, number=number: two.node.settings.plans["p"].rate == number)
+                await wait_until(lambda two=two, number=number: two.node.settings.plans["p"].rate == number)
                 assert (await config(one)) | {"pending": None} == await config(two)
             stale = await candidate(old, settings__plans__0__rate=99.0)
             assert (await apply(new, await candidate(new, settings__plans__0__rate=8.0)))[0] == 200
@@ -515,15 +517,15 @@
     async with (
         StubHost() as host,
         Node(host, path=tmp_path) as old,
-        Node(host, path=tmp_path, beside=old) as new,
+        Node(host, path=tmp_path, sibling=old) as new,
     ):
         assert (await apply(old, await candidate(old, settings__plans__0__rate=5.0), within=3600))[0] == 200
-        assert (await new.call("POST /config/confirm?version=2"))[0] == 200
+        assert (await new.call_control("POST /config/confirm?version=2"))[0] == 200
         assert (await config(old))["pending"] is None and old.node.changes.confirmation_timer is None
         assert (await apply(old, await candidate(old, settings__plans__0__rate=6.0), within=1))[0] == 200
         old.node.changes.close()  # it dies: the other sees to the end of the time
         old.node.watch.timer.cancel()
-        await until(lambda: new.node.changes.current.origin == "expiry")
+        await wait_until(lambda: new.node.changes.current.origin == "expiry")
         assert new.node.settings.plans["p"].rate == 5.0 and new.node.changes.current.restored == 2
 
 
@@ -534,9 +536,9 @@
         old.node.changes.close()
         old.node.watch.timer.cancel()
         pending = old.node.changes.history.pending
-        await until(lambda: old.node.clock() > pending.deadline)
-        async with Node(host, path=tmp_path, beside=old) as new:
-            await until(lambda: new.node.changes.current.origin == "expiry")
+        await wait_until(lambda: old.node.clock() > pending.deadline)
+        async with Node(host, path=tmp_path, sibling=old) as new:
+            await wait_until(lambda: new.node.changes.current.origin == "expiry")
             assert new.node.settings.plans["p"].rate == 1000.0
 
 
@@ -555,7 +557,7 @@
         with pytest.raises(Killed):
             await old.node.changes.apply(text, 1, None)
         assert old.node.settings.plans["p"].rate == 1000.0
-        async with Node(host, path=tmp_path, beside=old) as new:
+        async with Node(host, path=tmp_path, sibling=old) as new:
             assert (await config(new))["version"] == 2 and new.node.settings.plans["p"].rate == 5.0
 
 
@@ -565,7 +567,7 @@
         tree = json.loads(old.file.read_text())
         tree["settings"]["plans"][0]["rate"] = 50.0
         old.file.write_text(json.dumps(tree))
-        async with Node(host, path=tmp_path, beside=old) as new:
+        async with Node(host, path=tmp_path, sibling=old) as new:
             assert new.node.settings.plans["p"].rate == 50.0 and (await config(new))["version"] == 2
             told = await config(old)
             assert (told["version"], told["newest"]) == (1, 2) and old.node.settings.plans["p"].rate == 1000.0
@@ -573,7 +575,7 @@
             assert (await apply(old, text, 1))[0] == 409
             status, answer = await apply(old, text, 2)
             assert (status, answer["version"]) == (200, 3)
-            await until(lambda: new.node.settings.plans["p"].rate == 1000.0)
+            await wait_until(lambda: new.node.settings.plans["p"].rate == 1000.0)
 
 
 @pytest.mark.parametrize(
@@ -607,7 +609,7 @@
             "version"
         ] == 1 and "configuration history not read, version in force stays" in caplog.text
         assert (await apply(old, await candidate(old, settings__plans__0__rate=5.0)))[0] == 200
-        async with Node(host, path=tmp_path, beside=old) as new:
+        async with Node(host, path=tmp_path, sibling=old) as new:
             assert (await config(new))["version"] == 2
 
 
@@ -618,9 +620,9 @@
         changes, path = node.node.changes, node.node.changes.history_file.shared_file.path
         changes.history_file.shared_file.path = tmp_path / "none" / "there.json"
         changes.history_file.shared_file.last_signature = None
-        assert (await node.call("POST /config/confirm?version=2"))[0] == 500
+        assert (await node.call_control("POST /config/confirm?version=2"))[0] == 500
         assert changes.history.pending is not None
-        assert (await node.call("POST /config/rollback?to=1"))[0] == 503
+        assert (await node.call_control("POST /config/rollback?to=1"))[0] == 503
         end = changes.history.pending.deadline
         changes.node.clock = lambda: end
         changes.expire()
@@ -677,7 +679,7 @@
         for n in range(300):
             seen = len(answers)
             await changes.apply(texts[(n + 1) % 2], changes.history.newest.number, None)
-            await until(lambda seen=seen: len(answers) >= seen + 3)
+            await wait_until(lambda seen=seen: len(answers) >= seen + 3)
         done.set()
         await asyncio.gather(*clients)
         assert changes.current.number == 301 and len(answers) > 300
@@ -699,7 +701,7 @@
         for n in range(80):
             await node.node.changes.apply(texts[n % 4], node.node.changes.history.newest.number, None)
             for m in range(3):
-                served += await node.ask(command(b"q%d-%d" % (n, m), customer=customer)) == SERVED
+                served += await node.send_command(command(b"q%d-%d" % (n, m), customer=customer)) == SERVED
         assert 30 <= served <= 40 + 0.5 * (node.node.clock() - began) + 4
 
 
--- a/tests/control/test_config_changes_model.py
+++ b/tests/control/test_config_changes_model.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from netkit import told
+from netkit import gateway_config
 
 from api_gateway.control.config_changes import ConfigChanges
 from api_gateway.control.config_history import MAX_VERSIONS, ConfigHistoryFile, decode_history
@@ -86,7 +86,7 @@
         self.processes = [Process(self, self.env), None]
 
     def tree(self, rate, dead=False):
-        tree = json.loads(json.dumps(told([], 7, 8)))
+        tree = json.loads(json.dumps(gateway_config([], 7, 8)))
         tree["settings"]["plans"][0]["rate"] = float(rate)
         tree["discovery"] = DEAD if dead else tree["discovery"]
         return tree
--- a/tests/control/test_config_schema.py
+++ b/tests/control/test_config_schema.py
@@ -4,14 +4,14 @@
 from pathlib import Path
 
 import pytest
-from netkit import told
+from netkit import gateway_config
 
 from api_gateway.control import config_candidate as candidate
 from api_gateway.control import config_schema as keys
 from api_gateway.gateway.config import build_config
 
 ROOT = Path(__file__).resolve().parents[2]
-LAST = told([], 1, 2)
+LAST = gateway_config([], 1, 2)
 
 
 def spoilt(path, value):
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, entry, on_loop, read_reply, until
+from netkit import SERVED, VALUE, Node, StubHost, command, entry, on_loop, read_reply, wait_until
 
 from api_gateway.control import server as control
 from api_gateway.downstream import client_connection as clients
@@ -16,9 +16,9 @@
 @on_loop
 async def test_status_says_yes_only_where_clients_can_be_served(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert (await node.call("GET /status"))[0] == 200
-        await node.call("POST /standby")
-        status, told = await node.call("GET /status")
+        assert (await node.call_control("GET /status"))[0] == 200
+        await node.call_control("POST /standby")
+        status, told = await node.call_control("GET /status")
         listed = told.pop("list")
         assert (status, told) == (
             503,
@@ -33,7 +33,7 @@
         )
         assert listed["version"] == 1 and listed["age"] < 20 and listed["failures"] == 0
     async with Node(path=tmp_path) as node:  # it knows no host
-        assert (await node.call("GET /status"))[0] == 503
+        assert (await node.call_control("GET /status"))[0] == 503
 
 
 @pytest.mark.parametrize(
@@ -58,9 +58,9 @@
 @on_loop
 async def test_a_wrong_call_is_a_no_and_changes_nothing(call, status, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert (await node.call(call))[0] == status
-        assert (await node.call("GET /status"))[1]["hosts"] == ["h1"] and node.node.state == "active"
-        assert await node.ask(command()) == SERVED
+        assert (await node.call_control(call))[0] == status
+        assert (await node.call_control("GET /status"))[1]["hosts"] == ["h1"] and node.node.state == "active"
+        assert await node.send_command(command()) == SERVED
 
 
 @on_loop
@@ -70,9 +70,9 @@
             await asyncio.open_connection("127.0.0.1", node.control_port)
             for _ in range(2 * control.MOST_CALLERS)
         ]
-        assert (await node.call("GET /status"))[0] == 200
+        assert (await node.call_control("GET /status"))[0] == 200
         assert await idle[0][0].read() == b""  # the oldest went
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         monkeypatch.setattr(control, "CALL_TIMEOUT_S", 0.05)
         reader, writer = await asyncio.open_connection("127.0.0.1", node.control_port)
         assert await reader.read() == b""
@@ -84,30 +84,30 @@
 async def test_a_host_out_by_hand_gets_nothing_whatever_the_list_says_until_one_call_back(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while not one.commands:
-            assert await node.ask(command(b"a%d" % time.monotonic_ns())) == SERVED
+            assert await node.send_command(command(b"a%d" % time.monotonic_ns())) == SERVED
         assert one.connections
         for _ in range(2):
-            assert (await node.call("POST /maintenance/enter?host=h1"))[0] == 200
-        await until(lambda: not one.connections)  # connections that rest there go too
+            assert (await node.call_control("POST /maintenance/enter?host=h1"))[0] == 200
+        await wait_until(lambda: not one.connections)  # connections that rest there go too
         fresh = entry(one, "h1") | {"started_ms": int(time.time() * 1000)}
         node.discovery.change([fresh])  # it was restarted meanwhile
-        await until(lambda: node.node.discovery.version == 2)
+        await wait_until(lambda: node.node.discovery.version == 2)
         before = len(one.commands)
         for n in range(30):
-            assert await node.ask(command(b"b%d" % n)) == SERVED
+            assert await node.send_command(command(b"b%d" % n)) == SERVED
         assert len(one.commands) == before
-        assert (await node.call("POST /maintenance/exit?host=h1"))[0] == 200
-        assert (await node.call("GET /status"))[1]["hosts_out"] == []
+        assert (await node.call_control("POST /maintenance/exit?host=h1"))[0] == 200
+        assert (await node.call_control("GET /status"))[1]["hosts_out"] == []
         n = 0
         while len(one.commands) == before:
             n += 1
-            assert await node.ask(command(b"c%d" % n)) == SERVED
+            assert await node.send_command(command(b"c%d" % n)) == SERVED
 
 
 @on_loop
 async def test_an_attempt_whose_connection_is_still_coming_up_does_not_reach_a_banned_host(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
-        replies = [asyncio.create_task(node.ask(command(b"r%d" % n))) for n in range(8)]
+        replies = [asyncio.create_task(node.send_command(command(b"r%d" % n))) for n in range(8)]
         while not node.node.upstream.pools["h1"].connecting:
             await asyncio.sleep(0)
         node.node.set_override("h1", True)
@@ -118,15 +118,15 @@
 @on_loop
 async def test_a_ban_holds_over_a_restart_and_both_processes_of_an_upgrade_agree(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as old:
-        assert (await old.call("POST /maintenance/enter?host=h1"))[0] == 200
+        assert (await old.call_control("POST /maintenance/enter?host=h1"))[0] == 200
         async with Node(one, two, path=tmp_path) as new:
-            assert (await new.call("GET /status"))[1]["hosts_out"] == ["h1"]
+            assert (await new.call_control("GET /status"))[1]["hosts_out"] == ["h1"]
             assert new.node.engine.endpoint_pool.table.ejected
-            assert (await new.call("POST /maintenance/exit?host=h1"))[0] == 200
-            await until(lambda: not old.node.upstream.ejected)
+            assert (await new.call_control("POST /maintenance/exit?host=h1"))[0] == 200
+            await wait_until(lambda: not old.node.upstream.ejected)
             assert not old.node.engine.endpoint_pool.table.ejected
-            assert (await old.call("POST /maintenance/enter?host=h2"))[0] == 200
-            assert (await new.call("POST /maintenance/exit?host=h2"))[0] == 200  # no look between
+            assert (await old.call_control("POST /maintenance/enter?host=h2"))[0] == 200
+            assert (await new.call_control("POST /maintenance/exit?host=h2"))[0] == 200  # no look between
             assert not new.node.upstream.ejected
 
 
@@ -139,10 +139,10 @@
         busy, writer = await node.connect()
         writer.write(command(b"busy"))
         await host.arrived.get()
-        assert (await node.call("POST /standby"))[0] == 200
-        assert (await node.call("POST /standby"))[0] == 200
+        assert (await node.call_control("POST /standby"))[0] == 200
+        assert (await node.call_control("POST /standby"))[0] == 200
         assert await idle.read() == b""
-        assert await node.ask(PING) == b"-ERR not ready\r\n"
+        assert await node.send_command(PING) == b"-ERR not ready\r\n"
         late, late_writer = await node.connect()
         late_writer.write(command(b"late"))
         while (got := await host.arrived.get()) is None or got[2] != b"late":
@@ -161,11 +161,11 @@
         reader, writer = await node.connect()
         writer.write(command(b"first"))
         await host.arrived.get()
-        await node.call("POST /standby")
+        await node.call_control("POST /standby")
         client = next(iter(node.node.clients.connections))
-        await until(lambda: client.reading_stopped)
+        await wait_until(lambda: client.reading_stopped)
         writer.write(command(b"second"))
-        assert (await node.call("POST /active"))[0] == 200
+        assert (await node.call_control("POST /active"))[0] == 200
         while (got := await host.arrived.get()) is None or got[2] != b"second":
             pass
         for out in host.writers:
@@ -180,7 +180,7 @@
     monkeypatch.setattr(client_server, "DRAIN_READ_S", 0.05)
     monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        await node.call("POST /standby")
+        await node.call_control("POST /standby")
         reader, writer = await node.connect()
         assert await reader.read() == b""
 
@@ -188,12 +188,16 @@
 @on_loop
 async def test_a_process_at_its_end_is_neither_ready_nor_drained_nor_taken_back(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        await node.call("POST /maintenance/enter?host=h1")
-        await node.call("POST /standby")
+        await node.call_control("POST /maintenance/enter?host=h1")
+        await node.call_control("POST /standby")
         node.node.serving.state = "stopping"
-        assert (await node.call("GET /status"))[0] == 503
-        assert (await node.call("POST /active"))[0] == (await node.call("POST /standby"))[0] == 409
-        assert (await node.call("POST /maintenance/exit?host=h1"))[0] == 200
+        assert (await node.call_control("GET /status"))[0] == 503
+        assert (
+            (await node.call_control("POST /active"))[0]
+            == (await node.call_control("POST /standby"))[0]
+            == 409
+        )
+        assert (await node.call_control("POST /maintenance/exit?host=h1"))[0] == 200
 
 
 @on_loop
@@ -205,7 +209,7 @@
         client = next(iter(node.node.clients.connections))
         client.transport.pause_reading()
         writer.write(command())
-        await until(client.has_unread_bytes)
+        await wait_until(client.has_unread_bytes)
         node.node.set_draining(True)
         client.transport.resume_reading()
         assert await reader.read() == SERVED
--- a/tests/control/test_host_overrides.py
+++ b/tests/control/test_host_overrides.py
@@ -5,7 +5,7 @@
 import tempfile
 
 import pytest
-from netkit import Node, StubHost, entry, on_loop, until
+from netkit import Node, StubHost, entry, on_loop, wait_until
 
 from api_gateway import interface as api
 from api_gateway.base.shared_file import SharedFile
@@ -119,9 +119,9 @@
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         with monkeypatch.context() as patch:
             patch.setattr(SharedFile, "write", full)
-            assert (await node.call("POST /maintenance/enter?host=h1"))[0] == 500
+            assert (await node.call_control("POST /maintenance/enter?host=h1"))[0] == 500
             assert "h1" in node.node.upstream.ejected and not HostOverrides(tmp_path, "n0").read()
-        await until(lambda: HostOverrides(tmp_path, "n0").read().get("h1"))
+        await wait_until(lambda: HostOverrides(tmp_path, "n0").read().get("h1"))
         assert not node.node.overrides.unsaved and HostOverrides(tmp_path, "n0").read()["h1"].ejected
 
 
@@ -134,15 +134,15 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(50):
             node.discovery.change([entry(host, f"x{n}")])
-            await until(lambda n=n: f"x{n}" in node.node.endpoints.known_ids)
+            await wait_until(lambda n=n: f"x{n}" in node.node.endpoints.known_ids)
             if n == 7:
-                assert (await node.call("POST /maintenance/enter?host=x7"))[0] == 200
+                assert (await node.call_control("POST /maintenance/enter?host=x7"))[0] == 200
             node.discovery.change([entry(host, f"x{n}", "removed")])
-            await until(lambda n=n: f"x{n}" not in node.node.endpoints.known_ids)
+            await wait_until(lambda n=n: f"x{n}" not in node.node.endpoints.known_ids)
         assert node.node.endpoints.known_ids == {"h1"}
-        assert (await node.call("POST /maintenance/enter?host=x8"))[0] == 404
-        assert (await node.call("POST /maintenance/exit?host=x7"))[0] == 200
-        assert (await node.call("POST /maintenance/enter?host=x7"))[0] == 200
+        assert (await node.call_control("POST /maintenance/enter?host=x8"))[0] == 404
+        assert (await node.call_control("POST /maintenance/exit?host=x7"))[0] == 200
+        assert (await node.call_control("POST /maintenance/enter?host=x7"))[0] == 200
         node.discovery.servers = [entry(host, "h2")]
         node.node.discovery.fetch_full_list()
-        await until(lambda: node.node.endpoints.known_ids == {"h2"})
+        await wait_until(lambda: node.node.endpoints.known_ids == {"h2"})
--- a/tests/demo/test_demo.py
+++ b/tests/demo/test_demo.py
@@ -26,7 +26,7 @@
     )
     status, out, err = command.result()
     told = json.loads(out)
-    assert (status, err) == (0, "") and not command.left()
+    assert (status, err) == (0, "") and not command.running_processes()
     assert told["lost"] == 0 and told["quota_kept"] and told["died"] == []
     assert told["served"] > 100 and told["refused"] > 10  # some customers ask for more than their quota
     assert {event["what"] for event in told["events"]} == {
@@ -44,24 +44,24 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGHUP])
 def test_a_demo_that_is_ended_tells_what_came_so_far(number, tmp_path):
     command = Command(*SMALL, scratch=tmp_path)
-    command.asking()
+    command.wait_for_clients()
     command.process.send_signal(number)
     status, out, err = command.result()
-    assert (status, err) == (0, "") and json.loads(out)["lost"] == 0 and not command.left()
+    assert (status, err) == (0, "") and json.loads(out)["lost"] == 0 and not command.running_processes()
 
 
 def test_all_that_a_demo_started_ends_with_it_when_it_is_killed(tmp_path):
     command = Command(*SMALL, scratch=tmp_path)
-    command.asking()
+    command.wait_for_clients()
     command.process.kill()
     command.result()
-    command.until(lambda: not command.left(), 10)
+    command.wait_until(lambda: not command.running_processes(), 10)
 
 
 def test_a_process_that_dies_is_told_and_the_rest_goes_on(tmp_path):
     command = Command(*SMALL, scratch=tmp_path)
-    command.asking()
-    (host,) = [number for number, line in command.left().items() if "host-1" in line]
+    command.wait_for_clients()
+    (host,) = [number for number, line in command.running_processes().items() if "host-1" in line]
     os.kill(host, signal.SIGKILL)
     time.sleep(1.0)
     command.process.send_signal(signal.SIGINT)
--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from netkit import SERVED, SETTINGS, Node, StubDiscovery, StubHost, command, entry, on_loop, until
+from netkit import SERVED, SETTINGS, Node, StubDiscovery, StubHost, command, entry, on_loop, wait_until
 
 from api_gateway import interface as api
 from api_gateway.base.endpoint_list import read_list
@@ -20,26 +20,26 @@
 async def test_a_drained_host_gets_nothing_new_nor_what_waits_for_a_connection(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         for n in range(4):
-            await node.ask(command(b"a%d" % n))
+            await node.send_command(command(b"a%d" % n))
         await node.discovery.call()
         node.discovery.change([entry(one, "h1", "draining")])
         while (await node.discovery.call()).get("index") != "2":
             pass  # the watch that follows the change: it has been told
         before = len(one.commands)
         for n in range(8):
-            assert await node.ask(command(b"b%d" % n)) == SERVED
+            assert await node.send_command(command(b"b%d" % n)) == SERVED
         assert len(one.commands) == before
 
 
 @on_loop
 async def test_hosts_move_with_the_list(tmp_path):
     async with StubHost() as old, StubHost() as new, Node(old, path=tmp_path) as node:
-        assert await node.ask(command(b"a")) == SERVED
+        assert await node.send_command(command(b"a")) == SERVED
         await node.discovery.call()
         node.discovery.change([entry(new, "h1")])
         while (await node.discovery.call()).get("index") != "2":
             pass
-        assert await node.ask(command(b"b")) == SERVED
+        assert await node.send_command(command(b"b")) == SERVED
         assert [c[2] for c in new.commands] == [b"b"]
 
 
@@ -59,10 +59,10 @@
         await node.discovery.call()
         node.discovery.raw = raw
         node.discovery.change([])
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         while "index" in await node.discovery.call():
             pass  # it asks for the whole list again
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
 
 
 @on_loop
@@ -80,7 +80,7 @@
                 return [api.SendAttempt(event.request_id, "h1")] if isinstance(event, api.Request) else []
 
         node.node.dispatcher.engine = Sender()
-        asked = asyncio.create_task(node.ask(command()))
+        asked = asyncio.create_task(node.send_command(command()))
         pool = node.node.upstream.pools["h1"]
         while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
@@ -104,12 +104,12 @@
         for _ in range(3):  # for what has changed since its last list, with no wait
             assert (told := await node.discovery.call())["index"] == "1"
         assert told["wait"] == "0"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         node.discovery.silent = False
         node.discovery.change([entry(host, "h2")])
         while (await node.discovery.call())["index"] != "2":
             pass  # it goes on from there
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
         assert caplog.text.count("the last list stays") == 1  # not a line a try
 
 
@@ -122,7 +122,7 @@
         node.discovery.change([])  # ends the watch that may have begun
         for _ in range(3):
             assert (await node.discovery.call())["index"] == "1"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         node.discovery.refuses = False
         node.discovery.change([entry(host, "h2")])
         while (await node.discovery.call())["index"] != "2":
@@ -136,7 +136,7 @@
     asked = {**SETTINGS, "registry_mode": "on_request"}
     async with StubHost() as host, Node(host, path=tmp_path, settings=asked) as node:
         assert (await node.discovery.call())["index"] == "1"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
 
 
 @on_loop
@@ -201,11 +201,11 @@
             }
         )
         node.discovery.version, node.discovery.servers = 2, [entry(one, "h1", "draining"), entry(two, "h2")]
-        await until(lambda: node.discovery.raw is None)
+        await wait_until(lambda: node.discovery.raw is None)
         while "index" in await node.discovery.call():
             pass
-        await until(lambda: list(node.node.upstream.pools) == ["h2"])
-        assert await node.ask(command()) == SERVED and not one.commands
+        await wait_until(lambda: list(node.node.upstream.pools) == ["h2"])
+        assert await node.send_command(command()) == SERVED and not one.commands
 
 
 @pytest.mark.parametrize("started, used", [(0, False), (5000, True)])
@@ -216,7 +216,7 @@
             pass
         node.discovery.version = 41
         node.discovery.change([entry(host, "h1", "draining")])
-        await until(lambda: not node.node.upstream.pools)
+        await wait_until(lambda: not node.node.upstream.pools)
         behind.version, behind.servers = 40, [entry(host, "h1") | {"started_ms": started}]
         file = json.loads(node.file.read_text())
         node.file.write_text(json.dumps(file | {"discovery": f"127.0.0.1:{behind.port}"}))
@@ -225,7 +225,7 @@
             pass  # its whole list has come
         assert bool(node.node.upstream.pools) == used
         behind.change([entry(host, "h1")])  # that one is news
-        await until(lambda: node.node.upstream.pools)
+        await wait_until(lambda: node.node.upstream.pools)
 
 
 @on_loop
@@ -245,7 +245,7 @@
         node.discovery.change([entry(host, "h1", "draining")])
         node.discovery.watch = real
         node.node.discovery.fetch_full_list()
-        await until(lambda: not node.node.upstream.pools)
+        await wait_until(lambda: not node.node.upstream.pools)
         held.set()
         while "index" not in await node.discovery.call():
             pass
@@ -289,7 +289,7 @@
 async def test_an_agent_that_is_silent_at_a_start_does_not_keep_clients_out(tmp_path, monkeypatch):
     monkeypatch.setattr(StubDiscovery, "answer", silent_answer)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
 
 
 async def silent_answer(self, request):
@@ -309,7 +309,7 @@
 
         monkey = pytest.MonkeyPatch()
         monkey.setattr(discovery.asyncio, "sleep", sleeping)
-        await until(lambda: slept.count(discovery.EMPTY_WATCH_DELAY_S) > 2)
+        await wait_until(lambda: slept.count(discovery.EMPTY_WATCH_DELAY_S) > 2)
         monkey.undo()
 
 
@@ -417,7 +417,7 @@
             assert "index" not in await other.call()
         assert sorted(node.node.upstream.pools) == ["h1", "h2"]
         setattr(other, how, False)
-        await until(lambda: sorted(node.node.upstream.pools) == ["h2"])
+        await wait_until(lambda: sorted(node.node.upstream.pools) == ["h2"])
         assert node.node.discovery.version == 7
 
 
@@ -454,7 +454,7 @@
         node.discovery.calls.clear()
         await node.discovery.call()  # a watch that began since
         node.discovery.change([entry(two, "h2")])
-        await until(lambda: sorted(node.node.upstream.pools) == ["h1"])
+        await wait_until(lambda: sorted(node.node.upstream.pools) == ["h1"])
         monkey.undo()
         assert taken and not any("h2" in hosts for hosts in taken)
 
@@ -573,8 +573,8 @@
             pass
         node.discovery.raw = json.dumps({"version": 5, "full": True, "servers": [entry(two, "h2")]})
         node.discovery.change([])
-        await until(lambda: sorted(node.node.upstream.pools) == ["h2"])
+        await wait_until(lambda: sorted(node.node.upstream.pools) == ["h2"])
         before = len(one.commands)
         for n in range(8):
-            assert await node.ask(command(b"r%d" % n)) == SERVED
+            assert await node.send_command(command(b"r%d" % n)) == SERVED
         assert len(one.commands) == before and len(two.commands) == 8
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -8,7 +8,7 @@
 
 import pytest
 from aiohttp import web
-from netkit import SERVED, VALUE, Node, StubDiscovery, StubHost, command, on_loop, read_reply, until
+from netkit import SERVED, VALUE, Node, StubDiscovery, StubHost, command, on_loop, read_reply, wait_until
 from test_registry_service import Serving
 
 from api_gateway import interface as api
@@ -92,7 +92,7 @@
 async def test_of_a_whole_list_the_module_is_told_the_view_and_what_changes_in_it(kinds, tmp_path):
     async with (
         Lists(hosts(300, kinds=5)) as lists,
-        Node(path=tmp_path, more=using(lists, size=20, kinds=kinds)) as node,
+        Node(path=tmp_path, config_overrides=using(lists, size=20, kinds=kinds)) as node,
     ):
         await lists.watched()
         own = viewed(lists.servers, 20, kinds)
@@ -114,7 +114,7 @@
         lists.change([entry | {"state": "removed"} for entry in lists.named(own[3])])
         await lists.watched()
         assert {host.id: host.state for host in seen[-1].endpoints} == {own[3]: "down"}
-        shown = (await node.call("GET /status"))[1]["list"]["view"]
+        shown = (await node.call_control("GET /status"))[1]["list"]["view"]
         assert shown["shelf"] == total - 1 and not shown["by_service"]  # hosts of other kinds never come in
 
 
@@ -123,12 +123,12 @@
     async with (
         StubHost(None) as host,
         Lists(hosts(40, host.port)) as lists,
-        Node(path=tmp_path, more=using(lists, size=1)) as node,
+        Node(path=tmp_path, config_overrides=using(lists, size=1)) as node,
     ):
         await lists.watched()
         first = pools(node)
-        asked = asyncio.create_task(node.ask(command()))
-        await until(lambda: host.commands)
+        asked = asyncio.create_task(node.send_command(command()))
+        await wait_until(lambda: host.commands)
         fresh = [entry | {"id": f"n-{n}"} for n, entry in enumerate(hosts(400, host.port))]
         nearer = viewed(lists.servers + fresh, 1)
         lists.change([entry for entry in fresh if entry["id"] in nearer])
@@ -144,7 +144,7 @@
     async with (
         StubHost() as host,
         Lists(hosts(60, host.port)) as lists,
-        Node(path=tmp_path, more=using(lists, size=12)) as node,
+        Node(path=tmp_path, config_overrides=using(lists, size=12)) as node,
     ):
         await lists.watched()
         every, own = list(lists.servers), pools(node)
@@ -155,27 +155,30 @@
         lists.change([entry | {"state": "draining"} for entry in every if entry["zone"] != "a"])
         await lists.watched()
         assert not pools(node)
-        assert not (await node.ask(command())).startswith(b"$")
+        assert not (await node.send_command(command())).startswith(b"$")
         lists.change(every)
         await lists.watched()
-        assert pools(node) == own and await node.ask(command(b"r2")) == SERVED
+        assert pools(node) == own and await node.send_command(command(b"r2")) == SERVED
 
 
 @on_loop
 async def test_widen_takes_more_of_the_shelf_up_to_its_bound_and_plain_again(tmp_path):
-    async with Lists(hosts(90)) as lists, Node(path=tmp_path, more=using(lists, size=6, most=30)) as node:
+    async with (
+        Lists(hosts(90)) as lists,
+        Node(path=tmp_path, config_overrides=using(lists, size=6, most=30)) as node,
+    ):
         await lists.watched()
         seen = told(node)
         for asked, size in ((20, 20), (1000, 30), (30, 30), (3, 6)):
             node.node.dispatcher.handlers[api.ResizeSubset](api.ResizeSubset(asked))
-            await until(lambda size=size: pools(node) == viewed(lists.servers, size))
+            await wait_until(lambda size=size: pools(node) == viewed(lists.servers, size))
         assert [event.mode for event in seen] == ["delta"] * 3  # one for each that changes it
         assert not lists.calls  # discovery was not asked
 
 
 @on_loop
 async def test_the_view_follows_the_settings_place_and_zone(tmp_path):
-    async with Lists(hosts(90)) as lists, Node(path=tmp_path, more=using(lists, size=6)) as node:
+    async with Lists(hosts(90)) as lists, Node(path=tmp_path, config_overrides=using(lists, size=6)) as node:
         await lists.watched()
         tree = json.loads(node.file.read_text())
         tree["settings"] |= {"index": 3, "group_size": 9, "locality": "b"}
@@ -183,7 +186,7 @@
         node.node.reload()
         after = viewed(lists.servers, 6, index=3, zone="b")
         assert after != pools(node)
-        await until(lambda: pools(node) == after)
+        await wait_until(lambda: pools(node) == after)
 
 
 def spoil(entry):
@@ -196,7 +199,7 @@
 ):
     servers = hosts(90)
     odd = [entry if n % 3 else spoil(entry) for n, entry in enumerate(servers)]
-    async with Lists(odd) as lists, Node(path=tmp_path, more=using(lists, size=12)) as node:
+    async with Lists(odd) as lists, Node(path=tmp_path, config_overrides=using(lists, size=12)) as node:
         await lists.watched()
         good = [entry for entry in odd if "state" in entry]
         assert pools(node) == viewed(good, 12) and "30 of 90 entries cannot be read" in caplog.text
@@ -207,7 +210,7 @@
         lists.change([])
         while "index" in await lists.call():
             pass  # the whole list is asked for
-        await until(lambda: pools(node) == viewed(servers, 12))
+        await wait_until(lambda: pools(node) == viewed(servers, 12))
 
 
 @pytest.mark.parametrize(
@@ -222,12 +225,12 @@
 )
 @on_loop
 async def test_a_list_that_is_none_leaves_the_last_one_in_force(raw, tmp_path):
-    async with Lists(hosts(90)) as lists, Node(path=tmp_path, more=using(lists, size=12)) as node:
+    async with Lists(hosts(90)) as lists, Node(path=tmp_path, config_overrides=using(lists, size=12)) as node:
         await lists.watched()
         own, seen = pools(node), told(node)
         lists.raw = raw
         node.node.discovery.fetch_full_list()
-        await until(lambda: lists.raw is None)
+        await wait_until(lambda: lists.raw is None)
         while "index" in await lists.call():
             pass
         while "index" not in await lists.call():
@@ -241,7 +244,7 @@
     async with (
         StubHost() as host,
         Lists(hosts(60, host.port)) as lists,
-        Node(path=tmp_path, more=by_service(lists, size=12)) as node,
+        Node(path=tmp_path, config_overrides=by_service(lists, size=12)) as node,
     ):  # no agent: it has time to answer
         await lists.watched()
         viewing, served, turns = node.node.discovery.subset, [], []
@@ -256,7 +259,7 @@
         lists.servers = lists.servers + hosts(10_000, host.port)[60:]
         lists.version += 1
         node.node.discovery.fetch_full_list()
-        await until(lambda: viewing.reading)
+        await wait_until(lambda: viewing.reading)
         n = 0
         while viewing.reading:
             writer.write(command(b"r%d" % (n := n + 1)))
@@ -266,13 +269,16 @@
             len(served) > 10
             and max(b - a for a, b in zip(turns, turns[1:], strict=False)) <= ENTRIES_PER_TURN
         )
-        await until(lambda: pools(node) == viewed(lists.servers, 12))
+        await wait_until(lambda: pools(node) == viewed(lists.servers, 12))
         assert len(turns) >= 10_000 // ENTRIES_PER_TURN
 
 
 @on_loop
 async def test_a_drain_in_a_long_list_is_told_before_the_rest_is_read(tmp_path):
-    async with Lists(hosts(5000)) as lists, Node(path=tmp_path, more=using(lists, size=12)) as node:
+    async with (
+        Lists(hosts(5000)) as lists,
+        Node(path=tmp_path, config_overrides=using(lists, size=12)) as node,
+    ):
         await lists.watched()
         own, viewing, seen = pools(node), node.node.discovery.subset, []
         handle = node.node.engine.handle
@@ -288,7 +294,7 @@
         lists.servers = [e | {"state": "draining"} if e is first else e for e in lists.servers]
         lists.version += 1
         node.node.discovery.fetch_full_list()
-        await until(lambda: len(seen) == 2)
+        await wait_until(lambda: len(seen) == 2)
         assert seen[0] == ("delta", 1, {first["id"]: "leaving"})
         assert seen[1][0] == "full" and pools(node) == viewed(lists.servers, 12)
 
@@ -300,7 +306,7 @@
     async with (
         Lists(hosts(60)) as lists,
         Lists(hosts(60)) as behind,
-        Node(path=tmp_path, more=using(lists, size=12)) as node,
+        Node(path=tmp_path, config_overrides=using(lists, size=12)) as node,
     ):
         await lists.watched()
         lists.version = 41
@@ -316,7 +322,7 @@
         await behind.watched()
         node.node.discovery.subset.config = SubsetConfig(12, (), 100)
         node.node.discovery.resize_subset(100)
-        await until(lambda: len(pools(node)) >= 59)
+        await wait_until(lambda: len(pools(node)) >= 59)
         assert (out["id"] in pools(node)) == used
 
 
@@ -441,21 +447,21 @@
     servers = hosts(300, kinds=5)
     async with (
         Serving(tmp_path, servers) as serving,
-        Node(path=tmp_path, more=by_service(serving, size=20, kinds=list(kinds))) as node,
+        Node(path=tmp_path, config_overrides=by_service(serving, size=20, kinds=list(kinds))) as node,
     ):
         own = viewed(servers, 20, kinds)
-        await until(lambda: pools(node) == own and serving.service.waiting)
+        await wait_until(lambda: pools(node) == own and serving.service.waiting)
         viewing, seen = node.node.discovery.subset, told(node)
         assert viewing.is_chosen_by_service and viewing.shelf is None
         total = sum(not kinds or entry["kind"] in kinds for entry in servers)
         assert viewing.total == total
         servers = [e | {"state": "draining"} if e["id"] == own[0] else e for e in servers]
         rewrite(serving, servers)
-        await until(lambda: pools(node) == viewed(servers, 20, kinds))
+        await wait_until(lambda: pools(node) == viewed(servers, 20, kinds))
         states = {host.id: host.state for event in seen for host in event.endpoints}
         assert states.pop(own[0]) == "leaving" and set(states.values()) == {"up"}
         rewrite(serving, servers[:30])
-        await until(lambda: pools(node) == viewed(servers[:30], 20, kinds))
+        await wait_until(lambda: pools(node) == viewed(servers[:30], 20, kinds))
         assert all(event.mode == "delta" for event in seen)
 
 
@@ -464,11 +470,13 @@
     servers = hosts(90)
     async with (
         Serving(tmp_path, servers) as serving,
-        Node(path=tmp_path, more=by_service(serving, size=6, most=30)) as node,
+        Node(path=tmp_path, config_overrides=by_service(serving, size=6, most=30)) as node,
     ):
         for asked, size in ((6, 6), (20, 20), (1000, 30), (3, 6)):
             node.node.dispatcher.handlers[api.ResizeSubset](api.ResizeSubset(asked))
-            await until(lambda size=size: pools(node) == viewed(servers, size) and serving.service.waiting)
+            await wait_until(
+                lambda size=size: pools(node) == viewed(servers, size) and serving.service.waiting
+            )
         assert node.node.discovery.subset.is_chosen_by_service
 
 
@@ -477,13 +485,13 @@
     servers = hosts(90)
     async with (
         Serving(tmp_path, servers) as serving,
-        Node(path=tmp_path, more=by_service(serving, size=12)) as node,
+        Node(path=tmp_path, config_overrides=by_service(serving, size=12)) as node,
     ):
-        await until(lambda: pools(node) == viewed(servers, 12) and serving.service.waiting)
+        await wait_until(lambda: pools(node) == viewed(servers, 12) and serving.service.waiting)
         seen = told(node)
         node.node.discovery.version = 1  # what changed since then is not remembered
         node.node.discovery.restart()
-        await until(lambda: seen)
+        await wait_until(lambda: seen)
         assert seen[0].mode == "full" and sorted(host.id for host in seen[0].endpoints) == pools(node)
         assert node.node.discovery.subset.is_chosen_by_service
 
@@ -496,12 +504,12 @@
     async with Serving(tmp_path, ours) as serving, Lists(theirs) as lists:
         pair = [(serving, ours), (lists, theirs)]
         (before, old), (after, new) = pair if first == "views" else pair[::-1]
-        async with Node(path=tmp_path, more=by_service(before, size=12)) as node:
+        async with Node(path=tmp_path, config_overrides=by_service(before, size=12)) as node:
             for place, known in ((after, new), (before, old), (after, new)):
                 tree = json.loads(node.file.read_text())
                 node.file.write_text(json.dumps(tree | {"discovery": f"127.0.0.1:{place.port}"}))
                 node.node.reload()
-                await until(lambda known=known: pools(node) == viewed(known, 12))
+                await wait_until(lambda known=known: pools(node) == viewed(known, 12))
                 assert node.node.endpoints.known_ids == set(pools(node))
                 assert (node.node.discovery.subset.shelf is None) == (place is serving)
             changed = [known[0] | {"state": "draining"}, *known[1:]]
@@ -509,7 +517,7 @@
                 rewrite(serving, changed)
             else:
                 lists.change(changed[:1])
-            await until(lambda: pools(node) == viewed(changed, 12))
+            await wait_until(lambda: pools(node) == viewed(changed, 12))
 
 
 @on_loop
@@ -518,12 +526,14 @@
     async with (
         Serving(tmp_path, ours) as serving,
         Lists(theirs) as lists,
-        Node(path=tmp_path, more=by_service(serving, size=12)) as node,
+        Node(path=tmp_path, config_overrides=by_service(serving, size=12)) as node,
     ):
-        await until(lambda: pools(node) == viewed(ours, 12))
-        seen = (await node.call("GET /config"))[1]
+        await wait_until(lambda: pools(node) == viewed(ours, 12))
+        seen = (await node.call_control("GET /config"))[1]
         tree = seen["config"] | {"discovery": f"127.0.0.1:{lists.port}"}
-        status, _ = await node.call(f"POST /config/apply?expect={seen['version']}", json.dumps(tree).encode())
+        status, _ = await node.call_control(
+            f"POST /config/apply?expect={seen['version']}", json.dumps(tree).encode()
+        )
         assert status == 200 and pools(node) == viewed(theirs, 12)  # as it is answered
         assert node.node.discovery.subset.shelf is not None
 
@@ -540,11 +550,14 @@
 
 @on_loop
 async def test_a_service_that_refuses_what_it_does_not_know_is_asked_for_the_whole_list(tmp_path):
-    async with Strict(hosts(90)) as lists, Node(path=tmp_path, more=using(lists, size=12)) as node:
+    async with (
+        Strict(hosts(90)) as lists,
+        Node(path=tmp_path, config_overrides=using(lists, size=12)) as node,
+    ):
         await lists.watched()
         assert pools(node) == viewed(lists.servers, 12)
         lists.change([entry | {"state": "draining"} for entry in lists.named(*pools(node)[:3])])
-        await until(lambda: pools(node) == viewed(lists.servers, 12))
+        await wait_until(lambda: pools(node) == viewed(lists.servers, 12))
         assert not node.node.discovery.backoff.failure_count
 
 
@@ -553,8 +566,8 @@
 async def test_the_view_is_what_is_kept_and_the_watch_goes_on_from_it(size, whole, tmp_path):
     servers = hosts(90)
     async with Serving(tmp_path, servers) as serving:
-        async with Node(path=tmp_path, more=by_service(serving, size=12, keep=True)) as node:
-            await until(lambda: pools(node) == viewed(servers, 12) and serving.service.waiting)
+        async with Node(path=tmp_path, config_overrides=by_service(serving, size=12, keep=True)) as node:
+            await wait_until(lambda: pools(node) == viewed(servers, 12) and serving.service.waiting)
         kept = json.loads((tmp_path / "n0-list.json").read_text())
         assert sorted(entry["id"] for entry in kept["servers"]) == viewed(servers, 12)
         asked, listed = [], serving.service.listed
@@ -564,11 +577,11 @@
             return await listed(request)
 
         serving.service.listed, serving.service.learned_at = seen, math.inf  # no list is told
-        async with Node(path=tmp_path, more=by_service(serving, size=size, keep=True)) as node:
-            await until(lambda: asked)
+        async with Node(path=tmp_path, config_overrides=by_service(serving, size=size, keep=True)) as node:
+            await wait_until(lambda: asked)
             assert pools(node) == viewed(servers, 12) and node.node.discovery.subset.total == 90
             serving.service.learned_at = 0.0
-            await until(lambda: pools(node) == viewed(servers, size) and serving.service.waiting)
+            await wait_until(lambda: pools(node) == viewed(servers, size) and serving.service.waiting)
             assert asked[0] != whole
 
 
--- a/tests/discovery/test_replicas.py
+++ b/tests/discovery/test_replicas.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, entry, on_loop, told, until
+from netkit import SERVED, Node, StubHost, command, entry, gateway_config, on_loop, wait_until
 from test_registry_service import Serving
 
 from api_gateway.base.endpoint_list import read_list
@@ -36,15 +36,15 @@
         await two.register("h1", addr=f"127.0.0.1:{host.port}")
         async with Serving() as one:
             await one.register("h1", addr=f"127.0.0.1:{host.port}")
-            node = Node(path=tmp_path, more=using(one.port, two.port))
+            node = Node(path=tmp_path, config_overrides=using(one.port, two.port))
             await node.__aenter__()
-            await until(lambda: pools(node) == ["h1"] and one.service.waiting)
+            await wait_until(lambda: pools(node) == ["h1"] and one.service.waiting)
             assert not two.service.waiting  # one is asked at a time
-        await until(lambda: two.service.waiting)
-        assert "epoch=e2" in caplog.text and await node.ask(command()) == SERVED
+        await wait_until(lambda: two.service.waiting)
+        assert "epoch=e2" in caplog.text and await node.send_command(command()) == SERVED
         await two.register("h2", addr=f"127.0.0.1:{host.port}")
-        await until(lambda: pools(node) == ["h1", "h2"])
-        seen = (await node.call("GET /status"))[1]["list"]
+        await wait_until(lambda: pools(node) == ["h1", "h2"])
+        seen = (await node.call_control("GET /status"))[1]["list"]
         assert (seen["epoch"], seen["version"], seen["failures"]) == ("e2", 9, 0)
         await node.__aexit__()
 
@@ -58,14 +58,14 @@
             for name in ("h1", "h2", "h3"):
                 await one.register(name, addr=address)
             await lags.register("h1", addr=address)
-            node = Node(path=tmp_path, more=using(one.port, lags.port))
+            node = Node(path=tmp_path, config_overrides=using(one.port, lags.port))
             await node.__aenter__()
-            await until(lambda: len(pools(node)) == 3)
-        await until(lambda: node.node.discovery.backoff.failure_count >= 5)
+            await wait_until(lambda: len(pools(node)) == 3)
+        await wait_until(lambda: node.node.discovery.backoff.failure_count >= 5)
         assert len(pools(node)) == 3 and node.node.discovery.newest_version == 44
         for name in ("h2", "h3", "h4"):
             await lags.register(name, addr=address)
-        await until(lambda: len(pools(node)) == 4)
+        await wait_until(lambda: len(pools(node)) == 4)
         await node.__aexit__()
 
 
@@ -76,17 +76,17 @@
         address = f"127.0.0.1:{host.port}"
         async with Serving() as first:
             await first.register("h1", addr=address)
-            node = Node(path=tmp_path, more=using(first.port))
+            node = Node(path=tmp_path, config_overrides=using(first.port))
             await node.__aenter__()
-            await until(lambda: pools(node) == ["h1"])
+            await wait_until(lambda: pools(node) == ["h1"])
         async with Serving(epoch="e2", port=first.port, learn=1000.0) as again:
             before = node.node.discovery.backoff.failure_count
-            await until(lambda: node.node.discovery.backoff.failure_count > before + 1)
+            await wait_until(lambda: node.node.discovery.backoff.failure_count > before + 1)
             assert pools(node) == ["h1"]
             await again.register("h1", addr=address)
             again.service.learned_at = 0.0  # the time is over
-            await until(lambda: node.node.discovery.epoch == "e2")
-            assert pools(node) == ["h1"] and await node.ask(command()) == SERVED
+            await wait_until(lambda: node.node.discovery.epoch == "e2")
+            assert pools(node) == ["h1"] and await node.send_command(command()) == SERVED
             await node.__aexit__()
 
 
@@ -95,22 +95,22 @@
     async with StubHost() as host:
         async with Serving() as service:
             await service.register("h1", addr=f"127.0.0.1:{host.port}", zone="a")
-            async with Node(path=tmp_path, more=using(service.port, keep=True)) as node:
-                await until(lambda: pools(node) == ["h1"])
+            async with Node(path=tmp_path, config_overrides=using(service.port, keep=True)) as node:
+                await wait_until(lambda: pools(node) == ["h1"])
         kept = json.loads((tmp_path / "n0-list.json").read_text())
         kept["at"] -= 100
         (tmp_path / "n0-list.json").write_text(json.dumps(kept))
-        async with Node(path=tmp_path, more=using(service.port, keep=True)) as node:
-            status, seen = await node.call("GET /status")
+        async with Node(path=tmp_path, config_overrides=using(service.port, keep=True)) as node:
+            status, seen = await node.call_control("GET /status")
             assert status == 200 and seen["hosts"] == ["h1"] and 100 <= seen["list"]["age"] < 130
             assert (seen["list"]["epoch"], seen["list"]["version"]) == ("e1", 42)
-            assert await node.ask(command()) == SERVED
+            assert await node.send_command(command()) == SERVED
             async with Serving(port=service.port, first=41) as service:
                 await service.register("h1", addr=f"127.0.0.1:{host.port}", zone="a")
-                await until(lambda: service.service.waiting)  # a watch from the kept version on
+                await wait_until(lambda: service.service.waiting)  # a watch from the kept version on
                 await service.register("h2", addr=f"127.0.0.1:{host.port}")
-                await until(lambda: pools(node) == ["h1", "h2"])
-                assert (await node.call("GET /status"))[1]["list"]["age"] < 100
+                await wait_until(lambda: pools(node) == ["h1", "h2"])
+                assert (await node.call_control("GET /status"))[1]["list"]["age"] < 100
 
 
 @pytest.mark.parametrize(
@@ -132,9 +132,9 @@
     (tmp_path / "n0-list.json").write_text(text, encoding="latin-1")
     async with StubHost() as host, Serving() as service:
         await service.register("h1", addr=f"127.0.0.1:{host.port}")
-        async with Node(path=tmp_path, more=using(service.port, keep=True)) as node:
+        async with Node(path=tmp_path, config_overrides=using(service.port, keep=True)) as node:
             assert "passed over" in caplog.text
-            await until(lambda: pools(node) == ["h1"])
+            await wait_until(lambda: pools(node) == ["h1"])
         assert json.loads((tmp_path / "n0-list.json").read_text())["epoch"] == "e1"
 
 
@@ -142,14 +142,14 @@
 async def test_the_kept_list_is_written_now_and_then_and_not_with_each_change(tmp_path, monkeypatch):
     monkeypatch.setattr(replicas, "CACHE_WRITE_INTERVAL_S", 0.2)
     async with StubHost() as host, Serving() as service:
-        async with Node(path=tmp_path, more=using(service.port, keep=True)) as node:
+        async with Node(path=tmp_path, config_overrides=using(service.port, keep=True)) as node:
             written = []
             write = node.node.discovery.cache_file.write
             node.node.discovery.cache_file.write = lambda text: (written.append(text), write(text))
             for n in range(20):
                 await service.register(f"h{n}", addr=f"127.0.0.1:{host.port}")
-                await until(lambda n=n: len(pools(node)) == n + 1)
-            await until(lambda: written and len(json.loads(written[-1])["servers"]) == 20)
+                await wait_until(lambda n=n: len(pools(node)) == n + 1)
+            await wait_until(lambda: written and len(json.loads(written[-1])["servers"]) == 20)
             assert len(written) < 20
 
 
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("odd", [5, [], {"others": "x"}, {"others": ["nowhere"]}, {"keep": 1}, {"more": 1}])
 def test_malformed_replicas_end_the_start_in_one_line(odd, tmp_path):
-    (tmp_path / "config.json").write_text(json.dumps(told([], 1, 2) | {"replicas": odd}))
+    (tmp_path / "config.json").write_text(json.dumps(gateway_config([], 1, 2) | {"replicas": odd}))
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
     ended = subprocess.run(
         [sys.executable, "-m", "api_gateway.gateway"], env=env, capture_output=True, text=True, timeout=60
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -7,8 +7,8 @@
 from collections import Counter
 
 import pytest
-from helpers import World, host, of, plan, settings
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, until
+from helpers import EngineHarness, actions_of, host, plan, settings
+from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, wait_until
 from test_discovery_subsets import Lists, by_service, hosts, pools, rewrite, using, viewed
 from test_registry import settle
 from test_registry_service import Serving
@@ -86,10 +86,10 @@
     places = [policy.stable_hash(h.id, "place") for h in ring]
     for n, gateways in enumerate(groups):
         at = sum(place < int(n * GOLDEN_STEP % 1.0 * 2**63) for place in places)
-        w = World(settings(plans=[BIG], gateway_count=gateways, gateway_index=n), [], seed=n + 1)
-        w.do(api.EndpointList("full", 1, tuple((ring + ring)[at : at + view]), total))
-        w.ask()
-        used.update(s.endpoint.id for s in w.gw.endpoint_pool.subset_endpoints)
+        w = EngineHarness(settings(plans=[BIG], gateway_count=gateways, gateway_index=n), [], seed=n + 1)
+        w.handle(api.EndpointList("full", 1, tuple((ring + ring)[at : at + view]), total))
+        w.request()
+        used.update(s.endpoint.id for s in w.engine.endpoint_pool.subset_endpoints)
     return [used[h.id] for h in hosts_]
 
 
@@ -164,25 +164,25 @@
                     ]
                 )
 
-        async with Node(path=tmp_path, more=more) as node:
+        async with Node(path=tmp_path, config_overrides=more) as node:
             viewing, now = node.node.discovery.subset, services(stub.port)
-            await until(
+            await wait_until(
                 lambda: pools(node) == viewed(now, 12, kinds) and viewing.is_chosen_by_service == knows
             )
             total = sum(entry["kind"] in kinds for entry in now)
             assert len(pools(node)) == held and viewing.total == total
-            assert (await node.ask(command()) == SERVED) == bool(held)
+            assert (await node.send_command(command()) == SERVED) == bool(held)
             now = [*now, now[-1] | {"id": "first", "kind": "none"}]
             tell(now)
-            await until(
+            await wait_until(
                 lambda: (
                     pools(node) == viewed(now, 12, kinds) and ("none" not in kinds or "first" in pools(node))
                 )
             )
-            assert await node.ask(command(b"r2")) == SERVED
+            assert await node.send_command(command(b"r2")) == SERVED
             now = [entry for entry in now if entry["id"] != "only"]
             tell(now)
-            await until(lambda: "only" not in pools(node))
+            await wait_until(lambda: "only" not in pools(node))
             assert pools(node) == viewed(now, 12, kinds)
 
 
@@ -224,7 +224,10 @@
 async def test_of_2600_services_a_gateway_keeps_the_20_that_it_uses_out_of_a_whole_list(tmp_path):
     servers = hosts(3 * SERVICES, kinds=SERVICES)
     kinds = [f"k{n * 130}" for n in range(USED)]
-    async with Lists(servers) as lists, Node(path=tmp_path, more=using(lists, size=120, kinds=kinds)) as node:
+    async with (
+        Lists(servers) as lists,
+        Node(path=tmp_path, config_overrides=using(lists, size=120, kinds=kinds)) as node,
+    ):
         await lists.watched()
         assert pools(node) == viewed(servers, 120, kinds) and len(pools(node)) == 3 * USED
         assert node.node.discovery.subset.shelf.size() == 3 * USED
@@ -261,12 +264,12 @@
 
 def test_of_hosts_of_equal_hash_the_module_uses_as_many_as_of_others(monkeypatch):
     def used():
-        w = World(settings(plans=[BIG], gateway_count=40, gateway_index=3), [])
-        w.do(api.EndpointList("full", 1, tuple(host(f"h{n}") for n in range(30)), 60))
+        w = EngineHarness(settings(plans=[BIG], gateway_count=40, gateway_index=3), [])
+        w.handle(api.EndpointList("full", 1, tuple(host(f"h{n}") for n in range(30)), 60))
         held = {
-            send.endpoint_id for _ in range(60) for send in of(w.ask()[1], api.SendAttempt)
+            send.endpoint_id for _ in range(60) for send in actions_of(w.request()[1], api.SendAttempt)
         }  # none is answered
-        own = [s.endpoint.id for s in w.gw.endpoint_pool.subset_endpoints]
+        own = [s.endpoint.id for s in w.engine.endpoint_pool.subset_endpoints]
         return own, held
 
     others, _ = used()
@@ -281,14 +284,14 @@
 
 
 def part(hosts_, index, gateways, view, **kw):
-    w = World(
+    w = EngineHarness(
         settings(plans=[plan(rate=2.0, burst=24.0)], gateway_count=gateways, gateway_index=index, **kw),
         [],
         seed=index + 1,
     )
     at = int(index * GOLDEN_STEP % 1.0 * 2**63)
     near = sorted(hosts_, key=lambda h: (policy.stable_hash(h.id, "place") - at) % 2**63)
-    w.do(api.EndpointList("full", 1, tuple(near[:view]), len(hosts_)))
+    w.handle(api.EndpointList("full", 1, tuple(near[:view]), len(hosts_)))
     return w
 
 
@@ -297,7 +300,7 @@
     hosts_ = [host(f"h{n}") for n in range(400)]
     first, second = (part(hosts_, index, 100, 20) for index in (0, 1))
     second.counts = first.counts
-    views = [set(w.gw.endpoint_pool.endpoints) for w in (first, second)]
+    views = [set(w.engine.endpoint_pool.endpoints) for w in (first, second)]
     assert not views[0] & views[1]
     sent, now = [[], []], first.now
     for turn in range(6):  # it comes and goes, each time for two seconds of far too much
@@ -305,23 +308,23 @@
         for _ in range(100):
             now += 0.02
             w.now = now
-            w.do(api.TimerFired(0))
-            for send in of(w.ask(customer="t", spread=1)[1], api.SendAttempt):
+            w.handle(api.TimerFired(0))
+            for send in actions_of(w.request(customer="t", spread=1)[1], api.SendAttempt):
                 sent[turn % 2].append(send.endpoint_id)
-                w.end(send)
+                w.end_attempt(send)
             # The gateway that it left answers nothing for it any longer.
             other = (second, first)[turn % 2]
             other.now = now
-            other.do(api.TimerFired(0))
-        assert not w.gw.endpoint_pool.in_flight
+            other.handle(api.TimerFired(0))
+        assert not w.engine.endpoint_pool.in_flight
     assert all(len(some) > 4 and set(some) <= views[n] for n, some in enumerate(sent))
     seconds = 100 * 0.02 * 6
     assert 24 <= sum(map(len, sent)) <= 24 + 2 * seconds + 24 / 2  # a lease may lie at the other one
     alone = part(hosts_, 1, 100, 20)  # planted: it knows nothing of what was spent at the first
     for _ in range(100):
         alone.now += 0.02
-        for send in of(alone.ask(customer="t", spread=1)[1], api.SendAttempt):
-            alone.end(send)
+        for send in actions_of(alone.request(customer="t", spread=1)[1], api.SendAttempt):
+            alone.end_attempt(send)
     assert sum(alone.counts.values()) >= 24  # so a full burst would have passed there as well
 
 
@@ -333,16 +336,16 @@
     async with (
         StubHost(None) as stub,
         Serving(tmp_path, hosts(40, stub.port)) as serving,
-        Node(path=tmp_path, more=by_service(serving, size=1)) as node,
+        Node(path=tmp_path, config_overrides=by_service(serving, size=1)) as node,
     ):
         now = hosts(40, stub.port)
-        await until(lambda: pools(node) == viewed(now, 1) and serving.service.waiting)
+        await wait_until(lambda: pools(node) == viewed(now, 1) and serving.service.waiting)
         first = pools(node)
-        asked = asyncio.create_task(node.ask(command()))
-        await until(lambda: stub.commands)
+        asked = asyncio.create_task(node.send_command(command()))
+        await wait_until(lambda: stub.commands)
         fresh = [entry | {"id": f"n-{n}"} for n, entry in enumerate(hosts(400, stub.port))]
         rewrite(serving, now + fresh)
-        await until(lambda: pools(node) == viewed(now + fresh, 1) != first)
+        await wait_until(lambda: pools(node) == viewed(now + fresh, 1) != first)
         stub.writers[0].write(VALUE)
         assert await asked == SERVED
         assert first[0] in {entry["id"] for entry in json.loads(serving.file.read_text())["servers"]}
@@ -354,18 +357,21 @@
     async with (
         StubHost() as stub,
         Serving(tmp_path, hosts(60, stub.port)) as serving,
-        Node(path=tmp_path, more=by_service(serving, size=12)) as node,
+        Node(path=tmp_path, config_overrides=by_service(serving, size=12)) as node,
     ):
         every = hosts(60, stub.port)
-        await until(lambda: pools(node) == viewed(every, 12))
+        await wait_until(lambda: pools(node) == viewed(every, 12))
         own = pools(node)
         rest = [entry for entry in every if entry["zone"] != "a"]
         rewrite(serving, rest)
-        await until(lambda: pools(node) == viewed(rest, 12))
+        await wait_until(lambda: pools(node) == viewed(rest, 12))
         assert len(pools(node)) == 12
         rewrite(serving, [])
-        await until(lambda: not pools(node) and not node.node.discovery.subset.used)
-        assert not (await node.ask(command())).startswith(b"$")
+        await wait_until(lambda: not pools(node) and not node.node.discovery.subset.used)
+        assert not (await node.send_command(command())).startswith(b"$")
         rewrite(serving, every)
-        await until(lambda: pools(node) == own)
-        assert await node.ask(command(b"r2")) == SERVED and node.node.discovery.subset.is_chosen_by_service
+        await wait_until(lambda: pools(node) == own)
+        assert (
+            await node.send_command(command(b"r2")) == SERVED
+            and node.node.discovery.subset.is_chosen_by_service
+        )
--- a/tests/downstream/test_accept_shortage.py
+++ b/tests/downstream/test_accept_shortage.py
@@ -15,10 +15,10 @@
     StubHost,
     command,
     entry,
+    gateway_config,
     on_loop,
     read_reply,
-    told,
-    until,
+    wait_until,
 )
 
 SHORT, ENOUGH = 0.02, 0.04  # s without a descriptor, and with them
@@ -48,9 +48,9 @@
     """Each request has a connection of its own, which the machine accepts whatever the process can do."""
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
-        tree = told([entry(host)], discovery.port, counter.port) | edge
+        tree = gateway_config([entry(host)], discovery.port, counter.port) | edge
         async with gateway_process(tmp_path, tree) as gateway:
-            await gateway.ready()
+            await gateway.wait_until_ready()
             lost, answers = [], []
 
             async def ask(number):
@@ -75,7 +75,7 @@
 @on_loop
 async def test_the_descriptor_of_a_client_that_is_cut_as_it_comes_is_closed_once(edge, tmp_path):
     """Its number may be another connection's at once, which a second close would end unread."""
-    async with StubHost() as host, Node(host, path=tmp_path, more=edge) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=edge) as node:
         node.node.limits.apply = lambda: None
         node.node.clients.capacity = 0
         owned = []
@@ -96,7 +96,7 @@
 
         listener.loop = Loop()
         peers = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(10)]
-        await until(lambda: len(owned) == 10)
+        await wait_until(lambda: len(owned) == 10)
         assert set(owned) == {-1}  # the transport's alone
         for peer in peers:
             peer.close()
--- a/tests/downstream/test_admission.py
+++ b/tests/downstream/test_admission.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, until
+from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, wait_until
 
 from api_gateway.downstream import admission, peer_monitoring, rate_limits
 from api_gateway.downstream.admission_settings import AdmissionSettings, parse_admission_settings
@@ -115,7 +115,7 @@
 
 @on_loop
 async def test_past_its_limit_a_source_is_told_so_and_others_go_on(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, more=edge(per_source=3)) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=edge(per_source=3)) as node:
         kept = [await node.connect() for _ in range(3)]
         for n, (reader, writer) in enumerate(kept):
             writer.write(command(b"k%d" % n))
@@ -128,42 +128,46 @@
         assert await read_reply(other[0]) == SERVED
         other[1].close()
         kept[0][1].close()
-        await until(lambda: node.node.clients.listener.limiter.sources["127.0.0.1/32"].open_connections == 2)
-        assert await node.ask(command(b"again")) == SERVED
-        counts = (await node.call("GET /status"))[1]["edge"]
+        await wait_until(
+            lambda: node.node.clients.listener.limiter.sources["127.0.0.1/32"].open_connections == 2
+        )
+        assert await node.send_command(command(b"again")) == SERVED
+        counts = (await node.call_control("GET /status"))[1]["edge"]
         assert (counts["taken"], counts["per_source"], counts["pauses"]) == (5, 1, 0)
 
 
 @on_loop
 async def test_a_storm_of_connections_leaves_no_counts_behind(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, more=edge(per_source=50)) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=edge(per_source=50)) as node:
         for _ in range(6):
             made = [await asyncio.open_connection("127.0.0.1", node.port) for _ in range(40)]
             for n, (_, writer) in enumerate(made):
                 if n % 3 == 0:
                     writer.write(PING[:7])
                 writer.transport.abort()
-        await until(
+        await wait_until(
             lambda: not node.node.clients.connections and not node.node.clients.listener.connecting_tasks
         )
-        await until(lambda: node.node.clients.listener.limiter.sources["127.0.0.1/32"].open_connections == 0)
-        assert await node.ask(command()) == SERVED
+        await wait_until(
+            lambda: node.node.clients.listener.limiter.sources["127.0.0.1/32"].open_connections == 0
+        )
+        assert await node.send_command(command()) == SERVED
 
 
 @on_loop
 async def test_past_the_rate_of_all_connections_wait_in_the_backlog_and_are_served_then(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, more=edge(new=10)) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=edge(new=10)) as node:
         made = [await node.connect() for _ in range(14)]
         for _, writer in made:
             writer.write(PING)
         assert [await read_reply(reader) for reader, _ in made] == [b"+PONG\r\n"] * 14
-        assert (await node.call("GET /status"))[1]["edge"]["pauses"] >= 1
+        assert (await node.call_control("GET /status"))[1]["edge"]["pauses"] >= 1
 
 
 @on_loop
 async def test_where_descriptors_end_accepting_pauses_and_goes_on(tmp_path, monkeypatch, caplog):
     monkeypatch.setattr(admission, "SHORTAGE_PAUSE_S", 0.05)
-    async with StubHost() as host, Node(host, path=tmp_path, more=edge()) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=edge()) as node:
 
         class Empty:
             def __init__(self, sock):
@@ -181,14 +185,14 @@
 
         listener = node.node.clients.listener
         empty = listener.sockets[0] = Empty(listener.sockets[0])
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         assert caplog.text.count("no connection can be taken") == 3 and listener.limiter.counts["pauses"] == 3
         assert empty.tries <= 8  # it does not spin
 
 
 @on_loop
 async def test_requests_in_work_keep_their_turns_in_a_rush(tmp_path):
-    async with StubHost() as host, Node(host, path=tmp_path, more=edge()) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=edge()) as node:
         listener, turns, socks = node.node.clients.listener, [], []
         on_accept, accept_batch = listener.on_accept, listener.accept_batch
 
@@ -204,7 +208,7 @@
             sock = socket.socket()
             sock.connect(("127.0.0.1", node.port))
             socks.append(sock)
-        await until(lambda: len(node.node.clients.connections) == 100)
+        await wait_until(lambda: len(node.node.clients.connections) == 100)
         assert max(turns) == admission.ACCEPTS_PER_TURN and sum(turns) == 100
         for sock in socks:
             sock.close()
@@ -214,7 +218,7 @@
 async def test_without_the_key_the_loop_accepts_by_itself(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert not isinstance(node.node.clients.listener, admission.AdmissionListener)
-        assert "edge" not in (await node.call("GET /status"))[1]
+        assert "edge" not in (await node.call_control("GET /status"))[1]
         assert AdmissionSettings() == parse_admission_settings({})
 
 
@@ -227,7 +231,7 @@
             writer.write(PING)
             await read_reply(reader)
         peers[0][1].write(PING[:5])
-        await until(lambda: len(server.timed_connections) == 1)
+        await wait_until(lambda: len(server.timed_connections) == 1)
         assert (
             len(server.connections) == 30
             and next(iter(server.timed_connections)).command_due_since is not None
@@ -241,10 +245,10 @@
 @pytest.mark.parametrize("more, answered", [(edge(half_closed=True), True), (edge(), False), (None, False)])
 @on_loop
 async def test_a_half_closed_client_gets_its_answers_where_that_is_asked_for(more, answered, scratch):
-    async with StubHost(answer=None) as host, Node(host, path=scratch, more=more) as node:
+    async with StubHost(answer=None) as host, Node(host, path=scratch, config_overrides=more) as node:
         reader, writer = await node.connect()
         writer.write(command(b"r1") + command(b"r2", customer=b"%016x" % 5))
-        await until(lambda: len(host.commands) == 2 or len(node.node.in_flight) == 2)
+        await wait_until(lambda: len(host.commands) == 2 or len(node.node.in_flight) == 2)
         writer.write_eof()
         if answered:
             host.answer = VALUE
@@ -254,12 +258,12 @@
             assert got.count(SERVED) + got.count(b"-") == 2
         else:
             assert await reader.read() == b""
-        await until(lambda: not node.node.clients.connections)
+        await wait_until(lambda: not node.node.clients.connections)
 
 
 @on_loop
 async def test_a_connection_that_cannot_be_set_up_leaves_no_place_taken(scratch, monkeypatch):
-    async with StubHost() as host, Node(host, path=scratch, more=edge(per_source=1)) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides=edge(per_source=1)) as node:
         with monkeypatch.context() as broken:
             broken.setattr(admission, "detect_dead_peer", lambda *_: (_ for _ in ()).throw(OSError("reset")))
             reader, _ = await node.connect()
@@ -269,13 +273,13 @@
         assert (
             not any(source.open_connections for source in limiter.sources.values()) and not scheduler.sources
         )
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
 
 
 @on_loop
 async def test_a_peer_whose_machine_vanished_is_found_out(scratch):
     for more, told in ((edge(vanished=8), (1, 2, 8000)), (edge(vanished=0), (0,)), (edge(), (1, 15, 60000))):
-        async with StubHost() as host, Node(host, path=scratch, more=more) as node:
+        async with StubHost() as host, Node(host, path=scratch, config_overrides=more) as node:
             reader, writer = await node.connect()
             writer.write(PING)
             await read_reply(reader)
--- a/tests/downstream/test_bad_client_storms.py
+++ b/tests/downstream/test_bad_client_storms.py
@@ -6,7 +6,7 @@
 from time import monotonic
 
 import pytest
-from netkit import Node, StubHost, command, on_loop, read_reply, until
+from netkit import Node, StubHost, command, on_loop, read_reply, wait_until
 
 from api_gateway.downstream.client_connection import COMMAND_TIMEOUT_S
 
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("bad", BAD)
 @on_loop
 async def test_a_client_is_answered_beside_bad_peers_and_nothing_of_them_stays(bad, more, scratch):
-    async with StubHost() as host, Node(host, path=scratch, more=more) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides=more) as node:
         server, answers = node.node.clients, []
         light = await node.connect()
         light[1].write(PING)
@@ -101,14 +101,14 @@
         for _ in range(2):
             await asyncio.gather(*(peer() for _ in range(PEERS)), return_exceptions=bad is not drip)
         seen = len(answers)
-        await until(lambda: len(answers) > seen)  # it is served still
+        await wait_until(lambda: len(answers) > seen)  # it is served still
         asking.cancel()
         assert {answer[:1] for answer in answers} <= {b"$", b"-"}
-        await until(
+        await wait_until(
             lambda: len(server.connections) == 1 and set(node.node.in_flight) <= {b"l%d" % len(answers)}
         )
         pools = node.node.upstream
-        await until(lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(pools.connections) * 2)
+        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(pools.connections) * 2)
         assert (
             len(server.timed_connections) <= 1
             and not server.body_budget.reserved_bytes
@@ -116,27 +116,27 @@
         )
         if more:
             listener = server.listener
-            await until(
+            await wait_until(
                 lambda: not listener.connecting_tasks
             )  # a task is done a turn before it takes itself off
             assert sum(source.open_connections for source in listener.limiter.sources.values()) == 1
             assert sum(source.connection_count for source in listener.scheduler.sources.values()) == 1
-            await until(lambda: listener.scheduler.waiting() == 0)
+            await wait_until(lambda: listener.scheduler.waiting() == 0)
 
 
 @on_loop
 async def test_a_rush_in_a_drain_is_answered_and_sent_away(scratch):
-    async with StubHost() as host, Node(host, path=scratch, more={"edge": {}}) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides={"edge": {}}) as node:
         peers = [await node.connect() for _ in range(40)]
         for number, (_, writer) in enumerate(peers):
             writer.write(b"".join(command(b"%d-%d" % (number, n), customer=b"%016x" % n) for n in range(20)))
-        assert (await node.call("POST /standby"))[0] == 200
+        assert (await node.call_control("POST /standby"))[0] == 200
         for reader, _ in peers:
             replies = [line async for line in replies_of(reader)]
             assert len(replies) == 20 and all(reply[:1] in (b"$", b"-") for reply in replies)
-        await until(lambda: not node.node.clients.connections)
-        assert (await node.call("POST /active"))[0] == 200
-        assert (await node.ask(command(b"after")))[:1] in (b"$", b"-")
+        await wait_until(lambda: not node.node.clients.connections)
+        assert (await node.call_control("POST /active"))[0] == 200
+        assert (await node.send_command(command(b"after")))[:1] in (b"$", b"-")
 
 
 async def replies_of(reader):
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -8,7 +8,19 @@
 import time
 
 import pytest
-from netkit import SERVED, SETTINGS, VALUE, Node, StubHost, bear, command, on_loop, read_reply, terms, until
+from netkit import (
+    SERVED,
+    SETTINGS,
+    VALUE,
+    Node,
+    StubHost,
+    command,
+    on_loop,
+    read_reply,
+    set_in_flight_limit,
+    terms,
+    wait_until,
+)
 
 from api_gateway.downstream import client_connection as clients
 from api_gateway.downstream import client_server
@@ -37,7 +49,7 @@
         command(terms=b"\xff\xfe"),
         command(terms=terms(c=None)),
         command(customer=b"xyz"),
-        command(id=b""),
+        command(request_id=b""),
         command(body=b"BODY"),
         command(terms=terms(d="9" * 400)),
         command(terms=terms(d="9" * 12)),
@@ -84,7 +96,7 @@
         writer.write(bad)
         assert (await read_reply(reader)).startswith(b"-ERR")
         assert await read_reply(reader) == b""
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
 
 
 @on_loop
@@ -157,7 +169,7 @@
         for reader, writer in reversed(peers):
             writer.write(command(b"x%d" % id(reader)))
             assert await read_reply(reader) == SERVED
-        assert await node.ask(command(b"r3")) == SERVED
+        assert await node.send_command(command(b"r3")) == SERVED
         assert await peers[1][0].read() == b""
         peers[0][1].write(command(b"r4"))
         assert await read_reply(peers[0][0]) == SERVED
@@ -206,14 +218,14 @@
         stall_before(why, node, monkeypatch)
         peer = Peer(node.port)
         peer.send(command(b"r1", LONG) + command(b"r2", LONG) + (UPLOAD if why == "body" else b""))
-        await until(lambda: len(node.node.in_flight) == 2)
+        await wait_until(lambda: len(node.node.in_flight) == 2)
         stall_after(why, node, monkeypatch)
         (client,) = node.node.clients.connections
-        await until(lambda: client.reading_paused)
+        await wait_until(lambda: client.reading_paused)
         if behind:
             peer.send(behind)
         peer.sock.close()
-        await until(lambda: not node.node.in_flight)
+        await wait_until(lambda: not node.node.in_flight)
         assert not node.node.engine.requests_in_flight and not host.commands
 
 
@@ -229,10 +241,10 @@
         for n, (_, writer) in enumerate(peers):
             writer.write(sent.replace(b"%d", b"%02d" % (n % 100) if n < 100 else b"%02x" % (n + 56)))
         whole = 200 * sent.count(b"API.READ")
-        await until(lambda: len(node.node.in_flight) >= 0.9 * whole)  # the rest share an id
+        await wait_until(lambda: len(node.node.in_flight) >= 0.9 * whole)  # the rest share an id
         for _, writer in peers:
             writer.close()
-        await until(lambda: not node.node.in_flight and not node.node.clients.connections)
+        await wait_until(lambda: not node.node.in_flight and not node.node.clients.connections)
         assert not node.node.engine.requests_in_flight and not host.commands
 
 
@@ -285,12 +297,12 @@
 
         monkeypatch.setattr(clients.ClientConnection, "has_unread_bytes", looking)
         peer.send(command(b"r1"))
-        await until(lambda: node.node.in_flight or host.commands)
+        await wait_until(lambda: node.node.in_flight or host.commands)
         node.node.clients.set_draining(True)
-        await until(lambda: crossed)
+        await wait_until(lambda: crossed)
         assert await peer.read() == b"$%d\r\n%s\r\n" % (size, b"v" * size)
         peer.sock.close()
-        await until(lambda: not node.node.clients.connections)
+        await wait_until(lambda: not node.node.clients.connections)
         assert [got[2] for got in host.commands] == [b"r1"]
 
 
@@ -300,10 +312,10 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peer = Peer(node.port)
         peer.send(command(b"r1"))
-        await until(lambda: any(c.is_idle(time.monotonic()) for c in node.node.clients.connections))
+        await wait_until(lambda: any(c.is_idle(time.monotonic()) for c in node.node.clients.connections))
         node.node.clients.set_draining(True)
         peer.send(command(b"after"))
-        await until(lambda: not node.node.clients.connections)
+        await wait_until(lambda: not node.node.clients.connections)
         assert [got[2] for got in host.commands] == [b"r1"]
 
 
@@ -313,9 +325,9 @@
         node.node.watch.timer.cancel()
         node.node.clients.capacity = 2
         lingers, rests = Peer(node.port), await node.connect()
-        await until(lambda: len(node.node.clients.connections) == 2)
+        await wait_until(lambda: len(node.node.clients.connections) == 2)
         next(iter(node.node.clients.connections)).close_when_done()
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         rests[1].write(command(b"r2"))
         assert await read_reply(rests[0]) == SERVED
         lingers.sock.close()
@@ -330,7 +342,9 @@
         for n, peer in enumerate(peers):
             peer.send(command(b"r%d" % n))
         clients_of = node.node.clients.connections
-        await until(lambda: len(clients_of) == 10 and all(c.is_idle(time.monotonic()) for c in clients_of))
+        await wait_until(
+            lambda: len(clients_of) == 10 and all(c.is_idle(time.monotonic()) for c in clients_of)
+        )
         for client in list(node.node.clients.connections):
             client.close_when_done()
         server = node.node.clients
@@ -349,7 +363,7 @@
         peer = Peer(node.port)
         peer.send(b"nonsense\r\n")
         assert (await peer.read()).startswith(b"-ERR")
-        await until(lambda: not node.node.clients.connections)  # though the peer has not ended its side
+        await wait_until(lambda: not node.node.clients.connections)  # though the peer has not ended its side
 
 
 @on_loop
@@ -358,7 +372,7 @@
         node.node.watch.timer.cancel()
         node.node.clients.capacity = 1
         peer, joined = Peer(node.port), client_server.ClientServer.add_connection
-        await until(lambda: node.node.clients.connections)
+        await wait_until(lambda: node.node.clients.connections)
         (first,) = node.node.clients.connections
 
         def joining(server, client):
@@ -369,7 +383,7 @@
             joined(server, client)
 
         monkeypatch.setattr(client_server.ClientServer, "add_connection", joining)
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
         assert await peer.read() == SERVED
 
 
@@ -379,7 +393,7 @@
     monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peers, take = [], node.node.clients.accept_backlog
-        bear(node.node, 100.0)
+        set_in_flight_limit(node.node, 100.0)
         node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
 
         async def taking(within):
@@ -390,7 +404,7 @@
 
         node.node.clients.accept_backlog = taking
         ending = asyncio.create_task(node.node.stop())
-        await until(lambda: len(peers) == 20)
+        await wait_until(lambda: len(peers) == 20)
         assert [await peer.read() for peer in peers] == [SERVED] * 20
         for peer in peers:
             peer.sock.close()
@@ -428,7 +442,7 @@
         assert (await host.arrived.get())[2] == b"hangs"
         ending = asyncio.create_task(node.node.stop())
         (client,) = node.node.clients.connections
-        await until(lambda: client.reading_stopped)
+        await wait_until(lambda: client.reading_stopped)
         assert node.node.in_flight  # and not only because all is over
         peer.send(command(b"late"))
         assert await peer.read() == b"-ERR failed\r\n"
@@ -460,7 +474,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
         peers, look = [await node.connect() for _ in range(3)], clients.ClientConnection.has_unread_bytes
-        await until(lambda: len(node.node.clients.connections) == 3)
+        await wait_until(lambda: len(node.node.clients.connections) == 3)
         spoilt = next(iter(node.node.clients.connections))
 
         def broken(client, *_):
@@ -475,9 +489,9 @@
                 broken if name == "has_unread_bytes" else lambda c, now: broken(c) if c is spoilt else None,
             )
         node.node.clients.capacity = 3
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         assert [await reader.read() for reader, _ in peers[1:]] == [b"-ERR no whole command in time\r\n"] * 2
-        await until(lambda: not node.node.clients.connections)
+        await wait_until(lambda: not node.node.clients.connections)
 
 
 @on_loop
@@ -489,7 +503,7 @@
             peers = [Peer(node.port) for _ in range(40)]
             for peer in peers:
                 peer.send(PING)
-            await until(
+            await wait_until(
                 lambda: len(server.connections) == 40 and all(c.command_count for c in server.connections)
             )
             server.capacity = 40
@@ -502,7 +516,7 @@
             for peer in peers:
                 assert await peer.read() == b"+PONG\r\n"
                 peer.sock.close()
-            await until(lambda: not server.connections)
+            await wait_until(lambda: not server.connections)
 
 
 @on_loop
@@ -514,19 +528,19 @@
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.watch.timer.cancel()
         server, peers = node.node.clients, []
-        bear(node.node, 100.0)
+        set_in_flight_limit(node.node, 100.0)
         node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
         server.capacity = 10
         for n in range(30):
             peers.append(Peer(node.port))
             with contextlib.suppress(ConnectionError):
                 peers[-1].send(command(b"r%d" % n, LONG))
-            await until(lambda n=n: len(come) == n + 1)
+            await wait_until(lambda n=n: len(come) == n + 1)
             assert sum(not client.transport.is_closing() for client in server.connections) <= 11
         assert len(node.node.in_flight) >= 10
         for peer in peers:
             peer.sock.close()
-        await until(lambda: not server.connections)
+        await wait_until(lambda: not server.connections)
 
 
 @on_loop
@@ -547,12 +561,12 @@
         peers = [Peer(node.port) for _ in range(100)]
         for peer in peers:
             peer.send(PING)
-        await until(
+        await wait_until(
             lambda: len(server.connections) == 100 and all(c.command_count for c in server.connections)
         )
         server.connections, server.capacity = Counted(server.connections), 100
         for _ in range(20):
-            assert await node.ask(PING) == b"+PONG\r\n"
+            assert await node.send_command(PING) == b"+PONG\r\n"
         assert server.connections.looks <= 200
         for peer in peers:
             peer.sock.close()
--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -13,13 +13,13 @@
     VALUE,
     Node,
     StubHost,
-    bear,
     command,
-    has_settled,
     on_loop,
     read_reply,
+    set_in_flight_limit,
     terms,
-    until,
+    wait_until,
+    wait_until_settled,
 )
 
 from api_gateway import interface as api
@@ -30,12 +30,12 @@
 
 async def sent_on(node, *hosts):
     """The ids that hosts got, once whatever was on its way there has come."""
-    await until(lambda: not node.node.in_flight)
+    await wait_until(lambda: not node.node.in_flight)
     for n in range(len(hosts)):
         node.node.upstream.set_address(f"h{n + 1}", ("127.0.0.1", hosts[n].port))
     for host in hosts:
         host.answer = VALUE
-    assert await node.ask(command(b"last")) == SERVED
+    assert await node.send_command(command(b"last")) == SERVED
     return [got[2] for host in hosts for got in host.commands if got[2] != b"last"]
 
 
@@ -73,13 +73,13 @@
                 node.node.upstream.check_health(name, lambda attempt: None)
                 await host.arrived.get()
                 host.answer = None
-                await has_settled(node.node.upstream.pools[name])
+                await wait_until_settled(node.node.upstream.pools[name])
         for host in (one, two):
             host.commands.clear()
         host = one
         peer = Leaver(node)
         peer.sock.sendall(command())
-        await until(lambda: one.commands or two.commands)
+        await wait_until(lambda: one.commands or two.commands)
         work = node.node.in_flight["r1"]
         (attempt,) = work.attempts.values()
         client, pool = work.slot.connection, node.node.upstream.pools[other(attempt)]
@@ -137,8 +137,8 @@
     ):
         for name in ("h1", "h2"):  # a connection rests at each: what goes out does so at once
             node.node.upstream.check_health(name, lambda attempt: None)
-            await until(lambda name=name: node.node.upstream.pools[name].idle)
-            await has_settled(node.node.upstream.pools[name])
+            await wait_until(lambda name=name: node.node.upstream.pools[name].idle)
+            await wait_until_settled(node.node.upstream.pools[name])
         for host in (one, two):
             host.answer = None
             host.commands.clear()
@@ -149,7 +149,7 @@
         node.node.dispatcher.handlers[api.SetTimer] = node.node.executor.set_timer
         peer = Leaver(node)
         peer.sock.sendall(command())
-        await until(lambda: one.commands or two.commands)
+        await wait_until(lambda: one.commands or two.commands)
         work, sends = node.node.in_flight["r1"], []
         send = node.node.dispatcher.handlers[api.SendAttempt]
         node.node.dispatcher.handlers[api.SendAttempt] = lambda action: (sends.append(action), send(action))
@@ -168,9 +168,9 @@
 @on_loop
 async def test_a_burst_of_closes_ends_all_that_wait_for_a_connect(more, tmp_path):
     """None is read by the loop before the connections come up."""
-    async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=more) as node:
         pool, peers, go = node.node.upstream.pools["h1"], [], asyncio.Event()
-        bear(node.node, 1000.0)
+        set_in_flight_limit(node.node, 1000.0)
         node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
         open_, node.node.upstream.connect_timeout = pool.open, 30.0
         stands, send = node.node.dispatcher.clock(), node.node.upstream.send
@@ -191,7 +191,7 @@
             peers.append(Leaver(node))
             asked = command(b"r%03d" % n, terms(d="60000"), customer=b"%016x" % n)
             peers[-1].sock.sendall(asked)
-        await until(lambda: sum(bool(work.attempts) for work in node.node.in_flight.values()) == 200)
+        await wait_until(lambda: sum(bool(work.attempts) for work in node.node.in_flight.values()) == 200)
         go.set()
         assert await sent_on(node, host) == []
         assert not node.node.engine.requests_in_flight
@@ -200,10 +200,10 @@
 @on_loop
 async def test_a_command_that_is_read_with_its_clients_end_right_behind_is_not_sent_on(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command(b"r0")) == SERVED
-        await has_settled(node.node.upstream.pools["h1"])
+        assert await node.send_command(command(b"r0")) == SERVED
+        await wait_until_settled(node.node.upstream.pools["h1"])
         peer = Leaver(node)
-        await until(lambda: len(node.node.clients.connections) == 1)
+        await wait_until(lambda: len(node.node.clients.connections) == 1)
         (client,) = node.node.clients.connections
         client.transport.pause_reading()  # so that the loop does not come before what follows
         peer.sock.sendall(command())
@@ -219,11 +219,11 @@
     async with (
         StubHost(None) as one,
         StubHost(None) as two,
-        Node(one, two, path=tmp_path, more={"edge": {"half_closed": True}}) as node,
+        Node(one, two, path=tmp_path, config_overrides={"edge": {"half_closed": True}}) as node,
     ):
         peer = Leaver(node)
         peer.sock.sendall(command())
-        await until(lambda: one.commands or two.commands)
+        await wait_until(lambda: one.commands or two.commands)
         (attempt,) = node.node.in_flight["r1"].attempts.values()
         peer.end("half")
         next_host = two if attempt.endpoint_id == "h1" else one
@@ -237,7 +237,7 @@
         one.answer = two.answer = None
         peer = Leaver(node)
         peer.sock.sendall(command(b"r2"))
-        await until(
+        await wait_until(
             lambda: (
                 "r2" in node.node.in_flight
                 and node.node.in_flight["r2"].attempts.get(0)
@@ -261,7 +261,7 @@
     """Not what was left before it waited for a connection."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         if wait == "settle":
-            assert await node.ask(command(b"r0")) == SERVED
+            assert await node.send_command(command(b"r0")) == SERVED
         pool, go = node.node.upstream.pools["h1"], asyncio.Event()
         host.commands.clear()
         pool.typical_response_time, pool.settle_time = 1e6, 1000.0
@@ -273,8 +273,8 @@
             return conn
 
         pool.open = opened
-        asked = asyncio.create_task(node.ask(command()))
-        await until(lambda: "r1" in node.node.in_flight)
+        asked = asyncio.create_task(node.send_command(command()))
+        await wait_until(lambda: "r1" in node.node.in_flight)
         work = node.node.in_flight["r1"]
         assert len(pool.connecting if wait == "connect" else pool.settling) == 1
         work.deadline -= 1.0  # as if a second had passed
@@ -306,8 +306,8 @@
             return conn
 
         pool.open = opened
-        asked = asyncio.create_task(node.ask(command()))
-        await until(lambda: "r1" in node.node.in_flight)
+        asked = asyncio.create_task(node.send_command(command()))
+        await wait_until(lambda: "r1" in node.node.in_flight)
         go.set()
         assert (await asked)[:5] == b"-BUSY"
         assert not host.commands and len(pool.idle) == 1  # the connection rests for the next
@@ -319,11 +319,11 @@
     async with StubHost(None) as one, StubHost(None) as two, Node(one, two, path=tmp_path) as node:
         peer = Leaver(node)
         peer.sock.sendall(command(terms=terms(d="900")))
-        await until(lambda: one.commands or two.commands)
+        await wait_until(lambda: one.commands or two.commands)
         (attempt,) = node.node.in_flight["r1"].attempts.values()
         await asyncio.sleep(0.2)
         attempt.connection.data_received(BUSY)
-        await until(lambda: one.commands and two.commands)
+        await wait_until(lambda: one.commands and two.commands)
         first, second = sorted((told_left(host.commands[0]) for host in (one, two)), reverse=True)
         assert first <= 0.87 and second <= 0.68
         peer.sock.close()
@@ -333,9 +333,9 @@
 @on_loop
 async def test_the_time_of_a_command_counts_from_when_its_bytes_came_not_from_its_turn(more, tmp_path):
     """The loop is late by the work for those before it on its connection."""
-    async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
-        assert await node.ask(command(b"r0")) == SERVED
-        await has_settled(node.node.upstream.pools["h1"])
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=more) as node:
+        assert await node.send_command(command(b"r0")) == SERVED
+        await wait_until_settled(node.node.upstream.pools["h1"])
         host.commands.clear()
         reader, writer = await node.connect()
         take = node.node.requests.admit
--- a/tests/downstream/test_fair_queueing.py
+++ b/tests/downstream/test_fair_queueing.py
@@ -6,7 +6,7 @@
 from collections import deque
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, until
+from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, wait_until
 
 from api_gateway.downstream import client_connection as clients
 from api_gateway.downstream import client_server, fair_queueing
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("more, soon", [(EDGE, True), ({"edge": {"turns": False}}, False), (None, False)])
 @on_loop
 async def test_a_light_client_does_not_wait_behind_pipelines(more, soon, scratch):
-    async with StubHost() as host, Node(host, path=scratch, more=more) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides=more) as node:
         taken, answers = await pipelines_beside(node, 3)
         assert (taken.index(b"light") <= 6 * BATCH_COST) == soon
         assert len(answers) == 1201 and {answer[:1] for answer in answers} <= {b"$", b"-"}
@@ -197,25 +197,25 @@
 
 @on_loop
 async def test_a_pipeline_that_ends_while_it_waits_leaves_nothing(scratch):
-    async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides=EDGE) as node:
         scheduler = node.node.clients.listener.scheduler
         for how in ("close", "reset"):
             for _ in range(5):
                 _, writer = await node.connect()
                 writer.write(HOG * 2)
-                await until(lambda: node.node.clients.connections)
+                await wait_until(lambda: node.node.clients.connections)
                 if how == "reset":
                     sock = writer.get_extra_info("socket")
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
                 writer.transport.abort()
-            await until(lambda: not node.node.in_flight and not node.node.clients.connections)
-            await until(lambda: not len(scheduler.queue))
+            await wait_until(lambda: not node.node.in_flight and not node.node.clients.connections)
+            await wait_until(lambda: not len(scheduler.queue))
             assert (
                 not scheduler.sources
                 and not scheduler.is_scheduled
                 and not node.node.requests.small_body_bytes
             )
-            told = (await node.call("GET /status"))[1]["edge"]
+            told = (await node.call_control("GET /status"))[1]["edge"]
             assert told["turns"] == 0 and told["windows"] == [32, 32]
 
 
@@ -223,13 +223,13 @@
 @on_loop
 async def test_commands_that_wait_for_their_turn_outlast_a_drain(call, scratch, monkeypatch):
     monkeypatch.setattr(fair_queueing, "BATCH_COST", 1.0)
-    async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides=EDGE) as node:
         reader, writer = await node.connect()
         writer.write(HOG[:20000])
         whole = HOG[:20000].count(b"first=0\r\n")
-        await until(lambda: host.commands)
+        await wait_until(lambda: host.commands)
         if call:
-            assert (await node.call(call))[0] == 200
+            assert (await node.call_control(call))[0] == 200
         else:
             for client in node.node.clients.connections:
                 client.close_when_done()
@@ -242,7 +242,7 @@
 async def test_a_connection_has_no_more_in_work_than_its_bound(scratch, monkeypatch):
     for module in (fair_queueing, clients):
         monkeypatch.setattr(module, "MAX_PENDING_COMMANDS", 8)
-    async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides=EDGE) as node:
         seen, take = [], node.node.requests.admit
         node.node.requests.admit = lambda slot, parts: (
             seen.append(len(slot.connection.pending_replies)),
@@ -283,7 +283,7 @@
 
 @on_loop
 async def test_a_connection_that_fails_ends_alone_and_turns_go_on(scratch):
-    async with StubHost() as host, Node(host, path=scratch, more=EDGE) as node:
+    async with StubHost() as host, Node(host, path=scratch, config_overrides=EDGE) as node:
         handle = node.node.requests.handle_command
 
         def command_fails(slot, told):
@@ -297,7 +297,7 @@
         assert await bad[0].read() == b""
         other[1].write(b"*1\r\n$4\r\nPING\r\n")
         assert await read_reply(other[0]) == b"+PONG\r\n"
-        await until(lambda: len(node.node.clients.connections) == 1)
+        await wait_until(lambda: len(node.node.clients.connections) == 1)
 
 
 @pytest.mark.parametrize("halves", [True, False])
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, until
+from netkit import SERVED, Node, StubHost, command, on_loop, read_reply, terms, wait_until
 
 from api_gateway.base.resp import INCOMPLETE, MAX_VALUE_BYTES, STREAMING_THRESHOLD_BYTES, RespReader
 from api_gateway.downstream import client_connection as clients
@@ -89,10 +89,10 @@
         await host.arrived.get()
         big = BIG * 4
         host.writers[0].write(value(big))
-        await until(lambda: any(c.is_paused for c in node.node.upstream.connections))
+        await wait_until(lambda: any(c.is_paused for c in node.node.upstream.connections))
         client = next(iter(node.node.clients.connections))
         assert client.transport.get_write_buffer_size() < 1 << 20
-        assert await node.ask(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
+        assert await node.send_command(b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
         writer.transport.resume_reading()
         assert await read_reply(reader) == b"$%d\r\n%s\r\n" % (len(big), big)
 
@@ -102,7 +102,7 @@
     async with StubHost(None) as one, StubHost(None) as two, Node(one, two, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command())
-        await until(lambda: one.commands or two.commands)
+        await wait_until(lambda: one.commands or two.commands)
         out = (one.writers or two.writers)[0]
         out.write(value(BIG)[:200000])
         await reader.readexactly(1000)
@@ -117,10 +117,10 @@
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"r1") + command(b"r2"))
-        await until(lambda: len(host.commands) == 2)
+        await wait_until(lambda: len(host.commands) == 2)
         later = next(n for n, got in enumerate(host.commands) if got[2] == b"r2")
         host.writers[later].write(value(BIG))
-        await until(lambda: any(work.streaming_attempt for work in node.node.in_flight.values()))
+        await wait_until(lambda: any(work.streaming_attempt for work in node.node.in_flight.values()))
         host.writers[1 - later].write(value(b"value"))
         assert await read_reply(reader) == SERVED
         assert await read_reply(reader) == b"$%d\r\n%s\r\n" % (len(BIG), BIG)
@@ -135,7 +135,7 @@
         host.writers[0].write(value(BIG)[:200000])
         await reader.readexactly(1000)
         writer.close()
-        await until(lambda: not host.connections and not node.node.in_flight)
+        await wait_until(lambda: not host.connections and not node.node.in_flight)
 
 
 @on_loop
@@ -165,7 +165,7 @@
         reader, writer = await node.connect()
         writer.write(upload()[:5000])
         assert await reader.read() == b"-ERR no whole command in time\r\n"
-        await until(lambda: node.node.clients.body_budget.reserved_bytes == 0)
+        await wait_until(lambda: node.node.clients.body_budget.reserved_bytes == 0)
         assert not host.commands
 
 
@@ -178,12 +178,12 @@
         head = upload()[: -len(BIG) - 2]
         reader, writer = await node.connect()
         writer.write(head)
-        await until(lambda: any(c.reader.large_string_bytes for c in node.node.clients.connections))
-        assert await node.ask(upload()) == SERVED
+        await wait_until(lambda: any(c.reader.large_string_bytes for c in node.node.clients.connections))
+        assert await node.send_command(upload()) == SERVED
         assert await reader.read() == b"-ERR no whole command in time\r\n"
         slow, slow_writer = await node.connect()
         slow_writer.write(upload(b"w2")[: -len(BIG) - 2])
-        await until(lambda: any(c.reader.large_string_bytes for c in node.node.clients.connections))
+        await wait_until(lambda: any(c.reader.large_string_bytes for c in node.node.clients.connections))
         slow_writer.write(upload(b"w2")[-len(BIG) - 2 :])
         assert await read_reply(slow) == SERVED
 
@@ -196,10 +196,10 @@
         budget.capacity_bytes = len(BIG)
         first, first_writer = await node.connect()
         first_writer.write(upload(b"w1")[:70000])
-        await until(lambda: budget.reserved_bytes)
+        await wait_until(lambda: budget.reserved_bytes)
         second, second_writer = await node.connect()
         second_writer.write(upload(b"w2"))
-        await until(lambda: budget.waiting)
+        await wait_until(lambda: budget.waiting)
         assert not host.commands
         first_writer.write(upload(b"w1")[70000:])
         assert await read_reply(first) == SERVED and await read_reply(second) == SERVED
@@ -210,9 +210,9 @@
 async def test_a_large_body_that_is_not_taken_gives_its_place_back(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         bad = command(b"w1", terms(c="nothing"), b"API.WRITE", body=BIG)
-        assert (await node.ask(bad)).startswith(b"-ERR")
+        assert (await node.send_command(bad)).startswith(b"-ERR")
         assert node.node.clients.body_budget.reserved_bytes == 0 and not host.commands
-        assert await node.ask(upload()) == SERVED
+        assert await node.send_command(upload()) == SERVED
         assert node.node.clients.body_budget.reserved_bytes == 0
 
 
@@ -245,10 +245,10 @@
         reader, writer = await node.connect()
         writer.write(command(b"r1") + upload()[:90000])
         assert await read_reply(reader) == SERVED
-        await until(lambda: node.node.clients.body_budget.reserved_bytes)
-        await node.call("POST /standby")
+        await wait_until(lambda: node.node.clients.body_budget.reserved_bytes)
+        await node.call_control("POST /standby")
         assert await reader.read() == b""
-        await until(lambda: not node.node.clients.body_budget.reserved_bytes)
+        await wait_until(lambda: not node.node.clients.body_budget.reserved_bytes)
         assert len(host.commands) == 1
 
 
@@ -260,9 +260,9 @@
         writer.transport.pause_reading()
         for n in range(6):  # more than the sockets between them hold
             writer.write(command(b"r%d" % n))
-        await until(lambda: node.node.clients.connections)
-        await until(lambda: not node.node.clients.connections)
-        await until(lambda: not node.node.in_flight)
+        await wait_until(lambda: node.node.clients.connections)
+        await wait_until(lambda: not node.node.clients.connections)
+        await wait_until(lambda: not node.node.in_flight)
 
 
 @on_loop
@@ -272,7 +272,7 @@
         node.node.clients.capacity = 2
         reader, writer = await node.connect()
         writer.write(upload()[:90000])
-        await until(lambda: node.node.clients.body_budget.reserved_bytes)
+        await wait_until(lambda: node.node.clients.body_budget.reserved_bytes)
         rests, _ = await node.connect()
         third, third_writer = await node.connect()
         assert await rests.read() == b""
--- a/tests/emulators/test_emulators.py
+++ b/tests/emulators/test_emulators.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 import pytest
-from netkit import VALUE, command, entry, on_loop, until, write
+from netkit import VALUE, command, entry, on_loop, wait_until, write_command
 
 from api_gateway.emulators.counter import Counter
 from api_gateway.emulators.discovery import Discovery
@@ -85,11 +85,11 @@
 async def test_a_host_turns_away_what_has_no_room_and_does_no_key_twice():
     async with WorkingHost(slots=1, work=0.2, room=1) as host:
         lines = [await asyncio.open_connection("127.0.0.1", host.port) for _ in range(5)]
-        texts = [write(b"w%d" % n) if n < 2 else command(b"r%d" % n) for n in range(5)]
+        texts = [write_command(b"w%d" % n) if n < 2 else command(b"r%d" % n) for n in range(5)]
         answers = await asyncio.gather(*(asked(*line, text) for line, text in zip(lines, texts, strict=True)))
         assert answers.count(BUSY) == 3 and answers.count(VALUE) == 2
         host.work = 0.001
-        assert await asked(*lines[0], write(b"again")) == VALUE
+        assert await asked(*lines[0], write_command(b"again")) == VALUE
         assert host.status()["commands"]["repeated"] >= 1 and host.status()["inside"] == 0
         assert await asked(*lines[0], b"*1\r\n$4\r\nPING\r\n") == b"+PONG\r\n"
         assert (await asked(*lines[0], command(verb=b"GET")))[:7] == b"-SYNTAX"
@@ -101,7 +101,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", counter.port)
         counter.switch(Faults(silent=1.0))
         writer.write(b"incr a 2.5 4000\r\nincr a 1 4000\r\n")
-        await until(lambda: len(counter.held) == 2)
+        await wait_until(lambda: len(counter.held) == 2)
         assert counter.status() == {"names": 1, "added": 2, "held": 2}
         counter.switch(Faults())
         assert [await reader.readline() for _ in range(2)] == [b"ok 2.5\r\n", b"ok 3.5\r\n"]
@@ -115,7 +115,7 @@
         discovery.servers = [entry(discovery, "h1")]
         watch = "GET /v1/endpoints?index=1&wait=5000"
         watches = [asyncio.create_task(call(discovery.port, watch)) for _ in range(3)]
-        await until(lambda: len(discovery.calls) == 3)
+        await wait_until(lambda: len(discovery.calls) == 3)
         discovery.change([entry(discovery, "h2"), entry(discovery, "h1", "removed")])
         told = [(await task)[1] for task in (*watches, asyncio.create_task(call(discovery.port, watch)))]
         assert all(t["version"] == 2 and not t["full"] and len(t["servers"]) == 2 for t in told)
@@ -128,11 +128,11 @@
     service = Service(RegistryConfig(("127.0.0.1", 0), None, 100, 0.0), registry)
     port = await service.start()
     task = asyncio.create_task(stay_registered(f"127.0.0.1:{port}", "h1", "b", lambda: 7000))
-    await until(lambda: "h1" in registry.entries)
+    await wait_until(lambda: "h1" in registry.entries)
     host = registry.entries["h1"].host
     assert (host.addr, host.zone, host.state) == ("127.0.0.1:7000", "b", "up")
     registry.entries.clear()  # the service forgot it, as one does that was started anew
-    await until(lambda: "h1" in registry.entries)
+    await wait_until(lambda: "h1" in registry.entries)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert registry.entries["h1"].host.state == "draining"
--- a/tests/experiments/test_faults.py
+++ b/tests/experiments/test_faults.py
@@ -7,7 +7,7 @@
 
 import pytest
 from commands import ROOT, Command
-from netkit import on_loop, until
+from netkit import on_loop, wait_until
 
 from api_gateway.experiments.faults.lines import PASS, Line, Treatment
 from api_gateway.experiments.faults.links import Network, on_loopback, port
@@ -82,23 +82,23 @@
 
     async def send(name, data, to, reaches=None):
         ports[name].transport.sendto(data, to)
-        await until(lambda: reaches is None or heard[reaches] and heard[reaches][-1][1] == data)
+        await wait_until(lambda: reaches is None or heard[reaches] and heard[reaches][-1][1] == data)
 
     await send("a", b"one", told["b"], "b")
     seems = heard["b"][0][0]
     assert seems not in (real["a"], told["a"])
     await send("b", b"answer", seems)
-    await until(lambda: network.datagrams.counts["astray"] == 1)
+    await wait_until(lambda: network.datagrams.counts["astray"] == 1)
     network.treat("a", "b", Treatment(cut=True), False, False)
     await send("a", b"two", told["b"])
     await send("b", b"three", told["a"], "a")  # the other way is whole
-    await until(lambda: network.counts()["lost"] == 1)
+    await wait_until(lambda: network.counts()["lost"] == 1)
     network.heal()
     await send("a", b"four", told["b"], "b")
     assert [data for _, data in heard["b"]] == [b"one", b"four"]
     stranger = await port(lambda *_: None)
     stranger.transport.sendto(b"x", told["a"])
-    await until(lambda: network.datagrams.counts["strangers"] == 1)
+    await wait_until(lambda: network.datagrams.counts["strangers"] == 1)
     await network.close()
 
 
@@ -138,7 +138,7 @@
         assert await echo.ask(b"one") == b"one"
         echo.treat("b", "a", cut=True)
         echo.writer.write(b"two")
-        await until(lambda: echo.network.way("a", "b").line.counts["passed"] >= 2)
+        await wait_until(lambda: echo.network.way("a", "b").line.counts["passed"] >= 2)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await echo.reader.read(1)
@@ -227,7 +227,7 @@
         command, events = first or (begin(name, tmp_path / f"{attempt}", env), tmp_path / f"{attempt}")
         first = None
         status, out, err = command.result(180)
-        assert not command.left()
+        assert not command.running_processes()
         if status != VOID:
             assert not events.exists() or events.read_text() == out
             return status, [json.loads(line) for line in out.splitlines()], err
@@ -267,7 +267,7 @@
     path.write_text(SMALL.format(late=late, check=check, seconds=1))
     command = Command(str(path), program=KIT)
     ended, out, err = command.result()
-    assert ended == status and why in out + err and not command.left()
+    assert ended == status and why in out + err and not command.running_processes()
 
 
 def test_all_that_was_started_ends_with_the_driver_however_it_ends(tmp_path):
@@ -275,10 +275,12 @@
     path.write_text(SMALL.format(late=9.0, check="{ that = 'runs', of = ['holder-0'] }", seconds=600))
     for end in ("kill", "terminate"):
         command = Command(str(path), program=KIT, scratch=tmp_path)
-        command.until(lambda command=command: any("holder-0" in line for line in command.left().values()))
+        command.wait_until(
+            lambda command=command: any("holder-0" in line for line in command.running_processes().values())
+        )
         getattr(command.process, end)()
         command.result()
-        command.until(lambda command=command: not command.left(), 10)
+        command.wait_until(lambda command=command: not command.running_processes(), 10)
 
 
 SETS_NOTHING_ASIDE = """
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -9,7 +9,18 @@
 
 import pytest
 import uvloop
-from netkit import SERVED, SETTINGS, VALUE, Node, StubHost, command, has_settled, on_loop, terms, until
+from netkit import (
+    SERVED,
+    SETTINGS,
+    VALUE,
+    Node,
+    StubHost,
+    command,
+    on_loop,
+    terms,
+    wait_until,
+    wait_until_settled,
+)
 
 from api_gateway import interface as api
 from api_gateway.downstream import fair_queueing
@@ -94,7 +105,7 @@
         slow(monkeypatch, clock, owner, name, when)
         with stamped.watching() as stamps:
             async with StubHost() as host, Node(host, path=tmp_path) as gw:
-                assert await gw.ask(command()) == SERVED
+                assert await gw.send_command(command()) == SERVED
                 summed(stamps.told_of("r1"))
                 shown_in(stamps.told_of("r1"), part)
 
@@ -107,11 +118,11 @@
     async def play():
         slow(monkeypatch, clock, Pool, "open")
         with stamped.watching() as stamps:
-            async with StubHost() as host, Node(host, path=tmp_path, more=edge) as gw:
-                assert await gw.ask(command()) == SERVED
+            async with StubHost() as host, Node(host, path=tmp_path, config_overrides=edge) as gw:
+                assert await gw.send_command(command()) == SERVED
                 shown_in(stamps.told_of("r1"), "connect")
-                await has_settled(gw.node.upstream.pools["h1"])
-                assert await gw.ask(command(b"r2")) == SERVED  # which needs no connect
+                await wait_until_settled(gw.node.upstream.pools["h1"])
+                assert await gw.send_command(command(b"r2")) == SERVED  # which needs no connect
                 quick(stamps.told_of("r2"))
                 for name in stamps.done:
                     summed(stamps.told_of(name))
@@ -131,10 +142,12 @@
         async with StubHost() as host, Node(host, path=tmp_path, settings=quota) as gw:
             gw.counter.silent = True
             asked = [
-                asyncio.create_task(gw.ask(command(b"r%d" % n, terms(spread=20), customer=b"%016x" % n)))
+                asyncio.create_task(
+                    gw.send_command(command(b"r%d" % n, terms(spread=20), customer=b"%016x" % n))
+                )
                 for n in range(40)
             ]
-            await until(lambda: len(stamps.done) + len(gw.counter.held) == 40)
+            await wait_until(lambda: len(stamps.done) + len(gw.counter.held) == 40)
             waits = [name for name, trace in stamps.open.items() if trace.part == "lease"]
             assert waits and len(waits) == len(stamps.open)
             clock.fault()
@@ -142,7 +155,7 @@
             with monkeypatch.context() as patched:
                 patched.setattr(gw.node.engine.endpoint_pool, "is_at_limit", lambda *args: True)
                 gw.counter.answer_all()
-                await until(lambda: any(trace.part == "queue" for trace in stamps.open.values()))
+                await wait_until(lambda: any(trace.part == "queue" for trace in stamps.open.values()))
             gw.node.dispatcher.dispatch(api.TimerFired(0))
             await asyncio.gather(*asked)
             assert len(stamps.done) == 40
@@ -161,8 +174,8 @@
             module = gw.node.engine
             with monkeypatch.context() as patched:
                 patched.setattr(module.endpoint_pool, "is_at_limit", lambda *args: True)
-                asked = asyncio.create_task(gw.ask(command()))
-                await until(lambda: "r1" in stamps.open and stamps.open["r1"].part == "queue")
+                asked = asyncio.create_task(gw.send_command(command()))
+                await wait_until(lambda: "r1" in stamps.open and stamps.open["r1"].part == "queue")
                 clock.fault()
             gw.node.dispatcher.dispatch(api.TimerFired(0))
             assert await asked == SERVED
@@ -174,12 +187,12 @@
 async def test_a_connection_that_has_to_settle(clock, tmp_path):
     with stamped.watching() as stamps:
         async with StubHost() as host, Node(host, path=tmp_path) as gw:
-            assert await gw.ask(command()) == SERVED
+            assert await gw.send_command(command()) == SERVED
             pool = gw.node.upstream.pools["h1"]
             # Its answers take long, so the next one waits for it.
             pool.typical_response_time, pool.settle_time = 1e5, 3600.0
-            asked = asyncio.create_task(gw.ask(command(b"r2")))
-            await until(lambda: pool.settling)
+            asked = asyncio.create_task(gw.send_command(command(b"r2")))
+            await wait_until(lambda: pool.settling)
             assert stamps.open["r2"].part == "settle"
             clock.fault()
             pool.on_settled(*pool.settling)
@@ -199,13 +212,13 @@
     with stamped.watching() as stamps:
         async with StubHost(answer) as one, StubHost(answer) as other, Node(one, other, path=tmp_path) as gw:
             gw.node.engine.retry_budget.balance = 2.0
-            assert await gw.ask(command()) == SERVED
+            assert await gw.send_command(command()) == SERVED
             trace = stamps.told_of("r1")
             summed(trace)
             spent = trace["spent"]
             assert spent.pop("host") >= FAULT and spent.pop("again") >= FAULT
             quick(trace)
-            assert await gw.ask(command(b"r2")) == SERVED
+            assert await gw.send_command(command(b"r2")) == SERVED
             shown_in(stamps.told_of("r2"), "host")
 
 
@@ -213,8 +226,8 @@
 async def test_a_turn_that_comes_late(clock, monkeypatch, tmp_path):
     slow(monkeypatch, clock, fair_queueing.CommandScheduler, "run_batch")
     with stamped.watching() as stamps:
-        async with StubHost() as host, Node(host, path=tmp_path, more={"edge": {}}) as gw:
-            assert await gw.ask(command()) == SERVED
+        async with StubHost() as host, Node(host, path=tmp_path, config_overrides={"edge": {}}) as gw:
+            assert await gw.send_command(command()) == SERVED
             summed(stamps.told_of("r1"))
             shown_in(stamps.told_of("r1"), "turn")
 
--- a/tests/gateway/test_answers.py
+++ b/tests/gateway/test_answers.py
@@ -19,11 +19,11 @@
     StubHost,
     command,
     entry,
+    gateway_config,
     on_loop,
     read_reply,
     terms,
-    told,
-    write,
+    write_command,
 )
 
 LOST = 0.5  # s past its time after which a request counts as lost
@@ -45,8 +45,8 @@
     """Commands of each effect with `due` ms to go."""
     return [
         command(b"r%d" % number, terms(d=str(due))),
-        write(b"w%d" % number, b"write", due),
-        write(b"n%d" % number, b"note", due),
+        write_command(b"w%d" % number, b"write", due),
+        write_command(b"n%d" % number, b"note", due),
     ]
 
 
@@ -93,7 +93,7 @@
     async with Node(path=tmp_path) as node:
         for number in range(3):
             for text in asked(number, 300):
-                assert (await node.ask(text))[:5] == b"-BUSY"
+                assert (await node.send_command(text))[:5] == b"-BUSY"
         assert not node.node.in_flight
 
 
@@ -110,7 +110,9 @@
         config = tmp_path / "config.json"
         config.write_text(
             json.dumps(
-                told([entry(host)], port, counter.port, SETTINGS | {"registry_mode": mode, "group_size": 200})
+                gateway_config(
+                    [entry(host)], port, counter.port, SETTINGS | {"registry_mode": mode, "group_size": 200}
+                )
             )
         )
         began = time.monotonic()
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -21,14 +21,14 @@
     StubCounter,
     StubDiscovery,
     StubHost,
+    call_control,
     command,
-    control,
     entry,
-    has_settled,
+    gateway_config,
     on_loop,
     read_reply,
-    told,
-    until,
+    wait_until,
+    wait_until_settled,
 )
 
 from api_gateway import interface as api
@@ -74,7 +74,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     async def status(self):
-        return (await control(self.control_port, "GET /status"))[1]
+        return (await call_control(self.control_port, "GET /status"))[1]
 
     def limit(self, most):
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (most, self.hard))
@@ -101,7 +101,7 @@
 @contextlib.asynccontextmanager
 async def program(path, host, counter, discovery, sockets=256, **more):
     config, discovery.servers = path / "config.json", [entry(host)]
-    tree = told([entry(host)], discovery.port, counter.port) | more
+    tree = gateway_config([entry(host)], discovery.port, counter.port) | more
     tree["limits"] |= {"sockets": sockets}
     config.write_text(json.dumps(tree))
     env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_CONTROL": "127.0.0.1:0", "TMPDIR": str(path)}
@@ -194,7 +194,7 @@
             fresh = await gateway.connect()
             assert await gateway.ask(*fresh) == SERVED
             assert most <= own + ROOM + TURN
-            await until(lambda: len(gateway.used()) <= own + ROOM + 4)
+            await wait_until(lambda: len(gateway.used()) <= own + ROOM + 4)
             assert not errors(gateway.log)
         finally:
             for sock in crowd:
@@ -313,7 +313,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         listener = node.node.clients.listener
         listener.sockets[0] = Empty(listener.sockets[0], 10, code)
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         assert listener.sockets[0].left == 0 and listener.short_since is None
 
 
@@ -325,7 +325,7 @@
         pause = listener.pause
         listener.pause = lambda *seconds: (pauses.append(seconds), pause(*seconds))
         listener.sockets[0] = Empty(listener.sockets[0], IMMEDIATE_RETRIES - 1, errno.ENFILE)
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         assert listener.sockets[0].left == 0 and not pauses
 
 
@@ -337,7 +337,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         listener = node.node.clients.listener
         listener.sockets[0] = Empty(listener.sockets[0], 3, code)
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         assert listener.retry is None and listener.short_since is None
 
 
@@ -357,13 +357,13 @@
                 assert await reader.read() == b""
             assert monotonic() - listener.short_since >= LASTING_SHORTAGE_S
         else:
-            await until(
+            await wait_until(
                 lambda: listener.short_since and monotonic() - listener.short_since > 2 * LASTING_SHORTAGE_S
             )
             listener.sockets[0].left = 0
             assert await read_reply(reader) == SERVED
         listener.sockets[0].left = 0
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
 
 
 class Empty:
@@ -421,8 +421,8 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         asks = socket.create_connection(("127.0.0.1", node.control_port))
         asks.sendall(b"GET /config/history HTTP/1.1\r\nHost: x\r\n\r\n")
-        await until(lambda: len(node.node.control.server.connections) == 1)
-        await until(lambda: not node.node.control.server.connections)
+        await wait_until(lambda: len(node.node.control.server.connections) == 1)
+        await wait_until(lambda: not node.node.control.server.connections)
         asks.close()
 
 
@@ -434,7 +434,7 @@
 @on_loop
 async def test_a_connect_with_nothing_left_for_it_says_nothing_of_its_host(code, more, tmp_path, monkeypatch):
     """Its request is refused at once, and the next one that can be sent there is."""
-    async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=more) as node:
         outcomes, feed, loop = [], node.node.dispatcher.dispatch, asyncio.get_running_loop()
         node.node.dispatcher.dispatch = lambda event: (outcomes.append(event), feed(event))
 
@@ -445,22 +445,22 @@
             patch.setattr(hosts, "socket", SimpleNamespace(**vars(socket) | {"socket": no_socket}))
             for n in range(5):
                 began = loop.time()
-                assert (await node.ask(command(b"r%d" % n))).startswith(BUSY)
+                assert (await node.send_command(command(b"r%d" % n))).startswith(BUSY)
                 assert loop.time() - began < 1.0
         assert {event.result for event in outcomes if isinstance(event, api.AttemptEnded)} == {"moot"}
         assert "h1" not in node.node.engine.endpoint_pool.health.estimates
-        assert await node.ask(command(b"r9")) == SERVED
+        assert await node.send_command(command(b"r9")) == SERVED
 
 
 @on_loop
 async def test_without_descriptors_one_at_rest_makes_room_for_a_host_that_has_none(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command()) == SERVED
-        await has_settled(node.node.upstream.pools["h1"])
+        assert await node.send_command(command()) == SERVED
+        await wait_until_settled(node.node.upstream.pools["h1"])
         rests = node.node.upstream.pools["h1"].idle[0]
         node.discovery.change([entry(host, "h1", "removed"), entry(host, "h2")])
         node.node.upstream.pools["h1"].stop = lambda: None  # its connections rest on
-        await until(lambda: "h2" in node.node.upstream.pools and "h1" not in node.node.upstream.pools)
+        await wait_until(lambda: "h2" in node.node.upstream.pools and "h1" not in node.node.upstream.pools)
         calls = []
 
         def short(*args):
@@ -470,7 +470,7 @@
             return socket.socket(*args)
 
         monkeypatch.setattr(hosts, "socket", SimpleNamespace(**vars(socket) | {"socket": short}))
-        assert await node.ask(command(b"r2")) == SERVED and calls == [False, True]
+        assert await node.send_command(command(b"r2")) == SERVED and calls == [False, True]
 
 
 @pytest.mark.parametrize("code", [errno.EMFILE, errno.ENOBUFS], ids=errno.errorcode.get)
@@ -483,7 +483,7 @@
         young, served = await node.connect(), await node.connect()
         served[1].write(command(b"r1"))
         assert await read_reply(served[0]) == SERVED
-        await has_settled(node.node.upstream.pools["h1"])
+        await wait_until_settled(node.node.upstream.pools["h1"])
         node.node.upstream.close_longest_idle()
         failures = [OSError(code, os.strerror(code))]
 
@@ -493,7 +493,7 @@
             return socket.socket(*args)
 
         monkeypatch.setattr(hosts, "socket", SimpleNamespace(**vars(socket) | {"socket": short}))
-        assert await node.ask(command(b"r2")) == SERVED and not failures
+        assert await node.send_command(command(b"r2")) == SERVED and not failures
         for number, (reader, writer) in enumerate((young, served)):
             writer.write(command(b"young%d" % number))
             assert await read_reply(reader) == SERVED
@@ -504,14 +504,14 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         clients = node.node.clients
         first, second = await node.connect(), await node.connect()
-        await until(lambda: len(clients.connections) == 2)
+        await wait_until(lambda: len(clients.connections) == 2)
         assert not clients.close_fresh_idle()
         next(iter(clients.connections)).last_command_at -= MIN_IDLE_S
         assert clients.close_fresh_idle()
         assert await first[0].read() == b""
         assert not clients.close_fresh_idle()
         third = await node.connect()
-        await until(lambda: len(clients.connections) == 2)
+        await wait_until(lambda: len(clients.connections) == 2)
         clients.capacity = 1
         assert clients.close_fresh_idle()
         assert await second[0].read() == b""
@@ -524,8 +524,8 @@
 ):
     """Discovery that is away would take the connections to hosts one after the other, and gain nothing."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command()) == SERVED
-        await has_settled(node.node.upstream.pools["h1"])
+        assert await node.send_command(command()) == SERVED
+        await wait_until_settled(node.node.upstream.pools["h1"])
         (idle,) = node.node.upstream.idle
         number = idle.sock.fileno()
         monkeypatch.setattr(process_limits, "descriptor_limit", lambda: number)
@@ -568,7 +568,7 @@
             await counter.__aexit__(None, None, None)
             most = resource.prlimit(gateway.process.pid, resource.RLIMIT_NOFILE)[0]
             for _ in range(20):  # tries to connect hold some for a moment
-                await until(lambda: len(gateway.used()) == most)
+                await wait_until(lambda: len(gateway.used()) == most)
             for peer in rests:
                 assert await gateway.ping(*peer) == PONG
             discovery.change([entry(late, "h2"), entry(host, "h1", "removed")])
@@ -582,7 +582,7 @@
             assert monotonic() - back < 6.0
             for peer in rests:
                 assert await gateway.ask(*peer) == SERVED
-            await until(lambda: counter.added + counter.pings > added)
+            await wait_until(lambda: counter.added + counter.pings > added)
         finally:
             coming.cancel()
             for sock in others:
--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -17,14 +17,14 @@
     StubCounter,
     StubDiscovery,
     StubHost,
+    call_control,
     command,
-    control,
     entry,
+    gateway_config,
     on_loop,
     read_reply,
     terms,
-    told,
-    until,
+    wait_until,
 )
 
 from api_gateway.base.errors import ConfigError
@@ -36,7 +36,7 @@
 
 
 def spoilt(**kw):
-    return json.dumps(told([], 1, 2) | kw)
+    return json.dumps(gateway_config([], 1, 2) | kw)
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
     async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
+        config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port)))
         program = await asyncio.create_subprocess_exec(
             *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
         )
@@ -95,7 +95,7 @@
     async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
-        text = told([entry(host)], discovery.port, counter.port)
+        text = gateway_config([entry(host)], discovery.port, counter.port)
         config.write_text(json.dumps(text))
         program = await asyncio.create_subprocess_exec(
             *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
@@ -124,7 +124,9 @@
         discovery.servers = [entry(host)]
         config, port = tmp_path / "config.json", 0
         for life in (b"first", b"second"):
-            text = told([entry(host)], discovery.port, counter.port) | {"listen": f"127.0.0.1:{port}"}
+            text = gateway_config([entry(host)], discovery.port, counter.port) | {
+                "listen": f"127.0.0.1:{port}"
+            }
             config.write_text(json.dumps(text))
             program = await asyncio.create_subprocess_exec(
                 *PROGRAM, cwd=ROOT, env={**os.environ, "RELAY_CONFIG": str(config)}, stderr=subprocess.PIPE
@@ -149,7 +151,7 @@
     ):
         discovery.servers, new_discovery.servers = [entry(host)], [entry(late, "h2")]
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
+        config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port)))
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
         program = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env=env, stderr=subprocess.PIPE)
         port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
@@ -159,7 +161,7 @@
         config.write_text("{")
         program.send_signal(signal.SIGHUP)
         assert b"nothing changes" in await program.stderr.readline()
-        config.write_text(json.dumps(told([], new_discovery.port, new_counter.port)))
+        config.write_text(json.dumps(gateway_config([], new_discovery.port, new_counter.port)))
         program.send_signal(signal.SIGHUP)
         number = 1
         while not (new_counter.calls and late.commands):  # each customer's first request needs the counter
@@ -171,7 +173,7 @@
 
 
 def changed(**kw):
-    tree = json.loads(json.dumps(told([], 1, 2)))
+    tree = json.loads(json.dumps(gateway_config([], 1, 2)))
     for path, value in kw.items():
         node = tree
         *parents, leaf = [int(p) if p.isdigit() else p for p in path.split("__")]
@@ -269,7 +271,7 @@
                 second = int(line.decode().rsplit(":", 1)[1])
             if b"listens on" in line:
                 break
-        assert (await control(second, "GET /status"))[0] == 200
+        assert (await call_control(second, "GET /status"))[0] == 200
         return program, second
 
     async def __aenter__(self):
@@ -288,7 +290,7 @@
     async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
+        config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port)))
         (tmp_path / "n0-life-of-an-earlier-one").write_text("")
         async with Platform(tmp_path, config) as platform:
             old, second = await platform.start()
@@ -298,9 +300,9 @@
             busy, busy_writer = await asyncio.open_connection("127.0.0.1", platform.port)
             busy_writer.write(command(b"busy"))
             await host.arrived.get()
-            assert (await control(second, "POST /maintenance/enter?host=h1"))[0] == 200
+            assert (await call_control(second, "POST /maintenance/enter?host=h1"))[0] == 200
             new, new_second = await platform.start()
-            assert (await control(new_second, "GET /status"))[1]["hosts_out"] == ["h1"]
+            assert (await call_control(new_second, "GET /status"))[1]["hosts_out"] == ["h1"]
             old.send_signal(signal.SIGTERM)
             assert await idle.read() == b""
             host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
@@ -320,7 +322,7 @@
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port) | more))
+        config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port) | more))
         async with Platform(tmp_path, config) as platform:
             old, _ = await platform.start()
             ended, answers, lost, numbers = asyncio.Event(), [], [], itertools.count()
@@ -345,12 +347,12 @@
                     await ask()
 
             rush = [asyncio.create_task(keep_asking()) for _ in range(40)]
-            await until(lambda: len(answers) > 200)
+            await wait_until(lambda: len(answers) > 200)
             await platform.start()
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
             seen = len(answers)
-            await until(lambda: len(answers) > seen + 200)
+            await wait_until(lambda: len(answers) > seen + 200)
             ended.set()
             await asyncio.gather(*rush)
             assert not lost and set(answers) <= {b"$", b"-"}
@@ -361,7 +363,7 @@
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told([entry(host)], discovery.port, counter.port)))
+        config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port)))
         async with Platform(tmp_path, config) as platform:
             old, _ = await platform.start()
             new, _ = await platform.start()
@@ -408,7 +410,7 @@
         " raise OSError('seen')\n"
         "clients.ClientServer.listen = listen; main()"
     )
-    tree = told([], 1, 2) | {
+    tree = gateway_config([], 1, 2) | {
         "control": "127.0.0.1:0",
         "membership": {"cluster": "c", "listen": "127.0.0.1:0"},
     }
--- a/tests/gateway/test_node.py
+++ b/tests/gateway/test_node.py
@@ -5,7 +5,18 @@
 import time
 
 import pytest
-from netkit import SERVED, VALUE, Node, StubHost, command, on_loop, read_reply, terms, until, write
+from netkit import (
+    SERVED,
+    VALUE,
+    Node,
+    StubHost,
+    command,
+    on_loop,
+    read_reply,
+    terms,
+    wait_until,
+    write_command,
+)
 
 from api_gateway import interface as api
 from api_gateway.gateway import in_flight, request_parser
@@ -15,7 +26,7 @@
 async def test_serves_the_value_as_the_host_gave_it(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         host.answer = b"*3\r\n$6\r\na\r\nb\x00c\r\n:42\r\n$18\r\nactive=1,waiting=0\r\n"
-        assert await node.ask(command()) == b"$6\r\na\r\nb\x00c\r\n"
+        assert await node.send_command(command()) == b"$6\r\na\r\nb\x00c\r\n"
         assert host.commands[0][:3] == [b"API.READ", b"00000000b4d65521", b"r1"]
         fields = dict(f.split(b"=") for f in host.commands[0][3].split(b","))
         assert 0 < int(fields.pop(b"d")) < 3000  # as long as the gateway waits, less than the client does
@@ -28,7 +39,9 @@
         monkeypatch.setattr(module, "ANSWER_RESERVE_S", 2.0)
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         began = time.monotonic()
-        assert (await node.ask(write(cls=b"note", d=2300))).startswith(b"-ERR")  # it may have run: no refusal
+        assert (await node.send_command(write_command(service_class=b"note", deadline_ms=2300))).startswith(
+            b"-ERR"
+        )  # it may have run: no refusal
         assert time.monotonic() - began < 2.3
         assert len(host.commands) == 1
 
@@ -39,7 +52,7 @@
         small, replies = terms(t="small"), []
         began = time.monotonic()
         for n in range(4):
-            replies.append(await node.ask(command(b"r%d" % n, terms=small)))
+            replies.append(await node.send_command(command(b"r%d" % n, terms=small)))
         assert replies[0] == SERVED and replies[-1].startswith(b"-BUSY ")
         assert 0 < int(replies[-1].split()[1]) <= 2000
         assert time.monotonic() - began < 3.0
@@ -58,8 +71,8 @@
 
         node.node.dispatcher.engine = Broken()
         with caplog.at_level(logging.CRITICAL):
-            assert await node.ask(command(b"bad")) == b"-ERR failed\r\n"
-            assert await node.ask(command(b"good")) == SERVED
+            assert await node.send_command(command(b"bad")) == b"-ERR failed\r\n"
+            assert await node.send_command(command(b"good")) == SERVED
         assert module.requests_in_flight == {} and not node.node.in_flight
 
 
@@ -74,7 +87,7 @@
 
         node.node.dispatcher.engine = Mute()
         began = time.monotonic()
-        assert await node.ask(command(terms=terms(d="2300"))) == b"-ERR failed\r\n"
+        assert await node.send_command(command(terms=terms(d="2300"))) == b"-ERR failed\r\n"
         assert time.monotonic() - began < 2.3
 
 
@@ -143,14 +156,14 @@
                 return []
 
         node.node.dispatcher.engine = Doubler()
-        assert (await node.ask(command())).startswith(b"-ERR")
+        assert (await node.send_command(command())).startswith(b"-ERR")
         assert Doubler.results[0] == "moot" and not two.commands
 
 
 @on_loop
 async def test_idle_connections_close_when_the_module_says_so(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         pool = node.node.upstream.pools["h1"]
         assert len(pool.idle) == 1
 
@@ -161,4 +174,4 @@
         node.node.dispatcher.engine = Closer()
         node.node.dispatcher.dispatch(api.TimerFired(0))
         assert not pool.idle
-        await until(lambda: not host.connections)
+        await wait_until(lambda: not host.connections)
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -16,12 +16,12 @@
     StubHost,
     command,
     entry,
-    has_settled,
+    gateway_config,
     on_loop,
     read_reply,
     terms,
-    told,
-    until,
+    wait_until,
+    wait_until_settled,
 )
 
 from api_gateway.emulators.host import VALUE
@@ -47,9 +47,11 @@
     services = [cls | times for cls in SETTINGS["services"]]
     async with SlowHost() as one, SlowHost() as two, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(one, "h1"), entry(two, "h2")]
-        tree = told(discovery.servers, discovery.port, counter.port, SETTINGS | {"services": services})
+        tree = gateway_config(
+            discovery.servers, discovery.port, counter.port, SETTINGS | {"services": services}
+        )
         async with gateway_process(tmp_path, tree) as process:
-            await process.ready()
+            await process.wait_until_ready()
             unanswered = set()
 
             async def send(number):
@@ -87,10 +89,10 @@
     """Its connection is open, as half of it had come; no time is left in which it could be answered."""
     monkeypatch.setattr(shutdown, "KILL_DELAY_S", 0.2)
     monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path, more=more) as node:
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=more) as node:
         for _ in range(2):  # connections to the host that rest
-            await asyncio.gather(*(node.ask(command(b"r%d" % number)) for number in range(4)))
-        await has_settled(node.node.upstream.pools["h1"])
+            await asyncio.gather(*(node.send_command(command(b"r%d" % number)) for number in range(4)))
+        await wait_until_settled(node.node.upstream.pools["h1"])
         host.answer = None
         while not host.arrived.empty():
             host.arrived.get_nowait()
@@ -100,7 +102,9 @@
         await host.arrived.get()
         text = command(b"late")
         late.sendall(text[:30])
-        await until(lambda: any(client.partial_command_bytes for client in node.node.clients.connections))
+        await wait_until(
+            lambda: any(client.partial_command_bytes for client in node.node.clients.connections)
+        )
         abandon = node.node.requests.abandon
 
         def abandoned(work):
--- a/tests/gateway/test_start_shortage.py
+++ b/tests/gateway/test_start_shortage.py
@@ -7,7 +7,17 @@
 
 import pytest
 from gateway_process import gateway_process
-from netkit import SERVED, StubCounter, StubDiscovery, StubHost, command, entry, on_loop, read_reply, told
+from netkit import (
+    SERVED,
+    StubCounter,
+    StubDiscovery,
+    StubHost,
+    command,
+    entry,
+    gateway_config,
+    on_loop,
+    read_reply,
+)
 
 from api_gateway.base import descriptors
 from api_gateway.base.accepting import open_listening_socket
@@ -20,10 +30,10 @@
 async def test_a_gateway_that_can_open_no_socket_for_a_moment_starts_all_the_same(code, tmp_path):
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
-        tree = told([entry(host)], discovery.port, counter.port)
+        tree = gateway_config([entry(host)], discovery.port, counter.port)
         faults = {"calls": {"socket": [[code], 1.0]}, "until": SHORTAGE_ENDS_S}
         async with gateway_process(tmp_path, tree, faults) as gateway:
-            await gateway.ready()
+            await gateway.wait_until_ready()
             assert any("a socket could not be opened at the start" in line for line in gateway.log)
             reader, writer = await asyncio.open_connection("127.0.0.1", gateway.port)
             writer.write(command())
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -14,8 +14,8 @@
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from netkit import SETTINGS, Node, StubHost, command, on_loop, write
-from netkit import told as configured
+from netkit import SETTINGS, Node, StubHost, command, on_loop, write_command
+from netkit import gateway_config as configured
 
 from api_gateway import interface as api
 from api_gateway.base import resp
@@ -51,13 +51,13 @@
         return ENDS[self.at :]
 
 
-@pytest.mark.parametrize("ask", [command(), write(cls=b"note")], ids=["read", "note"])
+@pytest.mark.parametrize("ask", [command(), write_command(service_class=b"note")], ids=["read", "note"])
 @pytest.mark.parametrize("at", [0, 9, 12, 13, 14, 15, 17, 22])
 @on_loop
 async def test_a_value_whose_end_is_no_end_is_not_served(ask, at, tmp_path):
     async with Cut() as host, Node(host, path=tmp_path) as node:
         host.at = at
-        answer = await node.ask(ask)
+        answer = await node.send_command(ask)
         assert answer.startswith(b"-") and host.commands, answer
 
 
--- a/tests/gateway/test_wall_clock_steps.py
+++ b/tests/gateway/test_wall_clock_steps.py
@@ -15,10 +15,10 @@
     StubHost,
     command,
     entry,
+    gateway_config,
     on_loop,
     read_reply,
     terms,
-    told,
 )
 
 from api_gateway.emulators.host import WorkingHost
@@ -88,9 +88,9 @@
         discovery = await stack.enter_async_context(StubDiscovery())
         discovery.servers = [entry(host, f"h{n}") for n, host in enumerate(warm, 1)]
         settings = SETTINGS | {"rules": SETTINGS["rules"] | COLD}
-        tree = told(discovery.servers, discovery.port, counter.port, settings)
+        tree = gateway_config(discovery.servers, discovery.port, counter.port, settings)
         gateway = await stack.enter_async_context(gateway_process(tmp_path, tree, {"clock": clock}))
-        await gateway.ready()
+        await gateway.wait_until_ready()
         end = asyncio.get_running_loop().time() + 10.0
         pressing = asyncio.create_task(press(gateway.port, end, b"r", 200.0))
         await asyncio.sleep(3.5)
@@ -112,13 +112,13 @@
         discovery.servers = [entry(one, "h1"), entry(two, "h2")]
         plan = {"name": "p", "rate": 20.0, "most_at_once": 20.0}
         trees = [
-            told(discovery.servers, discovery.port, counter.port,
+            gateway_config(discovery.servers, discovery.port, counter.port,
                  SETTINGS | {"group_size": 2, "index": index, "plans": [plan]})
             | {"name": f"n{index}"} for index in (0, 1)]  # fmt: skip
         async with gateway_process(tmp_path, trees[0], name="a.json") as right:
             async with gateway_process(tmp_path, trees[1], {"clock": clock}, "b.json") as other:
-                await right.ready()
-                await other.ready()
+                await right.wait_until_ready()
+                await other.wait_until_ready()
                 end = asyncio.get_running_loop().time() + 5.0
                 served = await asyncio.gather(
                     *(press(gateway.port, end, name, 60.0, spread=2)
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -9,7 +9,7 @@
 import sys
 from pathlib import Path
 
-from netkit import control, read_reply
+from netkit import call_control, read_reply
 
 ROOT = Path(__file__).resolve().parent.parent
 INJECTED = ROOT / "tests" / "injected"
@@ -32,9 +32,9 @@
             self.process.send_signal(number)
 
     async def status(self):
-        return (await control(self.control_port, "GET /status"))[1]
+        return (await call_control(self.control_port, "GET /status"))[1]
 
-    async def ready(self):
+    async def wait_until_ready(self):
         """Until it says yes to PING."""
         while True:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -46,13 +46,13 @@
             await asyncio.sleep(0.05)
 
 
-async def start_gateway(folder, tree, faults=None, name="config.json", listen="127.0.0.1:0"):
-    """Waits until it listens. `tree` is its configuration, `faults` as injected/sitecustomize.py has them."""
-    config = folder / name
-    config.write_text(json.dumps(tree))
+async def start_gateway(folder, config, faults=None, name="config.json", listen="127.0.0.1:0"):
+    """Start a gateway and wait until it listens; injected/sitecustomize.py describes `faults`."""
+    config_file = folder / name
+    config_file.write_text(json.dumps(config))
     env = {
         **os.environ,
-        "RELAY_CONFIG": str(config),
+        "RELAY_CONFIG": str(config_file),
         "RELAY_LISTEN": listen,
         "RELAY_CONTROL": "127.0.0.1:0",
         "TMPDIR": str(folder),
@@ -75,7 +75,7 @@
         await process.wait()
         raise
     started = GatewayProcess(process, *ports, log)
-    started.reading = asyncio.create_task(read_log(process, log))
+    started.log_task = asyncio.create_task(read_log(process, log))
     return started
 
 
@@ -87,12 +87,12 @@
 async def end_gateway(gateway):
     gateway.signal(signal.SIGKILL)
     await gateway.process.wait()
-    await gateway.reading
+    await gateway.log_task
 
 
 @contextlib.asynccontextmanager
-async def gateway_process(folder, tree, faults=None, name="config.json"):
-    gateway = await start_gateway(folder, tree, faults, name)
+async def gateway_process(folder, config, faults=None, name="config.json"):
+    gateway = await start_gateway(folder, config, faults, name)
     try:
         yield gateway
     finally:
--- a/tests/golden/test_golden_membership.py
+++ b/tests/golden/test_golden_membership.py
@@ -290,7 +290,7 @@
         seed.bind(("127.0.0.1", 0))
         seed.settimeout(20)
         key = {"cluster": "c1", "listen": "127.0.0.1:0", "seeds": [f"127.0.0.1:{seed.getsockname()[1]}"]}
-        async with Node(path=tmp_path, more={"name": "gateway-a", "membership": key}):
+        async with Node(path=tmp_path, config_overrides={"name": "gateway-a", "membership": key}):
             data, sender = await asyncio.to_thread(seed.recvfrom, 65536)
     text = re.sub(r",1\d{12},", ",@INC,", data.decode())
     text = re.sub(r'"config":"[0-9a-f]+"', '"config":"@DIGEST"', text).replace(str(sender[1]), "@PORT")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,8 +9,8 @@
 NOTE = api.ServiceClass("note", 1.0, 3.0, "unsafe", "all", 5.0, 2.0, 0.0, False, 0.0)
 
 
-def plan(name="p", **kw):
-    base = dict(
+def plan(name="p", **overrides):
+    defaults = dict(
         rate=2.0,
         burst=8.0,
         max_concurrent=0,
@@ -21,11 +21,11 @@
         ceiling_burst=0.0,
         ceiling_slack=0.0,
     )
-    return api.Plan(name, **{**base, **kw})
+    return api.Plan(name, **{**defaults, **overrides})
 
 
-def settings(plans=None, limits=None, rules=None, **kw):
-    lim = dict(
+def settings(plans=None, limits=None, rules=None, **overrides):
+    default_limits = dict(
         can_cancel=True,
         can_hedge=True,
         can_check_health=False,
@@ -34,7 +34,7 @@
         max_attempts=4,
         max_retry_after=1.0,
     )
-    rul = dict(
+    default_rules = dict(
         answer_slack=0.01,
         drain_grace=1.0,
         slow_start_min_capacity=0.2,
@@ -43,14 +43,14 @@
         overload_window=2.0,
         poll_deadline=10.0,
     )
-    base = dict(
+    defaults = dict(
         gateway_index=0,
         gateway_count=2,
         zone="z1",
         classes={c.name: c for c in (READ, WRITE, CELL, NOTE)},
         plans={p.name: p for p in (plans or [plan()])},
-        limits=api.Limits(**{**lim, **(limits or {})}),
-        rules=api.Rules(**{**rul, **(rules or {})}),
+        limits=api.Limits(**{**default_limits, **(limits or {})}),
+        rules=api.Rules(**{**default_rules, **(rules or {})}),
         prices={"cross_zone": 0.02},
         has_counter=True,
         counter_price=0.01,
@@ -62,54 +62,56 @@
         load_report_fields=("queue",),
         weight_kind="none",
     )
-    return api.Settings(**{**base, **kw})
+    return api.Settings(**{**defaults, **overrides})
 
 
 def host(name, zone="z1", cell=0, state="up", started=0.0):
     return api.Endpoint(name, zone, cell, 1.0, "k", state, started)
 
 
-class World:
-    def __init__(self, conf=None, hosts=None, seed=1, start=1000.0):
-        self.now, self.conf = start, conf or settings()
-        self.gw = DecisionEngine(self.conf, seed, start)
-        self.log, self.ids = [], 0
+class EngineHarness:
+    def __init__(self, engine_settings=None, hosts=None, seed=1, start=1000.0):
+        self.now, self.settings = start, engine_settings or settings()
+        self.engine = DecisionEngine(self.settings, seed, start)
+        self.action_log, self.request_count = [], 0
         self.counts = {}
-        self.mode = "answer"  # or "silent", "lose" (added without an answer), "refuse", "hold"
+        self.counter_mode = "answer"  # or "silent", "lose" (added without an answer), "refuse", "hold"
         listed = tuple(hosts if hosts is not None else [host("h1"), host("h2")])
-        self.do(api.EndpointList("cached", 1, listed))
+        self.handle(api.EndpointList("cached", 1, listed))
 
-    def do(self, event):
+    def handle(self, event):
         """Hands one event over, answers counter calls as `mode` says, returns all actions."""
-        acts = self.gw.handle(self.now, event)
-        self.log += [(self.now, a) for a in acts]
-        for call in [a for a in acts if isinstance(a, api.AddToCounter)]:
-            if self.mode == "answer":
+        actions = self.engine.handle(self.now, event)
+        self.action_log += [(self.now, action) for action in actions]
+        for call in [action for action in actions if isinstance(action, api.AddToCounter)]:
+            if self.counter_mode == "answer":
                 total = self.counts[call.name] = self.counts.get(call.name, 0) + call.amount
-                acts = acts + self.do(api.CounterReply(call.name, "ok", total, 0.002))
-            elif self.mode in ("silent", "lose"):
-                if self.mode == "lose":
+                actions = actions + self.handle(api.CounterReply(call.name, "ok", total, 0.002))
+            elif self.counter_mode in ("silent", "lose"):
+                if self.counter_mode == "lose":
                     self.counts[call.name] = self.counts.get(call.name, 0) + call.amount
                 self.now += 0.05
-                acts = acts + self.do(api.CounterReply(call.name, "timeout", 0, 0.05))
-            elif self.mode == "refuse":
-                acts = acts + self.do(api.CounterReply(call.name, "full", 0, 0.001))
-        return acts
-
-    def ask(self, customer="c", plan="p", cls="read", units=1, spread=2, left=3.0):
-        self.ids += 1
-        name = f"r{self.ids}"
-        return name, self.do(api.Request(name, left, customer, plan, cls, units, 0, spread))
-
-    def wait(self, seconds, step=0.02):
-        acts, end = [], self.now + seconds
+                actions = actions + self.handle(api.CounterReply(call.name, "timeout", 0, 0.05))
+            elif self.counter_mode == "refuse":
+                actions = actions + self.handle(api.CounterReply(call.name, "full", 0, 0.001))
+        return actions
+
+    def request(self, customer="c", plan="p", service_class="read", units=1, spread=2, remaining_s=3.0):
+        self.request_count += 1
+        name = f"r{self.request_count}"
+        return name, self.handle(
+            api.Request(name, remaining_s, customer, plan, service_class, units, 0, spread)
+        )
+
+    def advance(self, seconds, step=0.02):
+        actions, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
-            acts += self.do(api.TimerFired(0))
-        return acts
+            actions += self.handle(api.TimerFired(0))
+        return actions
 
-    def end(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **kw):
-        return self.do(
+    def end_attempt(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **fields):
+        return self.handle(
             api.AttemptEnded(
                 send.request_id,
                 attempt,
@@ -117,10 +119,10 @@
                 result,
                 elapsed,
                 result == "ok" if final is None else final,
-                **kw,
+                **fields,
             )
         )
 
 
-def of(acts, kind):
-    return [a for a in acts if isinstance(a, kind)]
+def actions_of(actions, kind):
+    return [action for action in actions if isinstance(action, kind)]
--- a/tests/measure/changes.py
+++ b/tests/measure/changes.py
@@ -19,7 +19,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 import uvloop  # noqa: E402
-from netkit import SETTINGS, VALUE, Node, StubHost, command, entry, read_reply, told  # noqa: E402
+from netkit import SETTINGS, VALUE, Node, StubHost, command, entry, gateway_config, read_reply  # noqa: E402
 
 from api_gateway.gateway.process_limits import resident_bytes  # noqa: E402
 
@@ -93,7 +93,7 @@
 def start_cpu(folder, control):
     """CPU seconds of a start until it listens, in a process of its own."""
     config = folder / "start.json"
-    config.write_text(json.dumps(told([], 1, 2)))
+    config.write_text(json.dumps(gateway_config([], 1, 2)))
     code = """if True:
         import asyncio, resource, uvloop
         from api_gateway.gateway.config import read_config
--- a/tests/measure/edge.py
+++ b/tests/measure/edge.py
@@ -26,7 +26,7 @@
     """CPU seconds a connection and a request."""
     limits = {"edge": {"per_source": 900, "new_per_source": 1e5, "new": 1e5, "fronts": ["10.0.0.0/8"]}}
     more = limits if on else None
-    async with StubHost() as host, Node(host, path=folder, settings=OPEN, more=more) as node:
+    async with StubHost() as host, Node(host, path=folder, settings=OPEN, config_overrides=more) as node:
 
         async def connect():
             for _ in range(CONNECTIONS // CLIENTS):
--- a/tests/measure/gateway_view.py
+++ b/tests/measure/gateway_view.py
@@ -20,7 +20,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 import uvloop  # noqa: E402
-from netkit import SETTINGS, control, told  # noqa: E402
+from netkit import SETTINGS, call_control, gateway_config  # noqa: E402
 
 from api_gateway.emulators.discovery import Discovery  # noqa: E402
 
@@ -190,7 +190,7 @@
         )
         relay = await Relay(service.port).start()
         settings = {**SETTINGS, "rules": {**SETTINGS["rules"], "drain_grace": GRACE}}
-        tree = told([], relay.port, 1, settings) | {"control": "127.0.0.1:0"}
+        tree = gateway_config([], relay.port, 1, settings) | {"control": "127.0.0.1:0"}
         tree["known"] = {"version": 0, "full": True, "servers": []}
         tree |= {} if stand_in else {"replicas": {}}
         kinds = sorted({entry(n)["kind"] for n in range(count)})[:KINDS]
@@ -206,7 +206,7 @@
             word="calls are taken",
         ).start()
         while True:
-            seen = (await control(gateway.port, "GET /status"))[1]
+            seen = (await call_control(gateway.port, "GET /status"))[1]
             if seen.get("list", {}).get("version") and seen["hosts"]:
                 break
             await asyncio.sleep(0.02)
--- a/tests/membership/test_membership_service.py
+++ b/tests/membership/test_membership_service.py
@@ -9,7 +9,7 @@
 import urllib.request
 
 import pytest
-from netkit import SERVED, Node, StubHost, command, entry, on_loop, told, until
+from netkit import SERVED, Node, StubHost, command, entry, gateway_config, on_loop, wait_until
 
 from api_gateway.membership import service
 from api_gateway.membership.service import read_membership
@@ -31,7 +31,7 @@
 
 
 async def members(node):
-    status, seen = await node.call("GET /members")
+    status, seen = await node.call_control("GET /members")
     assert status == 200
     return {row["name"]: row for row in seen["members"]}, seen
 
@@ -40,12 +40,12 @@
 async def test_operators_see_who_is_there_who_is_gone_and_who_disagrees(tmp_path):
     for name in "abc":
         (tmp_path / name).mkdir()
-    async with StubHost() as host, Node(host, path=tmp_path / "a", more=member("a")) as one:
-        async with Node(host, path=tmp_path / "b", more=member("b", port(one))) as two:
-            async with Node(host, path=tmp_path / "c", more=member("c", port(one))) as three:
+    async with StubHost() as host, Node(host, path=tmp_path / "a", config_overrides=member("a")) as one:
+        async with Node(host, path=tmp_path / "b", config_overrides=member("b", port(one))) as two:
+            async with Node(host, path=tmp_path / "c", config_overrides=member("c", port(one))) as three:
                 whole = dict.fromkeys("abc", "alive")
                 for node in (one, two, three):
-                    await until(lambda node=node: node.node.member.swim.view() == whole)
+                    await wait_until(lambda node=node: node.node.member.swim.view() == whole)
                 rows, seen = await members(two)
                 assert rows["a"]["kind"] == "gateway" and rows["a"]["config"] and rows["c"]["for"] >= 0
                 while seen["disagree"] != ["a", "c"]:  # each has a counter and a discovery of its own
@@ -54,12 +54,12 @@
                 text = json.loads(json.dumps(one.node.changes.current.content))
                 text["settings"]["plans"][0]["rate"] = 7.0
                 await one.node.changes.apply(json.dumps(text).encode(), 1, None)
-                await until(
+                await wait_until(
                     lambda: two.node.member.swim.members["a"].metadata["config"] not in (digest, None)
                 )
-            await until(lambda: two.node.member.swim.members["c"].state == "left")
+            await wait_until(lambda: two.node.member.swim.members["c"].state == "left")
             assert (await members(one))[0]["c"]["state"] == "left"
-            assert await one.ask(command()) == SERVED
+            assert await one.send_command(command()) == SERVED
 
 
 @on_loop
@@ -67,18 +67,18 @@
     for name in "ab":
         (tmp_path / name).mkdir()
     monkeypatch.setattr(service, "SEED_RESOLUTION_INTERVAL_S", 0.05)
-    async with Node(path=tmp_path / "a", more=member("a")) as one:
+    async with Node(path=tmp_path / "a", config_overrides=member("a")) as one:
         more = member("b", port(one))
         more["membership"]["seeds"] = [f"localhost:{port(one)}", "no-such-name.invalid:1"]
-        async with Node(path=tmp_path / "b", more=more) as two:
-            await until(lambda: len(one.node.member.swim.view()) == 2)
+        async with Node(path=tmp_path / "b", config_overrides=more) as two:
+            await wait_until(lambda: len(one.node.member.swim.view()) == 2)
             two.node.member.swim.anti_entropy.seeds = []
-            await until(lambda: two.node.member.swim.anti_entropy.seeds == [("127.0.0.1", port(one))])
+            await wait_until(lambda: two.node.member.swim.anti_entropy.seeds == [("127.0.0.1", port(one))])
             with socket.socket(type=socket.SOCK_DGRAM) as sender:
                 for _ in range(5000):  # while this loop reads nothing
                     sender.sendto(b"x" * 1000, ("127.0.0.1", port(two)))
             assert service.count_receive_overflows(two.node.member.transport.get_extra_info("socket")) > 0
-            await until(lambda: two.node.member.swim.counts["foreign"] > 0)
+            await wait_until(lambda: two.node.member.swim.counts["foreign"] > 0)
             assert (await members(two))[1]["overflows"] > 0
 
 
@@ -86,16 +86,16 @@
 async def test_another_cluster_is_not_heard(tmp_path):
     for name in "ab":
         (tmp_path / name).mkdir()
-    async with Node(path=tmp_path / "a", more=member("a")) as one:
-        async with Node(path=tmp_path / "b", more=member("b", port(one), cluster="other")) as two:
-            await until(lambda: one.node.member.swim.counts["foreign"] > 0)
+    async with Node(path=tmp_path / "a", config_overrides=member("a")) as one:
+        async with Node(path=tmp_path / "b", config_overrides=member("b", port(one), cluster="other")) as two:
+            await wait_until(lambda: one.node.member.swim.counts["foreign"] > 0)
             assert list(two.node.member.swim.view()) == ["b"] and list(one.node.member.swim.view()) == ["a"]
 
 
 @on_loop
 async def test_without_the_key_there_is_no_cluster(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert (await node.call("GET /members"))[0] == 404 and node.node.member is None
+        assert (await node.call_control("GET /members"))[0] == 404 and node.node.member is None
 
 
 @pytest.mark.parametrize(
@@ -118,7 +118,7 @@
 
 
 def test_a_bad_address_ends_the_start_in_one_line(tmp_path):
-    tree = told([entry(None, port=9)], 1, 2) | member("a")
+    tree = gateway_config([entry(None, port=9)], 1, 2) | member("a")
     tree["membership"]["listen"] = "127.0.0.1:x"
     (tmp_path / "config.json").write_text(json.dumps(tree))
     env = {**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")}
@@ -138,7 +138,7 @@
     """Its own process: gateways see it come and see it leave. Off, nothing of it is imported."""
     code = "import sys, api_gateway.registry.__main__; sys.exit('api_gateway.membership' in sys.modules)"
     assert (await asyncio.to_thread(subprocess.run, [sys.executable, "-c", code], timeout=60)).returncode == 0
-    async with Node(path=tmp_path, more=member("a")) as node:
+    async with Node(path=tmp_path, config_overrides=member("a")) as node:
         tree = {"listen": "127.0.0.1:0", "learn_ms": 0, **member("", port(node))}
         del tree["name"]
         (tmp_path / "registry.json").write_text(json.dumps(tree))
@@ -148,7 +148,7 @@
         )
         try:
             view = node.node.member.swim.view
-            await until(lambda: len(view()) == 2)
+            await wait_until(lambda: len(view()) == 2)
             (name,) = view().keys() - {"a"}
             seen = await asyncio.to_thread(ask, int(name.rpartition(":")[2]), "/members")
             assert (
@@ -160,4 +160,4 @@
         finally:
             process.terminate()
             assert await asyncio.to_thread(process.communicate)
-        await until(lambda: node.node.member.swim.members[name].state == "left")
+        await wait_until(lambda: node.node.member.swim.members[name].state == "left")
--- a/tests/policy/test_long_quota_windows.py
+++ b/tests/policy/test_long_quota_windows.py
@@ -3,7 +3,7 @@
 import heapq
 
 import pytest
-from helpers import World, of, plan, settings
+from helpers import EngineHarness, actions_of, plan, settings
 
 from api_gateway import interface as api
 
@@ -36,16 +36,18 @@
 def test_a_customer_that_presses_gets_its_burst_and_its_rate(burst, rate, gateways):
     """Each gateway gets a request in turn, 2 a second, for five minutes."""
     counts, passed = ForgetfulCounts(), 0
-    fleet = [World(settings(plans=[plan(rate=rate, burst=burst)]), seed=seed) for seed in range(gateways)]
+    fleet = [
+        EngineHarness(settings(plans=[plan(rate=rate, burst=burst)]), seed=seed) for seed in range(gateways)
+    ]
     started_at = fleet[0].now
     for turn in range(int(DURATION_S * 2)):
         counts.advance(started_at + turn / 2)
         world = fleet[turn % gateways]
         world.counts = counts
-        world.wait(started_at + turn / 2 - world.now, step=0.1)
-        for send in of(world.ask(spread=gateways)[1], api.SendAttempt):
+        world.advance(started_at + turn / 2 - world.now, step=0.1)
+        for send in actions_of(world.request(spread=gateways)[1], api.SendAttempt):
             passed += 1
-            world.end(send)
+            world.end_attempt(send)
     quota = burst + rate * DURATION_S
     print(f"{passed} of {quota:.0f}")
     assert passed <= quota + 2 * gateways  # what each may admit before it asks, and one that is rounded
--- a/tests/policy/test_quota_leases_cluster.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -10,14 +10,14 @@
     StubCounter,
     StubDiscovery,
     StubHost,
-    bear,
     command,
     entry,
+    gateway_config,
     on_loop,
     read_reply,
+    set_in_flight_limit,
     terms,
-    told,
-    until,
+    wait_until,
 )
 
 from api_gateway.emulators.service import Faults
@@ -67,12 +67,14 @@
 
     async def start(self, n, discovery, listed, settings):
         file = self.path / f"{n}.json"
-        file.write_text(json.dumps(told(listed, discovery, self.counter.port, settings | {"index": n})))
+        file.write_text(
+            json.dumps(gateway_config(listed, discovery, self.counter.port, settings | {"index": n}))
+        )
         node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
         node.clock = node.dispatcher.clock = node.watch.clock = self.clock
         # One clock for all, which the parts move on by hand.
         node.engine.cluster_clock.start = lambda now: None
-        bear(node, 1000.0)  # hosts have room for all
+        set_in_flight_limit(node, 1000.0)  # hosts have room for all
         node.engine.endpoint_pool.is_at_limit = lambda *_: False
         node.port = await node.start()
         self.stack.push_async_callback(self.end, node)
@@ -135,7 +137,7 @@
     fleet.counter.silent = True
     before = fleet.leases_asked()
     crowd = asyncio.create_task(fleet.crowd(60))
-    await until(lambda: fleet.leases_asked() - before == GATEWAYS)
+    await wait_until(lambda: fleet.leases_asked() - before == GATEWAYS)
     fleet.clock.epoch += fleet.window()
     fleet.counter.silent = False
     fleet.counter.answer_all()
@@ -191,7 +193,7 @@
     fleet.counter.silent = True
     before = fleet.leases_asked()
     crowd = asyncio.create_task(fleet.crowd(60))
-    await until(lambda: fleet.leases_asked() - before >= GATEWAYS)
+    await wait_until(lambda: fleet.leases_asked() - before >= GATEWAYS)
     fleet.clock.epoch += fleet.window()
     await crowd
 
