--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -1,7 +1,7 @@
 """Quotas over changes of their plans: nothing is granted twice, nothing is lost that was not spent."""
 
 import pytest
-from helpers import World, of, plan, settings
+from helpers import EngineHarness, actions_of, plan, settings
 
 from api_gateway import interface as api
 
@@ -12,17 +12,22 @@
 
 
 def world(seed):
-    return World(settings(plans=[OLD]), seed=seed, start=1000.0 + 1.7 * seed)
+    return EngineHarness(settings(plans=[OLD]), seed=seed, start=1000.0 + 1.7 * seed)
 
 
 def spend(w, tries=60, **kw):
     """How many of so many tries at one moment pass."""
-    sends = [s for _ in range(tries) for s in of(w.ask(**kw)[1], api.SendAttempt) if not w.end(s)]
+    sends = [
+        s
+        for _ in range(tries)
+        for s in actions_of(w.request(**kw)[1], api.SendAttempt)
+        if not w.end_attempt(s)
+    ]
     return len(sends)
 
 
 def change(w, *plans):
-    w.do(api.SettingsChanged(settings(plans=plans)))
+    w.handle(api.SettingsChanged(settings(plans=plans)))
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -40,7 +45,7 @@
     first = spend(w)
     change(w, TWICE)
     more = spend(w, 90)  # and at most as much again: the window's refill so far counts at the new rate
-    assert first >= 16 and 15 <= more <= 20 + w.gw.accounts["c"].window_quota(w.now) / 2 - 20
+    assert first >= 16 and 15 <= more <= 20 + w.engine.accounts["c"].window_quota(w.now) / 2 - 20
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -57,12 +62,12 @@
 def test_back_in_the_window_that_was_left_its_count_hears_what_was_spent_meanwhile(seed):
     w = world(seed)
     spend(w, 4)
-    kept, left = w.gw.accounts["c"], w.gw.accounts["c"].lifetime_units
+    kept, left = w.engine.accounts["c"], w.engine.accounts["c"].lifetime_units
     change(w, FASTER)
     between = spend(w, 6)
     change(w, OLD)
     spend(w, 1)
-    assert w.gw.accounts["c"] is kept and between == 6 and kept.lifetime_units - left >= 6
+    assert w.engine.accounts["c"] is kept and between == 6 and kept.lifetime_units - left >= 6
     assert kept.counter_total + kept.uncharged_units >= left + between
 
 
@@ -77,7 +82,7 @@
 def test_two_gateways_that_change_one_after_the_other_hold_one_quota():
     counts, worlds = {}, []
     for index in (0, 1):
-        w = World(settings(plans=[OLD], gateway_index=index), seed=5 + index)
+        w = EngineHarness(settings(plans=[OLD], gateway_index=index), seed=5 + index)
         w.counts = counts
         worlds.append(w)
     spent = sum(spend(w, 5) for w in worlds * 5)
@@ -89,16 +94,16 @@
 
 def test_open_attempts_of_before_a_change_still_hold_their_places():
     limited = plan(rate=2.0, burst=20.0, max_concurrent=4)
-    w = World(settings(plans=[limited]))
-    out = [s for _ in range(2) for s in of(w.ask(spread=2)[1], api.SendAttempt)]
-    assert len(out) == 2 and w.gw.accounts["c"].open_attempts_here == 2
+    w = EngineHarness(settings(plans=[limited]))
+    out = [s for _ in range(2) for s in actions_of(w.request(spread=2)[1], api.SendAttempt)]
+    assert len(out) == 2 and w.engine.accounts["c"].open_attempts_here == 2
     change(w, plan(rate=3.0, burst=20.0, max_concurrent=4))
-    assert of(w.ask(spread=2)[1], api.RejectRequest)
-    acct = w.gw.accounts["c"]
+    assert actions_of(w.request(spread=2)[1], api.RejectRequest)
+    acct = w.engine.accounts["c"]
     assert acct.open_attempts_here == 0 and acct.previous_accounts[0].open_attempts_here == 2
     for s in out:
-        w.end(s)
-    assert of(w.ask(spread=2)[1], api.SendAttempt) and acct.open_attempts_here == 1
+        w.end_attempt(s)
+    assert actions_of(w.request(spread=2)[1], api.SendAttempt) and acct.open_attempts_here == 1
 
 
 def test_a_plan_that_went_and_came_back_goes_on_where_it_was():
@@ -111,23 +116,26 @@
 
 def test_a_request_that_waits_for_its_lease_over_a_change_gets_its_answer():
     w = world(4)
-    w.mode = "hold"
+    w.counter_mode = "hold"
     calls, waiting = [], ""
     while not waiting:
-        name, acts = w.ask()
-        calls += of(acts, api.AddToCounter)
-        waiting = "" if of(acts, api.SendAttempt) else name
-        for s in of(acts, api.SendAttempt):
-            w.end(s)
-    assert w.gw.requests_in_flight[waiting].stage == "units"
+        name, acts = w.request()
+        calls += actions_of(acts, api.AddToCounter)
+        waiting = "" if actions_of(acts, api.SendAttempt) else name
+        for s in actions_of(acts, api.SendAttempt):
+            w.end_attempt(s)
+    assert w.engine.requests_in_flight[waiting].stage == "units"
     change(w, FASTER)
-    w.ask()
-    assert w.gw.accounts["c"].previous_accounts
-    acts = w.do(api.CounterReply(calls[0].name, "ok", calls[0].amount, 0.002))
-    w.mode = "answer"
-    acts += w.do(
+    w.request()
+    assert w.engine.accounts["c"].previous_accounts
+    acts = w.handle(api.CounterReply(calls[0].name, "ok", calls[0].amount, 0.002))
+    w.counter_mode = "answer"
+    acts += w.handle(
         api.CounterReply(
-            of(acts, api.AddToCounter)[0].name, "ok", of(acts, api.AddToCounter)[0].amount + 4, 0.002
+            actions_of(acts, api.AddToCounter)[0].name,
+            "ok",
+            actions_of(acts, api.AddToCounter)[0].amount + 4,
+            0.002,
         )
     )
-    assert waiting in [s.request_id for s in of(acts, api.SendAttempt)]
+    assert waiting in [s.request_id for s in actions_of(acts, api.SendAttempt)]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -12,7 +12,7 @@
 import random
 
 import pytest
-from helpers import host, of, plan, settings
+from helpers import actions_of, host, plan, settings
 
 from api_gateway import interface as api
 from api_gateway.policy import DecisionEngine
@@ -149,9 +149,9 @@
         if gateway not in self.gateways:  # of an earlier life
             return
         acts = gateway.handle(self.now, event)
-        for timer in of(acts, api.SetTimer):
+        for timer in actions_of(acts, api.SetTimer):
             self.at(self.now + timer.delay, self.tell, gateway, api.TimerFired(timer.label))
-        for send in of(acts, api.SendAttempt):
+        for send in actions_of(acts, api.SendAttempt):
             self.send(gateway, send)
 
     def send(self, gateway, send):
--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 import pytest
-from netkit import SERVED, Node, StubHost, command, entry, on_loop, until
+from netkit import SERVED, Node, StubHost, command, entry, on_loop, wait_until
 
 from api_gateway.base import serving
 from api_gateway.registry import service as module
@@ -82,7 +82,7 @@
             "servers": [],
         }
         watch = asyncio.create_task(serving.list("?index=42&wait=20000"))
-        await until(lambda: serving.service.waiting)
+        await wait_until(lambda: serving.service.waiting)
         serving.file.write_text(json.dumps({"servers": [ONE | {"state": "draining"}]}))
         serving.service.reload()
         assert await watch == {
@@ -164,7 +164,7 @@
 async def test_absurd_waits_are_capped_and_too_many_watches_are_told_to_come_back():
     async with Serving(watchers=3) as serving:
         watches = [asyncio.create_task(serving.list(f"?index=41&wait={'9' * 17}")) for _ in range(3)]
-        await until(lambda: len(serving.service.waiting) == 3)
+        await wait_until(lambda: len(serving.service.waiting) == 3)
         assert all(w.until < serving.service.clock() + 61 for w in serving.service.registry.watches.values())
         async with serving.session.get("/v1/endpoints?index=41&wait=5000") as answer:
             assert answer.status == 503 and answer.headers["Retry-After"]
@@ -179,9 +179,9 @@
         for _ in range(20):
             _, writer = await asyncio.open_connection("127.0.0.1", serving.port)
             writer.write(b"GET /v1/endpoints?index=41&wait=60000 HTTP/1.1\r\nHost: x\r\n\r\n")
-            await until(lambda: serving.service.waiting)
+            await wait_until(lambda: serving.service.waiting)
             writer.transport.abort()
-            await until(lambda: not serving.service.waiting)
+            await wait_until(lambda: not serving.service.waiting)
         assert not serving.service.registry.watches and not serving.service.registry.ends
 
 
@@ -194,11 +194,13 @@
         slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         slow.connect(("127.0.0.1", serving.port))
         slow.send(b"GET /v1/endpoints HTTP/1.1\r\nHost: x\r\n\r\n")
-        await until(lambda: serving.service.encoder.answers)
+        await wait_until(lambda: serving.service.encoder.answers)
         assert (await serving.call("GET", "/status"))[0] == 200
         assert len(serving.service.server.connections) == 2
         async with asyncio.timeout(8):  # long before the server would give it up by itself
-            await until(lambda: len(serving.service.server.connections) == 1)  # only the other one's is left
+            await wait_until(
+                lambda: len(serving.service.server.connections) == 1
+            )  # only the other one's is left
         slow.close()
 
 
@@ -214,7 +216,7 @@
                     return await answer.json()
 
             watches = [asyncio.create_task(watch()) for _ in range(400)]
-            await until(lambda: len(serving.service.waiting) == 400)
+            await wait_until(lambda: len(serving.service.waiting) == 400)
             for n in range(5):
                 await serving.register(f"s-{n}")
             told = await asyncio.gather(*watches)
@@ -248,13 +250,13 @@
             tree = json.loads(node.file.read_text()) | {"discovery": f"127.0.0.1:{serving.port}"}
             node.file.write_text(json.dumps(tree))
             node.node.reload()
-            await until(lambda: list(node.node.upstream.pools) == ["h1"])
-            assert await node.ask(command(b"a")) == SERVED
+            await wait_until(lambda: list(node.node.upstream.pools) == ["h1"])
+            assert await node.send_command(command(b"a")) == SERVED
             await serving.register("h2", addr=f"127.0.0.1:{other.port}")
-            await until(lambda: len(node.node.upstream.pools) == 2)
+            await wait_until(lambda: len(node.node.upstream.pools) == 2)
             assert (await serving.call("POST", "/v1/hosts/h1/drain?incarnation=1"))[0] == 200
-            await until(lambda: list(node.node.upstream.pools) == ["h2"])
-            assert await node.ask(command(b"b")) == SERVED
+            await wait_until(lambda: list(node.node.upstream.pools) == ["h2"])
+            assert await node.send_command(command(b"b")) == SERVED
 
 
 @on_loop
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -6,7 +6,7 @@
 import random
 
 import pytest
-from netkit import on_loop, until
+from netkit import on_loop, wait_until
 from test_registry import host, settle
 from test_registry_service import Serving
 
@@ -541,7 +541,7 @@
         assert {h["id"] for h in told["servers"]} == held(serving, view) and len(told["servers"]) == 30
         assert all(h in hosts for h in told["servers"])
         watch = asyncio.create_task(serving.list(f"?{view.query()}&index=341&epoch=e1&wait=20000"))
-        await until(lambda: serving.service.waiting)
+        await wait_until(lambda: serving.service.waiting)
         inside = sorted(held(serving, view))[0]
         other = sorted({h["id"] for h in hosts} - held(serving, view))[0]
         rewrite(serving, [h | {"weight": 2.0} if h["id"] == other else h for h in hosts])
@@ -625,7 +625,7 @@
             asyncio.create_task(serving.list(f"?{view.query()}&index={version}&wait=20000"))
             for _ in range(90)
         ]
-        await until(lambda: len(serving.service.waiting) == 90)
+        await wait_until(lambda: len(serving.service.waiting) == 90)
         inside = sorted(held(serving, view))[0]
         encoder = serving.service.encoder
         text = encoder.encode_host
@@ -681,14 +681,14 @@
         watches = [
             asyncio.create_task(serving.list(f"?view=1,5&index={version}&wait=20000")) for _ in range(9)
         ]
-        await until(lambda: len(serving.service.waiting) == 9)
+        await wait_until(lambda: len(serving.service.waiting) == 9)
         await asyncio.sleep(0.8)
         registry = serving.service.registry
         assert len(registry.views.live_views) == 1  # it is watched
         for watch in watches:
             watch.cancel()
         await asyncio.gather(*watches, return_exceptions=True)
-        await until(lambda: not registry.watches and not registry.views.live_views)
+        await wait_until(lambda: not registry.watches and not registry.views.live_views)
         assert not serving.service.waiting
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -26,7 +26,7 @@
 
 import uvloop  # noqa: E402
 from gateway_process import GatewayEndedError, end_gateway, start_gateway  # noqa: E402
-from netkit import SETTINGS, StubCounter, StubDiscovery, command, entry, read_reply, terms, told  # noqa: E402
+from netkit import SETTINGS, StubCounter, StubDiscovery, command, entry, gateway_config, read_reply, terms  # noqa: E402
 
 from api_gateway.emulators.host import VALUE, WorkingHost  # noqa: E402
 from api_gateway.supervisor.ports import free_port  # noqa: E402
@@ -258,7 +258,9 @@
         }
 
     def tree(self, index):
-        tree = told(self.discovery.servers, self.discovery.port, self.counter.port, self.settings(index))
+        tree = gateway_config(
+            self.discovery.servers, self.discovery.port, self.counter.port, self.settings(index)
+        )
         if self.plan.crowd:
             tree["limits"] = tree["limits"] | {"sockets": 192}
         return tree | {"name": f"n{index}", "listen": f"127.0.0.1:{self.ports[index]}"}
@@ -277,7 +279,7 @@
                     folder, self.tree(index), faults, "config.json", self.listen(index)
                 )
                 self.processes[index] = process
-                await process.ready()
+                await process.wait_until_ready()
         except (GatewayEndedError, TimeoutError) as error:
             self.breaks("ready", f"gateway {index}: {error or 'not within its time'}")
             return
@@ -312,7 +314,7 @@
             early = await start_gateway(folder, self.tree(index), {}, "config.json", self.listen(index))
             early.signal(signal.SIGTERM)
             await asyncio.wait_for(early.process.wait(), 8.0)
-            await early.reading
+            await early.log_task
         await self.start(index)
 
     def look_at(self, index):
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -71,7 +71,7 @@
         assert await results.get() == "timeout"
         while counter.connections[0].transport in (None, old):
             await asyncio.sleep(0.01)
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
 
 
 @on_loop
--- a/tests/upstream/test_connect_limits.py
+++ b/tests/upstream/test_connect_limits.py
@@ -6,7 +6,7 @@
 from time import monotonic
 
 import pytest
-from netkit import Node, StubHost, command, on_loop, read_reply, until
+from netkit import Node, StubHost, command, on_loop, read_reply, wait_until
 
 from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.connect_limits import SharedPool, limited_pool_factory
@@ -161,7 +161,7 @@
     for name in "ab":
         hosts.set_address(name, ("127.0.0.1", 1))
         hosts.send(Attempt(name, lambda _: b"x", ended.append), 30.0)
-    await until(lambda: len(ended) == 2)
+    await wait_until(lambda: len(ended) == 2)
     assert {attempt.result for attempt in ended} == {"connect_failed"}
     assert not any(pool.waiting for pool in hosts.pools.values())
     hosts.close()
@@ -182,7 +182,11 @@
 @on_loop
 async def test_a_rush_of_requests_is_no_rush_of_handshakes(edge, bounded, scratch):
     more = {"edge": edge}
-    async with StubHost() as one, StubHost() as two, Node(one, two, path=scratch, more=more) as node:
+    async with (
+        StubHost() as one,
+        StubHost() as two,
+        Node(one, two, path=scratch, config_overrides=more) as node,
+    ):
         reader, writer = await node.connect()
         writer.write(b"".join(command(b"r%d" % n, customer=b"%016x" % n) for n in range(40)))
         most = 0
@@ -197,5 +201,5 @@
                 await refused(host.port)
             for conn in list(node.node.upstream.connections):
                 conn.close()
-            assert (await node.ask(command(b"last"))).startswith((b"-ERR", b"-BUSY"))
-            await until(lambda: not any(pool.waiting for pool in node.node.upstream.pools.values()))
+            assert (await node.send_command(command(b"last"))).startswith((b"-ERR", b"-BUSY"))
+            await wait_until(lambda: not any(pool.waiting for pool in node.node.upstream.pools.values()))
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -9,12 +9,12 @@
     VALUE,
     Node,
     StubHost,
-    bear,
     command,
     on_loop,
+    set_in_flight_limit,
     terms,
-    until,
-    write,
+    wait_until,
+    write_command,
 )
 from scripted_host import ScriptedHost, value_reply
 
@@ -35,7 +35,7 @@
             )
         ):
             host.answer = b"*3\r\n$1\r\nv\r\n$-1\r\n" + report
-            assert await node.ask(command(b"r%d" % n)) == b"$1\r\nv\r\n"
+            assert await node.send_command(command(b"r%d" % n)) == b"$1\r\nv\r\n"
         assert not node.node.engine.endpoint_pool.load.has_reports
 
 
@@ -59,35 +59,38 @@
 @on_loop
 async def test_what_is_no_value_of_a_host_is_not_served(odd, tmp_path):
     async with StubHost(odd) as host, Node(host, path=tmp_path) as node:
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
+        assert (await node.send_command(write_command(service_class=b"note"))).startswith(b"-ERR")
         host.answer = VALUE
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
 
 
 @on_loop
 async def test_an_answer_that_announces_too_much_ends_its_attempt_only(tmp_path):
     async with StubHost(b"*1000000000\r\n") as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(write(cls=b"note", d=60000)) == b"-ERR failed\r\n"  # long before that
+        assert (
+            await node.send_command(write_command(service_class=b"note", deadline_ms=60000))
+            == b"-ERR failed\r\n"
+        )  # long before that
         host.answer = VALUE
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
 
 
 @on_loop
 async def test_a_late_answer_reaches_nobody(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
-        asked = asyncio.create_task(node.ask(write(cls=b"note", d=300)))
+        asked = asyncio.create_task(node.send_command(write_command(service_class=b"note", deadline_ms=300)))
         assert await host.arrived.get()
         (late,) = host.writers
         assert (await asked).startswith(b"-ERR") and await host.arrived.get() is None
-        await until(late.is_closing)  # its connection went too, so a late answer has no way
+        await wait_until(late.is_closing)  # its connection went too, so a late answer has no way
         host.answer = VALUE
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
 
 
 @on_loop
 async def test_a_host_that_breaks_off_may_have_run_an_unsafe_request(tmp_path):
     async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-ERR")
+        assert (await node.send_command(write_command(service_class=b"note"))).startswith(b"-ERR")
         assert len(one.commands) + len(two.commands) == 1
 
 
@@ -96,7 +99,7 @@
     turns = iter([b"-BUSY active=3\r\n", VALUE])
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         one.answer = two.answer = lambda: next(turns)
-        assert await node.ask(write(cls=b"note")) == SERVED
+        assert await node.send_command(write_command(service_class=b"note")) == SERVED
         assert [c[2] for c in one.commands + two.commands] == [b"r1", b"r1"]
 
 
@@ -105,24 +108,26 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         host.server.close()
         await host.server.wait_closed()
-        assert (await node.ask(write(cls=b"note"))).startswith(b"-BUSY")  # harmless to try again
+        assert (await node.send_command(write_command(service_class=b"note"))).startswith(
+            b"-BUSY"
+        )  # harmless to try again
 
 
 @pytest.mark.parametrize("effect", ["read", "note"])
 @on_loop
 async def test_a_second_answer_that_is_late_reaches_no_other_request(effect, tmp_path):
     """The next request is due in the turn of the first one's answer; the second answer comes after that."""
-    asks = {"read": command, "note": lambda name: write(name, cls=b"note")}[effect]
+    asks = {"read": command, "note": lambda name: write_command(name, service_class=b"note")}[effect]
     async with ScriptedHost() as host, Node(host, path=tmp_path) as node:
-        bear(node.node, 1.0)  # the next one waits for the first one's place
+        set_in_flight_limit(node.node, 1.0)  # the next one waits for the first one's place
         node.node.engine.endpoint_pool.is_at_limit = lambda *_: (
             bool(node.node.upstream.connections)
             and any(conn.attempt for conn in node.node.upstream.connections)
         )
-        first = asyncio.create_task(node.ask(asks(b"r1")))
+        first = asyncio.create_task(node.send_command(asks(b"r1")))
         _, out = await host.commands.get()
-        second = asyncio.create_task(node.ask(asks(b"r2")))
-        await until(lambda: "r2" in node.node.in_flight)
+        second = asyncio.create_task(node.send_command(asks(b"r2")))
+        await wait_until(lambda: "r2" in node.node.in_flight)
         pool = node.node.upstream.pools["h1"]
         pool.settle_time, pool.typical_response_time = 10.0, 100.0  # far more than this machine is late
         out.write(value_reply(b"one"))
@@ -140,7 +145,7 @@
     """It came in the turn in which the next request goes out, so the loop has not read it: a half line, a
     second answer, an end. On that connection an unsafe request would be lost or get an answer of another."""
     async with ScriptedHost() as host, Node(host, path=tmp_path) as node:
-        first = asyncio.create_task(node.ask(command(b"r1")))
+        first = asyncio.create_task(node.send_command(command(b"r1")))
         _, out = await host.commands.get()
         out.write(value_reply(b"one"))
         assert await first == b"$3\r\none\r\n"
@@ -149,8 +154,8 @@
         conn.idle_since -= pool.settle_time
         conn.transport.pause_reading()  # as between two turns of the loop
         out.write(left) if left else out.close()
-        await until(lambda: not conn.is_sound())
-        second = asyncio.create_task(node.ask(write(b"r2", cls=b"note")))
+        await wait_until(lambda: not conn.is_sound())
+        second = asyncio.create_task(node.send_command(write_command(b"r2", service_class=b"note")))
         name, other = await host.commands.get()
         assert name == b"r2" and other is not out
         other.write(value_reply(b"two"))
@@ -175,9 +180,11 @@
 
         node.node.dispatcher.engine = Sender()
         node.node.upstream.set_address("silent", silent.getsockname())
-        asked = asyncio.create_task(node.ask(command(b"r1", terms(c="note"), b"API.WRITE", body=body)))
-        await until(lambda: any(conn.attempt for conn in node.node.upstream.connections))
+        asked = asyncio.create_task(
+            node.send_command(command(b"r1", terms(c="note"), b"API.WRITE", body=body))
+        )
+        await wait_until(lambda: any(conn.attempt for conn in node.node.upstream.connections))
         (conn,) = node.node.upstream.connections
-        await until(lambda: not conn.is_written or len(body) < 100)
+        await wait_until(lambda: not conn.is_written or len(body) < 100)
         silent.close()  # what nobody accepted is reset
         assert await asked == b"-ERR failed\r\n" and seen == [result]
--- a/tests/upstream/test_endpoint_pools.py
+++ b/tests/upstream/test_endpoint_pools.py
@@ -8,13 +8,13 @@
     SERVED,
     Node,
     StubHost,
-    bear,
     command,
     entry,
-    has_settled,
     on_loop,
+    set_in_flight_limit,
     terms,
-    until,
+    wait_until,
+    wait_until_settled,
 )
 
 from api_gateway import interface as api
@@ -45,8 +45,8 @@
 async def test_one_connection_is_used_again_and_closed_before_the_host_would(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(3):
-            assert await node.ask(command(b"r%d" % n)) == SERVED
-            await has_settled(node.node.upstream.pools["h1"])
+            assert await node.send_command(command(b"r%d" % n)) == SERVED
+            await wait_until_settled(node.node.upstream.pools["h1"])
         assert len(host.writers) == 1
         (conn,) = node.node.upstream.pools["h1"].idle
         node.node.upstream.close_stale()
@@ -62,8 +62,11 @@
 async def test_the_cap_on_connections_holds(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         node.node.upstream.max_connections = 2
-        bear(node.node, 100.0)
-        asked = [asyncio.create_task(node.ask(command(b"r%d" % n, terms=terms(d="500")))) for n in range(6)]
+        set_in_flight_limit(node.node, 100.0)
+        asked = [
+            asyncio.create_task(node.send_command(command(b"r%d" % n, terms=terms(d="500"))))
+            for n in range(6)
+        ]
         await asyncio.gather(*asked)
         assert len(host.writers) <= 2 * 3 and node.node.upstream.connection_count <= 2
 
@@ -84,7 +87,7 @@
                 )
 
         node.node.dispatcher.engine = Mover()
-        asked = asyncio.create_task(node.ask(command()))
+        asked = asyncio.create_task(node.send_command(command()))
         await one.arrived.get()
         (attempt,) = node.node.in_flight["r1"].attempts.values()
         ended = attempt.connection.sock
@@ -105,7 +108,7 @@
             hosts.send(attempt, 3.0)
             hosts.abandon(attempt, "cancelled")
             assert attempt.result == "connect_failed"
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         assert len(host.commands) == 1
 
 
@@ -146,12 +149,12 @@
         hosts.pools = Walked(hosts.pools)
         hosts.max_connections = 1
         for n in range(3):
-            assert await node.ask(command(b"r%d" % n)) == SERVED
+            assert await node.send_command(command(b"r%d" % n)) == SERVED
         node.discovery.change([entry(host, "h2")])
-        await until(lambda: "h2" in hosts.pools)
+        await wait_until(lambda: "h2" in hosts.pools)
         node.discovery.change([entry(host, "h1", "removed")])
-        await until(lambda: "h1" not in hosts.pools)
-        assert await node.ask(command(b"r4")) == SERVED  # the place of the one that rested
+        await wait_until(lambda: "h1" not in hosts.pools)
+        assert await node.send_command(command(b"r4")) == SERVED  # the place of the one that rested
         hosts.close_stale()
         hosts.close_excess_idle()
         assert hosts.idle_count() <= hosts.connection_count <= 1
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -10,8 +10,8 @@
     StubHost,
     command,
     on_loop,
-    until,
-    write,
+    wait_until,
+    write_command,
 )
 from scripted_host import ScriptedHost, value_reply
 
@@ -33,8 +33,8 @@
 
     monkeypatch.setattr(Pool, "open", open)
     async with StubHost(b"") as one, StubHost(b"") as two, Node(one, two, path=tmp_path) as node:
-        asked = asyncio.create_task(node.ask(write()))
-        await until(lambda: len(opened) == 2)
+        asked = asyncio.create_task(node.send_command(write_command()))
+        await wait_until(lambda: len(opened) == 2)
         (attempt,) = node.node.in_flight["r1"].attempts.values()
         # memory_span, less the way to the host
         assert attempt.send_deadline - attempt.started_at <= 3.0 - 0.02
@@ -48,7 +48,7 @@
 @on_loop
 async def test_an_attempt_whose_time_to_go_out_is_over_ends_unsent_on_a_resting_connection_too(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         pool, ended = node.node.upstream.pools["h1"], []
         pool.idle[0].idle_since -= pool.settle_time
         node.node.upstream.send(Attempt("h1", lambda _: command(b"r2"), ended.append, within=-1.0), 3.0)
@@ -61,7 +61,7 @@
 async def test_a_request_waits_for_a_connection_that_settles_and_ends_once_however_that_ends(end, tmp_path):
     async with ScriptedHost() as host, Node(host, path=tmp_path) as node:
         hosts, ended = node.node.upstream, []
-        first = asyncio.create_task(node.ask(command(b"r1")))
+        first = asyncio.create_task(node.send_command(command(b"r1")))
         _, out = await host.commands.get()
         pool = hosts.pools["h1"]
         pool.settle_time, pool.typical_response_time = 30.0 if end != "settles" else 0.2, 1000.0
@@ -75,7 +75,7 @@
             name, again = await host.commands.get()
             assert name == b"r2" and again is out
             out.write(value_reply(b"two"))
-            await until(lambda: ended)
+            await wait_until(lambda: ended)
             assert ended[0].result == "ok" and len(hosts.connections) == 1
         elif end == "called off":
             hosts.abandon(attempt, "cancelled")
@@ -95,9 +95,9 @@
 async def test_a_quick_host_is_not_waited_for_while_a_connection_settles(pace, new, tmp_path):
     """A request would take many times what the host needs for it."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        assert await node.ask(command()) == SERVED
+        assert await node.send_command(command()) == SERVED
         pool = node.node.upstream.pools["h1"]
         pool.settle_time, pool.typical_response_time = 0.3, pace
         pool.idle[0].idle_since = monotonic()
-        assert await node.ask(command(b"r2")) == SERVED
+        assert await node.send_command(command(b"r2")) == SERVED
         assert (len(host.writers) == 2) == new
