--- a/tests/commands.py
+++ b/tests/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the program as processes, and what they leave behind."""
+"""Runs the command-line program as a process and finds the processes that it leaves behind."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 
 class Command:
-    """A process of the command; `left` tells what still runs of all that it started."""
+    """A command as a process; a marker in its environment identifies the processes that it starts."""
 
     def __init__(
         self, *args, cwd=ROOT, program=(sys.executable, "-m", "api_gateway.cli"), scratch=None, env=None
@@ -33,7 +33,7 @@
         )
 
     def running_processes(self):
-        """Command lines by process id; those that have ended and are not waited for yet do not count."""
+        """Return the command lines of running processes by process id, without zombies."""
         found = {}
         for path in Path("/proc").glob("[0-9]*"):
             try:
@@ -44,13 +44,14 @@
         return {pid: line for pid, line in found.items() if line}
 
     def wait_until(self, condition, seconds=30):
+        """Poll a condition until it holds; fail after `seconds`."""
         deadline = time.monotonic() + seconds
         while not condition():
-            assert time.monotonic() < deadline, "not in time"
+            assert time.monotonic() < deadline, "condition not met in time"
             time.sleep(0.05)
 
     def wait_for_clients(self):
-        """Waits until a gateway of the demo has clients."""
+        """Wait until the first gateway of the demo has clients."""
 
         def has_clients():
             try:
@@ -64,5 +65,6 @@
         self.wait_until(has_clients)
 
     def result(self, seconds=60):
+        """Wait for the process to end; return its exit status, stdout and stderr."""
         out, err = self.process.communicate(timeout=seconds)
         return self.process.returncode, out, err
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,3 +1,5 @@
+"""Fixtures that several test folders use."""
+
 import os
 import tempfile
 from pathlib import Path
@@ -7,7 +9,10 @@
 
 @pytest.fixture
 def scratch(tmp_path):
-    """In memory where there is room, as $TMPDIR is in service: a rename on a busy disk may take 100 ms."""
+    """Yield a temporary folder, in memory if possible, as $TMPDIR is in production.
+
+    A rename on a busy disk may take 100 ms.
+    """
     shared = Path("/dev/shm")
     with tempfile.TemporaryDirectory(dir=shared if os.access(shared, os.W_OK) else tmp_path) as folder:
         yield Path(folder)
--- a/tests/gateway_process.py
+++ b/tests/gateway_process.py
@@ -1,4 +1,4 @@
-"""A gateway's program as a process of its own, with faults inside it."""
+"""Runs the gateway program as a separate process, optionally with injected faults."""
 
 import asyncio
 import contextlib
@@ -18,11 +18,11 @@
 
 
 class GatewayEndedError(AssertionError):
-    """A gateway's process that ended before it listened."""
+    """The gateway process ended before it listened on its ports."""
 
 
 class GatewayProcess:
-    """A process that runs, its two ports and what it has logged so far."""
+    """A running gateway process, its two ports and its log lines so far."""
 
     def __init__(self, process, control_port, port, log):
         self.process, self.control_port, self.port, self.log = process, control_port, port, log
@@ -35,7 +35,7 @@
         return (await call_control(self.control_port, "GET /status"))[1]
 
     async def wait_until_ready(self):
-        """Until it says yes to PING."""
+        """Wait until the gateway replies to PING with PONG."""
         while True:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(PING)
@@ -62,14 +62,14 @@
     process = await asyncio.create_subprocess_exec(*PROGRAM, cwd=ROOT, env=env, stderr=subprocess.PIPE)
     log, ports = [], []
     try:
-        while len(ports) < 2:  # the second address, then the clients'
+        while len(ports) < 2:  # the control address is logged first, then the client address
             line = (await process.stderr.readline()).decode()
             if not line:
-                raise GatewayEndedError(f"the gateway ended at its start: {''.join(log)}")
+                raise GatewayEndedError(f"the gateway ended during startup: {''.join(log)}")
             log.append(line)
             if "listens on" in line or "calls are taken at" in line:
                 ports.append(int(line.rsplit(":", 1)[1]))
-    except BaseException:  # also where the caller gives up: no process stays behind
+    except BaseException:  # also on cancellation: leave no process behind
         with contextlib.suppress(ProcessLookupError):
             process.kill()
         await process.wait()
@@ -80,11 +80,13 @@
 
 
 async def read_log(process, log):
+    """Collect the log lines until the process closes its stderr."""
     while line := await process.stderr.readline():
         log.append(line.decode())
 
 
 async def end_gateway(gateway):
+    """Kill the process with SIGKILL and wait for its last log line."""
     gateway.signal(signal.SIGKILL)
     await gateway.process.wait()
     await gateway.log_task
@@ -92,6 +94,7 @@
 
 @contextlib.asynccontextmanager
 async def gateway_process(folder, config, faults=None, name="config.json"):
+    """Run a gateway process for the duration of a `with` block."""
     gateway = await start_gateway(folder, config, faults, name)
     try:
         yield gateway
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A scripted world for one or several gateways: it answers nothing by itself."""
+"""Drives a decision engine with scripted events; nothing but the counter answers by itself."""
 
 from api_gateway import interface as api
 from api_gateway.policy import DecisionEngine
@@ -10,6 +10,7 @@
 
 
 def plan(name="p", **overrides):
+    """Return a plan with the defaults of these tests."""
     defaults = dict(
         rate=2.0,
         burst=8.0,
@@ -25,6 +26,7 @@
 
 
 def settings(plans=None, limits=None, rules=None, **overrides):
+    """Return engine settings; `limits` and `rules` override single fields of those tables."""
     default_limits = dict(
         can_cancel=True,
         can_hedge=True,
@@ -66,21 +68,24 @@
 
 
 def host(name, zone="z1", cell=0, state="up", started=0.0):
+    """Return an endpoint of weight 1."""
     return api.Endpoint(name, zone, cell, 1.0, "k", state, started)
 
 
 class EngineHarness:
+    """A decision engine with a simulated clock, a counter and a log of its actions."""
+
     def __init__(self, engine_settings=None, hosts=None, seed=1, start=1000.0):
         self.now, self.settings = start, engine_settings or settings()
         self.engine = DecisionEngine(self.settings, seed, start)
         self.action_log, self.request_count = [], 0
         self.counts = {}
-        self.counter_mode = "answer"  # or "silent", "lose" (added without an answer), "refuse", "hold"
+        self.counter_mode = "answer"  # or "silent", "lose" (counted without a reply), "refuse", "hold"
         listed = tuple(hosts if hosts is not None else [host("h1"), host("h2")])
         self.handle(api.EndpointList("cached", 1, listed))
 
     def handle(self, event):
-        """Hands one event over, answers counter calls as `mode` says, returns all actions."""
+        """Pass one event to the engine, answer counter calls by `counter_mode`, return all actions."""
         actions = self.engine.handle(self.now, event)
         self.action_log += [(self.now, action) for action in actions]
         for call in [action for action in actions if isinstance(action, api.AddToCounter)]:
@@ -97,6 +102,7 @@
         return actions
 
     def request(self, customer="c", plan="p", service_class="read", units=1, spread=2, remaining_s=3.0):
+        """Send one request; return its id and the resulting actions."""
         self.request_count += 1
         name = f"r{self.request_count}"
         return name, self.handle(
@@ -104,6 +110,7 @@
         )
 
     def advance(self, seconds, step=0.02):
+        """Advance the clock in steps, with a timer event at each; return all actions."""
         actions, end = [], self.now + seconds
         while self.now < end - 1e-9:
             self.now = min(end, self.now + step)
@@ -111,6 +118,7 @@
         return actions
 
     def end_attempt(self, send, result="ok", attempt=0, final=None, elapsed=0.05, **fields):
+        """Report the result of the attempt that `send` started; `final` defaults to success."""
         return self.handle(
             api.AttemptEnded(
                 send.request_id,
@@ -125,4 +133,5 @@
 
 
 def actions_of(actions, kind):
+    """Return the actions of one type, or of a tuple of types."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -1,4 +1,4 @@
-"""Hosts, a counter and discovery that do as a test tells them, and a real gateway among them, on loopback."""
+"""Runs a real gateway on loopback against scriptable hosts, a counter and a discovery service."""
 
 import asyncio
 import functools
@@ -16,7 +16,7 @@
 from api_gateway.gateway.config import read_config
 from api_gateway.gateway.node import GatewayNode
 
-TEST_TIMEOUT_S = 20  # s for a test as a whole: far over what any needs
+TEST_TIMEOUT_S = 20  # far more than any test needs
 TERMS = b"c=read,t=p,d=3000,units=1,spread=1,first=0"
 SERVED = b"$5\r\nvalue\r\n"
 
@@ -50,7 +50,7 @@
 
 
 def on_loop(test):
-    """Runs an async test on the loop that the gateway runs on."""
+    """Decorate an async test to run on uvloop, as the gateway does, with a time limit."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -64,22 +64,25 @@
 
 
 def command(request_id=b"r1", terms=TERMS, verb=b"API.READ", customer=b"00000000b4d65521", body=None):
+    """Return an encoded read command, or another verb, with the given request terms."""
     parts = [verb, customer, request_id, terms] + ([body] if body is not None else [])
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%s\r\n" % (len(part), part) for part in parts)
 
 
 def terms(**overrides):
+    """Return encoded request terms; an override of None leaves the field out."""
     fields = dict(c="read", t="p", d="3000", units="1", spread="1", first="0") | overrides
     return ",".join(f"{name}={value}" for name, value in fields.items() if value is not None).encode()
 
 
 def write_command(request_id=b"r1", service_class=b"write", deadline_ms=3000):
+    """Return an encoded write command."""
     terms = b"c=%s,t=p,d=%d,k=77,units=1,spread=1,first=0" % (service_class, deadline_ms)
     return command(request_id, terms, b"API.WRITE", body=b"BODY")
 
 
 async def read_reply(reader):
-    """One answer as it stands on the wire; b"" at the end of the connection."""
+    """Return one reply as raw bytes, or b"" at the end of the connection."""
     line = await reader.readline()
     if line.startswith(b"$"):
         line += await reader.readexactly(int(line[1:]) + 2)
@@ -87,6 +90,7 @@
 
 
 async def call_control(port, call, body=b""):
+    """Send one HTTP call to a control address; return the status and the JSON body, {} if it is not JSON."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"%s HTTP/1.1\r\nHost: gateway\r\n" % call.encode())
     writer.write((b"Content-Length: %d\r\n" % len(body) if body else b"") + b"\r\n" + body)
@@ -96,38 +100,42 @@
 
 
 def set_in_flight_limit(node, limit):
-    """So many attempts may be out at a host, whatever later lists say."""
+    """Fix the limit of attempts in flight per host; later endpoint lists do not change it."""
     node.engine.endpoint_pool.selector.in_flight_limit = limit
     node.engine.endpoint_pool.update_limits = lambda: None
 
 
 async def wait_until(condition):
-    """Waits for a condition; the test's own patience bounds it."""
+    """Wait for a condition; the time limit of the test bounds the wait."""
     while not condition():
         await asyncio.sleep(0.01)
 
 
 async def wait_until_settled(pool):
-    """Until the connection that was used last may be used again."""
+    """Wait until the most recently used connection may be used again."""
     await wait_until(lambda: pool.idle and monotonic() - pool.idle[-1].idle_since > pool.settle_time)
 
 
 def entry(host, name="h1", state="up", port=None):
+    """Return an endpoint entry of the discovery list for a stub host."""
     return site.entry(name, f"127.0.0.1:{port or host.port}", state)
 
 
 def gateway_config(listed, discovery_port, counter_port, settings=None):
+    """Return a gateway configuration with these endpoints, discovery service and counter."""
     addresses = f"127.0.0.1:{discovery_port}", f"127.0.0.1:{counter_port}"
     return site.config(listed, *addresses, settings or SETTINGS)
 
 
 class Node:
-    """A gateway with a counter and discovery of its own and the given hosts, named h1, h2 and so on; or one
-    more process of the same, beside another."""
+    """A gateway with its own counter and discovery service, and the given hosts named h1, h2 and so on.
+
+    With `sibling`, it shares the counter, the discovery service and the folder of another gateway.
+    """
 
     def __init__(self, *hosts, path, settings=None, sibling=None, config_overrides=None):
         self.hosts, self.path, self.settings, self.sibling = hosts, path, settings, sibling
-        self.config_overrides = config_overrides or {}  # other keys of the file, or other values
+        self.config_overrides = config_overrides or {}  # keys of the configuration file to add or replace
         self.counter = sibling.counter if sibling else StubCounter()
         self.discovery, self.writers = sibling.discovery if sibling else StubDiscovery(), []
 
@@ -145,14 +153,14 @@
                 )
             )
         env = {"RELAY_CONFIG": str(self.file), "RELAY_CONTROL": "127.0.0.1:0", "TMPDIR": str(self.path)}
-        os.environ["RELAY_CONFIG"] = str(self.file)  # a signal reads the file that the environment names
+        os.environ["RELAY_CONFIG"] = str(self.file)  # a reload signal reads the file named in the environment
         self.node = GatewayNode(read_config(env))
         self.port = await self.node.start()
         self.control_port = self.node.control.listener.sockets[0].getsockname()[1]
         return self
 
     async def call_control(self, call, body=b""):
-        """One call on the second address, such as `GET /status`; its status and what it tells."""
+        """Send one call, such as `GET /status`, to the control address; return its status and JSON body."""
         return await call_control(self.control_port, call, body)
 
     async def connect(self):
@@ -161,7 +169,7 @@
         return reader, writer
 
     async def send_command(self, text):
-        """One command on a connection of its own; the answer."""
+        """Send one command on a new connection and return the reply."""
         reader, writer = await self.connect()
         writer.write(text)
         reply = await read_reply(reader)
--- a/tests/scripted_host.py
+++ b/tests/scripted_host.py
@@ -1,4 +1,4 @@
-"""An endpoint that a test scripts answer by answer."""
+"""A host whose replies a test writes one by one."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class ScriptedHost:
-    """A host whose connections a test speaks for, in the order of the commands on them."""
+    """A host that queues each command with its connection, so that the test can write the reply."""
 
     def __init__(self):
         self.commands = asyncio.Queue()
@@ -23,10 +23,10 @@
         parser = hiredis.Reader(notEnoughData=...)
         while data := await reader.read(65536):
             parser.feed(data)
-            while (got := parser.gets()) is not ...:
-                self.commands.put_nowait((got[2], writer))
+            while (command := parser.gets()) is not ...:
+                self.commands.put_nowait((command[2], writer))
 
 
 def value_reply(text):
-    """The answer with that value, without metered use and load report."""
+    """Return a reply with the value and with neither metered usage nor a load report."""
     return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(text), text)
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file: what `build` leaves for `run`."""
+"""Tests the `build` and `run` commands of the deploy file."""
 
 import importlib.util
 import shutil
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def built(tmp_path):
-    """A copy that was built, but for the packages: its environment is the one that runs the tests."""
+    """Build a copy of the project without installing packages; it uses the environment of the tests."""
     shutil.copytree(
         ROOT / "api_gateway", tmp_path / "api_gateway", ignore=shutil.ignore_patterns("__pycache__")
     )
@@ -28,13 +28,13 @@
     return tmp_path
 
 
-def test_the_build_leaves_bytecode_that_a_start_uses(built):
+def test_build_compiles_bytecode_used_at_startup(built):
     sources = sorted((built / "api_gateway").rglob("*.py"))
     compiled = [Path(importlib.util.cache_from_source(str(source))) for source in sources]
     assert compiled and all(path.is_file() for path in compiled)
     for source in sources:
-        source.touch()  # a copy of the tree may have other times
-    told = subprocess.run(
+        source.touch()  # a copied tree may have other modification times
+    import_log = subprocess.run(
         [sys.executable, "-B", "-v", "-c", "import api_gateway.gateway.node"],
         cwd=built,
         capture_output=True,
@@ -44,8 +44,8 @@
     ).stderr
     for path in compiled:
         if path.name.startswith(("quota.", "gateway.", "interface.")):
-            assert f"matches {path}" in told or f"code object from '{path}'" in told
+            assert f"matches {path}" in import_log or f"code object from '{path}'" in import_log
 
 
-def test_the_program_replaces_the_shell_that_starts_it():
+def test_run_command_replaces_its_shell():
     assert DEPLOY["run"].startswith("exec ") and not set(DEPLOY["run"]) & set(";&|")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,3 +1,5 @@
+"""Checks the import rules and file sizes of the packages, the README example and the argument checks."""
+
 import re
 import tomllib
 from pathlib import Path
@@ -8,7 +10,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-PURE = {
+ALLOWED_POLICY_IMPORTS = {
     "__future__",
     "bisect",
     "api_gateway",
@@ -20,22 +22,22 @@
     "math",
     "random",
     "typing",
-}  # no clock and no I/O
+}  # neither a clock nor I/O
 
 
-MODULE_FILE_LINES = 520  # of each file of the decision module: one that grows past it has more than one job
+MAX_POLICY_FILE_LINES = 520  # a longer file of the decision module has more than one responsibility
 
 
-def test_module_stays_within_its_limits():
+def test_policy_files_stay_within_size_limits():
     files = [ROOT / name for name in DEPLOY["policy"]]
     assert files == sorted((ROOT / "api_gateway" / "policy").glob("*.py"))
     for file in files:
         lines = file.read_text().splitlines()
-        assert len(lines) <= MODULE_FILE_LINES and all(len(line) <= 110 for line in lines), file
+        assert len(lines) <= MAX_POLICY_FILE_LINES and all(len(line) <= 110 for line in lines), file
     assert "interface/" in files[0].read_text().splitlines()[0]
 
 
-def test_each_layer_of_the_module_uses_only_those_below():
+def test_each_policy_layer_imports_only_lower_layers():
     layers = [
         "customer_accounts",
         "slow_start",
@@ -58,11 +60,11 @@
         text = (ROOT / "api_gateway" / "policy" / f"{layer}.py").read_text()
         used = re.findall(r"^from api_gateway\.policy\.(\w+) import", text, re.MULTILINE)
         assert set(used) <= set(layers[:number])
-        assert set(re.findall(r"^(?:import|from) (\w+)", text, re.MULTILINE)) <= PURE
+        assert set(re.findall(r"^(?:import|from) (\w+)", text, re.MULTILINE)) <= ALLOWED_POLICY_IMPORTS
 
 
-# The gateway's packages: they may use each other, the module, and what lies below.
-GATEWAY = {
+# The gateway's packages may import each other, the decision module and the layers below it.
+GATEWAY_PACKAGES = {
     "gateway",
     "downstream",
     "upstream",
@@ -75,15 +77,15 @@
     "base",
     "membership",
 }
-ALLOWED = {
+ALLOWED_IMPORTS = {
     "base": {"interface"},
     "policy": {"interface"},
-    "gateway": GATEWAY,
-    "downstream": GATEWAY,
-    "upstream": GATEWAY,
-    "discovery": GATEWAY,
-    "control": GATEWAY,
-    "counter_client.py": GATEWAY,
+    "gateway": GATEWAY_PACKAGES,
+    "downstream": GATEWAY_PACKAGES,
+    "upstream": GATEWAY_PACKAGES,
+    "discovery": GATEWAY_PACKAGES,
+    "control": GATEWAY_PACKAGES,
+    "counter_client.py": GATEWAY_PACKAGES,
     "membership": {"base"},
     "registry": {"base", "membership"},
     "emulators": set(),
@@ -94,9 +96,9 @@
 }
 
 
-# These run the gateway's own code, as hollow gateways and its module without sockets do. What starts them
-# does so as programs, so that the rest of the lab has the same bounds as before.
-DRIVERS = {
+# These modules run the gateway's own code, for instance stand-in gateways and the decision module without
+# sockets. They are started as programs, so that the other experiments keep the import limits above.
+GATEWAY_DRIVERS = {
     "experiments/scale/module.py": {"interface", "policy"},
     "experiments/scale/stamped.py": {"interface", "gateway", "downstream", "upstream"},
     "experiments/scale/hollow.py": {"gateway", "discovery", "downstream", "base"},
@@ -106,33 +108,39 @@
 }
 
 
-@pytest.mark.parametrize("package", ALLOWED)
-def test_packages_beside_the_gateway_import_nothing_of_it(package):
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_packages_import_only_allowed_packages(package):
     for file in files_of(ROOT / "api_gateway" / package):
-        driver = DRIVERS.get(file.relative_to(ROOT / "api_gateway").as_posix())
-        assert imports(file) - {package} <= (driver or ALLOWED[package]), file
+        driver = GATEWAY_DRIVERS.get(file.relative_to(ROOT / "api_gateway").as_posix())
+        assert imports(file) - {package} <= (driver or ALLOWED_IMPORTS[package]), file
 
 
 def files_of(path):
+    """Return the Python files of a module or package."""
     files = [path] if path.is_file() else list(path.rglob("*.py"))
     assert files, path
     return files
 
 
 def imports(file):
+    """Return the names that a file imports directly from api_gateway."""
     text = file.read_text()
     used = set(re.findall(r"^\s*(?:from|import) api_gateway\.(\w+)", text, re.MULTILINE))
     return used | set(re.findall(r"^\s*from api_gateway import (\w+)", text, re.MULTILINE))
 
 
-def test_nothing_imports_what_drives_the_gateway():
-    """It is started as a program: by an import the lab would have the gateway's packages after all.
-    Only what drives it too may import it, since that has them anyway."""
-    names = "|".join(Path(name).stem for name in DRIVERS)
-    told = rf"^\s*(?:from|import) api_gateway\.experiments\.scale(?:\.| import .*\b)(?:{names})\b"
-    files = set((ROOT / "api_gateway").rglob("*.py")) - {ROOT / "api_gateway" / name for name in DRIVERS}
+def test_only_drivers_import_gateway_drivers():
+    """Drivers run as programs: an import would pull the gateway's packages into the experiments.
+
+    Only another driver may import a driver, because it imports those packages anyway.
+    """
+    names = "|".join(Path(name).stem for name in GATEWAY_DRIVERS)
+    driver_import = rf"^\s*(?:from|import) api_gateway\.experiments\.scale(?:\.| import .*\b)(?:{names})\b"
+    files = set((ROOT / "api_gateway").rglob("*.py")) - {
+        ROOT / "api_gateway" / name for name in GATEWAY_DRIVERS
+    }
     for file in files:
-        assert not re.search(told, file.read_text(), re.MULTILINE), file
+        assert not re.search(driver_import, file.read_text(), re.MULTILINE), file
 
 
 def test_readme_example_runs():
@@ -155,6 +163,6 @@
         lambda: api.AttemptEnded("r", 0, "h", "fine", 0.1, True),
     ],
 )
-def test_types_reject_what_makes_no_sense(make):
+def test_types_reject_invalid_values(make):
     with pytest.raises(ValueError):
         make()
--- a/tests/test_terms_audit.py
+++ b/tests/test_terms_audit.py
@@ -1,4 +1,4 @@
-"""The audit of the terms names tests that there are, and a state in each row."""
+"""Checks that the audit of the terms names existing tests and has a state in each row."""
 
 import re
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 
 def rows():
-    """The cells of each row, under the heading of its section."""
+    """Yield the cells of each table row with the heading of its section."""
     section = ""
     for line in AUDIT.splitlines():
         if line.startswith("## "):
@@ -28,13 +28,13 @@
 
 
 def path_of(name):
-    """The test file that the audit calls FOLDER/NAME, or NAME alone."""
+    """Return the path of the test file that the audit calls FOLDER/NAME or NAME."""
     folder, _, file = name.rpartition("/")
     return ROOT / "tests" / folder / f"test_{file}.py"
 
 
-def test_each_test_that_is_named_is_there():
-    """Places in the code have an ending, as in `gateway/node.py::start`; all else names a test."""
+def test_each_named_test_exists():
+    """A code location has a file extension, as in `gateway/node.py::start`; any other reference is a test."""
     name, found = "", 0
     for _, cells in rows():
         for named, test in re.findall(r"`([a-z_/]*)::([a-z0-9_]+)`", " ".join(cells)):
