--- a/api_gateway/base/__init__.py
+++ b/api_gateway/base/__init__.py
@@ -1,1 +1,1 @@
-"""What the gateway and the processes beside it share. It imports none of them."""
+"""Code shared by the gateway and its companion processes. It imports none of them."""
--- a/api_gateway/base/accepting.py
+++ b/api_gateway/base/accepting.py
@@ -1,8 +1,8 @@
-"""Accepts connections on a listening socket, and tries again where accept fails.
+"""Accepts connections on a listening socket and retries when accept fails.
 
-The event loop's own server closes what waits in the backlog as soon as one accept finds no descriptor,
-although there may be one a moment later. Here a connection that cannot be accepted stays in the backlog and
-accept is tried again, so a shortage that lasts a moment costs its clients that moment and nothing else.
+The server of the event loop closes the connections in the backlog as soon as one accept finds no free
+descriptor, although a descriptor may be free a moment later. This server leaves a connection that cannot be
+accepted in the backlog and retries, so a short shortage only delays its clients.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from api_gateway.base.descriptors import SHORTAGE_ERRORS, retry_in_shortage
 from api_gateway.base.endpoint_list import Address
 
-ACCEPTS_PER_TURN = 1  # connections accepted before the event loop turns to requests in flight
-IMMEDIATE_RETRIES = 5  # failures in a row up to which accept is tried in the next turn of the loop
-RETRY_INTERVAL_S = 0.01  # between two retries from then on, until a shortage lasts
+ACCEPTS_PER_TURN = 1  # so that requests in flight are served between two accepts
+IMMEDIATE_RETRIES = 5  # fewer consecutive failures than this are retried in the next turn of the loop
+RETRY_INTERVAL_S = 0.01  # delay of later retries, until the shortage counts as lasting
 LASTING_SHORTAGE_S = 0.3  # seconds after which a shortage counts as lasting
-LASTING_RETRY_INTERVAL_S = 0.1  # between two retries from then on
+LASTING_RETRY_INTERVAL_S = 0.1  # delay of retries in a lasting shortage
 
-# Errors of the one connection that was to be accepted, as accept(2) passes them on: the next may be sound.
+# Errors of the pending connection that accept(2) passes on; the next connection may still be accepted.
 CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -47,14 +47,14 @@
 
 
 async def open_listening_socket(address: Address, backlog: int) -> socket.socket:
-    """Return a non-blocking socket that listens at `address`; a shortage is waited out for some seconds.
+    """Return a non-blocking socket that listens at `address`, retrying for some seconds in a shortage.
 
     Args:
         address: HOST and PORT.
         backlog: Connections that may wait to be accepted.
 
     Raises:
-        OSError: The address cannot be listened at, or the shortage lasts.
+        OSError: The socket cannot listen at the address, or the shortage lasts.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
 
@@ -67,49 +67,50 @@
 
 
 class AcceptingServer:
-    """Accepts connections in batches and hands each to a protocol from `factory`.
+    """Accepts connections in batches and attaches each to a protocol from `factory`.
 
-    It owns the listening socket. `coming` holds the connections that are accepted and have no protocol yet.
+    It owns the listening socket. `connecting_tasks` are those of the accepted connections that have no
+    protocol yet.
     """
 
     def __init__(self, sock: socket.socket, factory: ProtocolFactory) -> None:
-        """Initialise the server and accept from here on.
+        """Initialise the server and start to accept connections.
 
         Args:
-            sock: A listening socket, owned by this server from here on.
-            factory: Makes the protocol of a connection.
+            sock: A listening socket, which this server takes over.
+            factory: Creates the protocol of a connection.
         """
         self.sockets = [sock]
         self.factory = factory
         self.loop = asyncio.get_running_loop()
         self.connecting_tasks: set[asyncio.Task[None]] = set()
-        self.reading = False  # whether the event loop watches the listening socket
-        self.retry: asyncio.TimerHandle | None = None
-        self.short_since: float | None = None  # when the current shortage began, by the monotonic clock
-        self.failures = 0  # since then
-        self.closed = False
+        self.is_watching = False  # whether the event loop watches the listening socket
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.shortage_began_at: float | None = None  # by the monotonic clock; None: accept did not fail
+        self.consecutive_failures = 0  # since the last success
+        self.is_closed = False
         sock.setblocking(False)
         self.resume()
 
     def resume(self) -> None:
-        """Accept from here on."""
-        self.retry = None
-        if not self.reading and not self.closed:
+        """Start or continue to accept connections."""
+        self.retry_timer = None
+        if not self.is_watching and not self.is_closed:
             self.loop.add_reader(self.sockets[0].fileno(), self.accept_batch)
-            self.reading = True
+            self.is_watching = True
 
     def pause(self, seconds: float | None = None) -> None:
-        """Leave what comes in the backlog, for so many seconds or until resume()."""
-        if self.reading:
+        """Leave new connections in the backlog for `seconds`, or until resume()."""
+        if self.is_watching:
             self.loop.remove_reader(self.sockets[0].fileno())
-            self.reading = False
-        if seconds is not None and self.retry is None:
-            self.retry = self.loop.call_later(seconds, self.resume)
+            self.is_watching = False
+        if seconds is not None and self.retry_timer is None:
+            self.retry_timer = self.loop.call_later(seconds, self.resume)
 
     def accept_batch(self) -> None:
-        """Accept what waits, up to ACCEPTS_PER_TURN connections; what is left comes in the next turn."""
+        """Accept up to ACCEPTS_PER_TURN pending connections; the next turn accepts the others."""
         for _ in range(ACCEPTS_PER_TURN):
-            if not self.reading:
+            if not self.is_watching:
                 return
             try:
                 sock, _ = self.sockets[0].accept()
@@ -120,39 +121,39 @@
                     continue
                 self.accept_failed(err)
                 return
-            self.short_since = None
-            self.failures = 0
+            self.shortage_began_at = None
+            self.consecutive_failures = 0
             self.attach(sock)
 
     def accept_failed(self, err: OSError) -> None:
-        """Retry later; the connection waits in the backlog meanwhile."""
+        """Schedule a retry; the connection stays in the backlog."""
         now = monotonic()
-        self.failures += 1
-        if self.short_since is None:
-            self.short_since = now
-        if self.failures < IMMEDIATE_RETRIES:  # the next turn tries again: others wait behind this connection
+        self.consecutive_failures += 1
+        if self.shortage_began_at is None:
+            self.shortage_began_at = now
+        if self.consecutive_failures < IMMEDIATE_RETRIES:  # retry at once: others wait behind this one
             return
-        if self.failures == IMMEDIATE_RETRIES:
+        if self.consecutive_failures == IMMEDIATE_RETRIES:
             log.warning("a connection waits in the backlog: accept failed with %s", err)
-        lasted = now - self.short_since
-        self.pause(RETRY_INTERVAL_S if lasted < LASTING_SHORTAGE_S else LASTING_RETRY_INTERVAL_S)
+        duration = now - self.shortage_began_at
+        self.pause(RETRY_INTERVAL_S if duration < LASTING_SHORTAGE_S else LASTING_RETRY_INTERVAL_S)
         if err.errno in SHORTAGE_ERRORS:
-            self.on_shortage(err, lasted)
+            self.on_shortage(err, duration)
 
-    def on_shortage(self, err: OSError, lasted: float) -> None:
-        """Handle an accept that found no resources, `lasted` seconds into the shortage."""
+    def on_shortage(self, err: OSError, duration: float) -> None:
+        """Handle an accept that failed for lack of resources, `duration` seconds into the shortage."""
 
     def attach(self, sock: socket.socket) -> None:
-        """Make the protocol of a connection, in a task of its own."""
+        """Start a task that creates the protocol of a connection."""
         task = self.loop.create_task(self.connect(sock))
         self.connecting_tasks.add(task)
         task.add_done_callback(self.connecting_tasks.discard)
 
     async def connect(self, sock: socket.socket) -> None:
-        """Give an accepted connection to a protocol."""
+        """Attach an accepted connection to a new protocol."""
         try:
             await self.loop.connect_accepted_socket(self.factory, sock)
-        except OSError:  # the peer has reset it meanwhile
+        except OSError:  # the peer has reset the connection in the meantime
             sock.close()
             self.attach_failed()
 
@@ -160,28 +161,28 @@
         """Handle the loss of an accepted connection that has no protocol yet."""
 
     def close(self) -> None:
-        """Accept no more and close the listening socket, once."""
-        if self.closed:
+        """Stop accepting and close the listening socket. Later calls have no effect."""
+        if self.is_closed:
             return
-        self.closed = True
-        if self.retry is not None:
-            self.retry.cancel()
+        self.is_closed = True
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         self.pause()
         self.sockets[0].close()
 
 
 class BoundedServer(AcceptingServer):
-    """An AcceptingServer with at most `capacity` open connections; the rest waits in the backlog.
+    """An AcceptingServer with at most `capacity` open connections; others wait in the backlog.
 
-    Protocols report the end of their connection by connection_ended().
+    Protocols call connection_ended() when their connection ends.
     """
 
     def __init__(self, sock: socket.socket, factory: ProtocolFactory, capacity: int) -> None:
-        """Initialise the server and accept from here on.
+        """Initialise the server and start to accept connections.
 
         Args:
-            sock: A listening socket, owned by this server from here on.
-            factory: Makes the protocol of a connection.
+            sock: A listening socket, which this server takes over.
+            factory: Creates the protocol of a connection.
             capacity: Connections that may be open at once.
         """
         self.capacity = capacity
@@ -189,13 +190,13 @@
         super().__init__(sock, factory)
 
     def resume(self) -> None:
-        """Accept from here on, unless as many connections are open as may be."""
-        self.retry = None
+        """Start or continue to accept connections, unless `capacity` connections are open."""
+        self.retry_timer = None
         if self.open_count < self.capacity:
             super().resume()
 
     def attach(self, sock: socket.socket) -> None:
-        """Make the protocol of a connection, and pause where that is the last that may be open."""
+        """Start to create the protocol of a connection; pause if `capacity` is reached."""
         self.open_count += 1
         if self.open_count >= self.capacity:
             self.pause()
@@ -206,9 +207,9 @@
         self.connection_ended()
 
     def connection_ended(self) -> None:
-        """Note that a connection has ended, so that another may be accepted."""
+        """Count a connection as closed, so that another one may be accepted."""
         self.open_count -= 1
-        if self.retry is None:
+        if self.retry_timer is None:
             self.resume()
 
 
--- a/api_gateway/base/descriptors.py
+++ b/api_gateway/base/descriptors.py
@@ -1,4 +1,4 @@
-"""Opening sockets when the process or the machine has run out of descriptors, memory or ports."""
+"""Opens sockets when the process or the machine has run out of descriptors, memory or ports."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 Opened = TypeVar("Opened")
 
-# The process or the machine has nothing left to open a socket with.
+# The process or the machine lacks the resources to open a socket.
 SHORTAGE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ENOBUFS})
 # A connect that finds no free local port fails with EADDRNOTAVAIL; an accept never does.
 CONNECT_SHORTAGE_ERRORS = SHORTAGE_ERRORS | {errno.EADDRNOTAVAIL}
 
 
 def is_resource_exhaustion(err: BaseException) -> bool:
-    """Return whether an error is a shortage of this process or machine.
+    """Return whether an error is a resource shortage of this process or machine.
 
-    Such an error is no evidence about the peer that was to be reached.
+    Such an error says nothing about the state of the peer.
     """
     return isinstance(err, OSError) and err.errno in CONNECT_SHORTAGE_ERRORS
 
 
-# For which a start waits out a shortage: a restarted process is to be ready within 6 s.
+# Maximum time for which a starting process retries; a restarted process must be ready within 6 s.
 START_SHORTAGE_TIMEOUT_S = 4.0
 START_RETRY_INTERVAL_S = 0.02
 
 
 async def retry_in_shortage(open_once: Callable[[], Awaitable[Opened]]) -> Opened:
-    """Open what a process cannot serve without, and wait out a shortage.
+    """Open a socket that a process needs to serve, retrying during a shortage.
 
     Args:
         open_once: Makes one attempt to open it.
@@ -60,24 +60,24 @@
 
 
 def reclaim_nothing() -> bool:
-    """Return False: the `reclaim` function of a caller that has no connection to give up."""
+    """Return False: the `reclaim` function of a caller that has no connection to close."""
     return False
 
 
 async def retry_after_reclaim(
     open_once: Callable[[], Awaitable[Opened]], reclaim: Callable[[], bool]
 ) -> Opened:
-    """Open a connection, with one retry in a shortage: it may have been one of a moment.
+    """Open a connection, with one retry in a shortage, which may have been momentary.
 
     Args:
         open_once: Makes one attempt to open the connection.
-        reclaim: Closes another connection, if there is one that may go, to free its descriptor.
+        reclaim: Closes another connection that is not needed, if there is one, to free its descriptor.
 
     Returns:
         What `open_once` returns; the caller owns it.
 
     Raises:
-        OSError: What the last call of `open_once` raised. Other exceptions of it pass through as well.
+        OSError: The last call of `open_once` failed. Its other exceptions pass through as well.
     """
     try:
         return await open_once()
--- a/api_gateway/base/endpoint_list.py
+++ b/api_gateway/base/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Endpoint lists in discovery's form, and the addresses in them.
+"""Parses endpoint lists in the format of service discovery, and the addresses in them.
 
-What cannot be read raises ValueError: the answer to an operator's change of the configuration names an error
-by its class, so the class stays.
+Invalid input raises ValueError. The class is part of the interface, because the response to an operator's
+configuration change names the class of the error.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from api_gateway import interface as api
 
 ENDPOINT_STATES = {"up": "up", "draining": "leaving", "removed": "down"}
-"""State of an endpoint in the decision module, by that in a list."""
+"""States of the decision module, by the state in an endpoint list."""
 PORT_LIMIT = 65536
 MS_PER_S = 1000
 
@@ -27,7 +27,7 @@
 
 
 class AddressedEndpoint(NamedTuple):
-    """An endpoint and where it listens, if a list has said so."""
+    """An endpoint and the address at which it listens, None if the list has no address."""
 
     endpoint: api.Endpoint
     address: Address | None
@@ -42,34 +42,35 @@
 
 
 def format_address(address: Address) -> str:
-    """Return an address as read_address() reads it."""
+    """Return an address in the format that read_address() reads."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListing:
-    """An endpoint list as the decision module takes it, and where each endpoint listens."""
+    """An endpoint list for the decision module, and the addresses of its endpoints."""
 
     endpoint_list: api.EndpointList
     addresses: dict[str, Address]  # by endpoint id
-    epoch: str = ""  # the incarnation of the service that sent it, where it names one
-    is_subset: bool = False  # whether it is the subset that was requested
+    epoch: str = ""  # incarnation of the service that sent the list, if it names one
+    is_subset: bool = False  # whether the list is the requested subset
 
 
 def read_list(document: dict[str, Any], mode: str | None = None) -> EndpointListing:
-    """Read a list in discovery's form.
+    """Read a list in the format of service discovery.
 
-    An entry that cannot be read costs that entry of a full list, where an endpoint that is not named gets
-    nothing. Of changes it costs all of them: from their version on that change would never come again. Of an
-    endpoint that is named twice the last entry counts, as the change that came last.
+    An unreadable entry of a full list is skipped, and its endpoint gets no requests. An unreadable entry of a
+    list of changes invalidates the whole list, because the service would not send that change again once the
+    gateway has adopted the version of the list. If an endpoint occurs twice, the last entry wins, since it is
+    the latest change.
 
     Args:
         document: The list, as JSON.
-        mode: Of the result; None: as the list says.
+        mode: Mode of the result; None: the mode that the list states.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The document is not an endpoint list.
     """
     listing = read_list_header(document, mode)
     unreadable = UnreadableEntries()
@@ -86,7 +87,7 @@
 
 
 def with_endpoints(listing: EndpointListing, entries: Iterable[AddressedEndpoint]) -> EndpointListing:
-    """Return a list with these endpoints in place of its own."""
+    """Return a copy of a list whose endpoints are replaced by `entries`."""
     entries = list(entries)
     return replace(
         listing,
@@ -96,14 +97,14 @@
 
 
 def read_list_header(document: dict[str, Any], mode: str | None = None) -> EndpointListing:
-    """Read what a list says beside its endpoints.
+    """Read the fields of a list other than its endpoints.
 
     Args:
-        document: The list, as JSON, or what has been read of it so far.
-        mode: Of the result; None: as the list says.
+        document: The list, as JSON, or the fields that have been read so far.
+        mode: Mode of the result; None: the mode that the list states.
 
     Raises:
-        ValueError: It is none.
+        ValueError: The document is not an endpoint list.
     """
     try:
         list_mode = mode or ("full" if require_type(document["full"], bool) else "delta")
@@ -120,12 +121,12 @@
     """Counts the entries of one list that cannot be read."""
 
     def __init__(self) -> None:
-        """Initialise without any."""
+        """Initialise with no unreadable entries."""
         self.count = 0
         self.last_error = ""
 
     def read(self, entry: Any) -> AddressedEndpoint | None:
-        """Read an entry, which may be JSON of any shape; None: it is counted here."""
+        """Read an entry, which may be any JSON value; count it and return None if it is unreadable."""
         try:
             return read_entry(entry)
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as err:
@@ -134,14 +135,14 @@
             return None
 
     def check(self, readable_count: int, mode: str) -> None:
-        """Log how many entries could not be read.
+        """Log how many entries could not be read, or reject the list.
 
         Args:
-            readable_count: Entries that could be read.
-            mode: Of the list.
+            readable_count: Number of entries that could be read.
+            mode: Mode of the list.
 
         Raises:
-            ValueError: They cost the complete list.
+            ValueError: No entry could be read, or the list consists of changes and one is unreadable.
         """
         if self.count and (not readable_count or mode == "delta"):
             raise ValueError(f"not a list of hosts: {self.last_error}")
@@ -173,21 +174,24 @@
 
 
 def require_type(value: Any, kind: type[T]) -> T:
-    """Return a value of this type. Raises TypeError for another."""
+    """Return the value if it is of type `kind`. Raises TypeError for any other type."""
     if not isinstance(value, kind):
         raise TypeError(f"{value!r:.80} is no {kind.__name__}")
     return value
 
 
 def read_number(value: Any) -> float:
-    """Return a number from 0 on: neither a text, nor true, nor NaN or Infinity, which Python reads too."""
+    """Return a number of at least 0. Raises ValueError, also for booleans, NaN and Infinity.
+
+    Python's JSON reader accepts NaN and Infinity, too.
+    """
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value < math.inf:
         raise ValueError(f"{value!r:.80} is no number from 0")
     return float(value)
 
 
 def read_integer(value: Any) -> int:
-    """Return an integer from 0 on, which may be written as 1.0. Raises ValueError."""
+    """Return an integer of at least 0, which may be written as 1.0. Raises ValueError."""
     if not read_number(value).is_integer():
         raise ValueError(f"{value!r:.80} is not whole")
     return int(value)
--- a/api_gateway/base/errors.py
+++ b/api_gateway/base/errors.py
@@ -1,4 +1,4 @@
-"""The error of a configuration that cannot be used."""
+"""The error that reports an unusable configuration."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration cannot be used; the message gives the reason in one line."""
 
 
 @contextmanager
 def config_errors_in_one_line(path: str) -> Iterator[None]:
-    """Turn whatever is wrong with a file into a ConfigError of one line.
+    """Convert errors in reading a file into a ConfigError with a one-line message.
 
     Args:
-        path: Of the file, which begins the line.
+        path: Path of the file, with which the message begins.
     """
     try:
         yield
--- a/api_gateway/base/http_io.py
+++ b/api_gateway/base/http_io.py
@@ -1,4 +1,4 @@
-"""Reads and answers HTTP calls with aiohttp's server, within bounds of bytes and of time."""
+"""Reads request bodies and writes responses with aiohttp's server, within size and time limits."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 
 
 async def read_body(request: web.BaseRequest, max_bytes: int, timeout_s: float) -> bytes:
-    """Return the body of a request, or just so much that it is known to be larger than the bound.
+    """Return the body of a request; a longer body is read only until it exceeds `max_bytes`.
 
     Args:
-        request: The call.
-        max_bytes: The bound.
+        request: The request.
+        max_bytes: Maximum size of the body.
         timeout_s: Time limit in seconds.
 
     Raises:
-        TimeoutError: The body does not come within the time limit.
+        TimeoutError: The body does not arrive within the time limit.
     """
     if request.headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
         request.transport.write(CONTINUE)
     body = bytearray()
     async with asyncio.timeout(timeout_s):
-        while len(body) <= max_bytes and (piece := await request.content.readany()):
-            body += piece
+        while len(body) <= max_bytes and (chunk := await request.content.readany()):
+            body += chunk
     return bytes(body)
 
 
-async def write_response(request: web.BaseRequest, answer: web.Response, timeout_s: float) -> None:
-    """Write an answer; a caller that does not take it within `timeout_s` seconds is cut off."""
+async def write_response(request: web.BaseRequest, response: web.Response, timeout_s: float) -> None:
+    """Write a response; abort the connection if the client does not read it within `timeout_s` seconds."""
     try:
         async with asyncio.timeout(timeout_s):
-            await answer.prepare(request)
-            await answer.write_eof()
+            await response.prepare(request)
+            await response.write_eof()
     except ConnectionError:
         pass
     except TimeoutError:
--- a/api_gateway/base/ratelimit.py
+++ b/api_gateway/base/ratelimit.py
@@ -1,4 +1,4 @@
-"""Limits log lines of which a peer could cause any number."""
+"""Limits the rate of log lines that a peer can trigger without bound."""
 
 from __future__ import annotations
 
@@ -10,27 +10,29 @@
 
 
 class LimitedLog:
-    """Writes one line an interval at most, with how many before it were left out."""
+    """Writes at most one line per interval, with the number of lines suppressed before it."""
 
     def __init__(self, log: logging.Logger, interval_s: float = LOG_INTERVAL_S) -> None:
         """Initialise the log.
 
         Args:
-            log: Where lines are written.
-            interval_s: Seconds between two lines.
+            log: Logger that writes the lines.
+            interval_s: Minimum time between two lines, in seconds.
         """
         self.log = log
         self.interval_s = interval_s
-        self.next_line_at = 0.0  # monotonic
-        self.left_out_count = 0
+        self.next_line_at = 0.0  # by the monotonic clock
+        self.suppressed_count = 0
 
     def write(self, level: int, text: str, *args: Any) -> None:
-        """Write a line, or count it as left out. Arguments are as those of logging.Logger.log()."""
+        """Write a line, or count it as suppressed. Takes the arguments of logging.Logger.log()."""
         now = monotonic()
         if now < self.next_line_at:
-            self.left_out_count += 1
+            self.suppressed_count += 1
             return
-        more = f" ({self.left_out_count} such lines before it are left out)" if self.left_out_count else ""
+        suffix = (
+            f" ({self.suppressed_count} such lines before it are left out)" if self.suppressed_count else ""
+        )
         self.next_line_at = now + self.interval_s
-        self.left_out_count = 0
-        self.log.log(level, text + more, *args)
+        self.suppressed_count = 0
+        self.log.log(level, text + suffix, *args)
--- a/api_gateway/base/resp.py
+++ b/api_gateway/base/resp.py
@@ -1,8 +1,8 @@
-"""RESP2 from the network: hiredis, behind a check of what each value announces.
+"""Parses RESP2 from the network with hiredis, after checking the header of each value.
 
-hiredis makes a list as long as an array's head says before any part of it has arrived: `*1000000000` costs
-8 GB of address space, which no memory limit notices, and each garbage collection then walks it for seconds.
-Nor does it check the two bytes behind a string: it steps over them, whatever they are.
+hiredis allocates a list of the length in the array header before any element has arrived. `*1000000000` takes
+8 GB of address space, which no memory limit detects, and each garbage collection then scans it for seconds.
+hiredis does not check the two bytes after a string either and skips them, whatever they are.
 """
 
 from __future__ import annotations
@@ -12,50 +12,51 @@
 
 import hiredis
 
-# Parts of one array: commands have 5 and replies 3.
+# Elements of one array; commands have 5 and replies 3.
 MAX_ARRAY_PARTS = 64
-# Bytes of a head, a number, a simple string or an error.
+# Length of a header, a number, a simple string or an error.
 MAX_LINE_BYTES = 4096
-# Bytes of a string above which it is passed on in pieces.
+# Length of a string above which it is passed on in chunks.
 STREAMING_THRESHOLD_BYTES = 64 * 1024
-# Bytes that a value may have by the protocol.
+# Maximum length of a value by the protocol.
 MAX_VALUE_BYTES = 4 * 1024 * 1024
-# What `gets` returns when more bytes are needed; None and False are values. Of any type, as these.
+# Returned by `gets` when more bytes are needed, since None and False are values. Any, as values are.
 INCOMPLETE: Any = object()
-# Given to hiredis in the place of a large string.
+# Fed to hiredis in place of a large string.
 LARGE_STRING_PLACEHOLDER = b"$0\r\n\r\n"
-# Ends each line and each string.
+# Terminates each line and each string.
 CRLF = b"\r\n"
-# The heads that are most frequent, and how many bytes follow each: the string and its END.
+# The most frequent headers and the number of bytes that follow each, the string and its CRLF.
 FREQUENT_HEADS = {b"$%d" % length: length + 2 for length in range(512)} | {b"$-1": 0}
-# The digit "0" as a byte: it begins no number of more than one digit.
+# The digit "0" as a byte; a number of several digits must not begin with it.
 ZERO_DIGIT = 48
-# Digits of a count; far more than any count here has.
+# Digits of a count; far more than any valid count has.
 MAX_COUNT_DIGITS = 9
 
 
 class RespReader:
-    """Reads RESP2 values from a stream that comes in pieces.
+    """Reads RESP2 values from a stream that arrives in chunks.
 
-    Nothing that hiredis could take for the end of a string reaches it before it is known to be one.
+    Bytes that hiredis would skip as the end of a string reach it only after they have been checked.
 
-    One part of an array may be a large string. Once it is announced, `begun` is its length, and what follows
-    is buffered until `pass_on` says where its pieces go. In the value that `gets` returns then, it is empty.
+    One element of an array may be a large string. Once its header has arrived, `large_string_bytes` is its
+    length, and the following bytes are buffered until `pass_on` provides a sink for its chunks. In the value
+    that `gets` then returns, the string is empty.
 
     Attributes:
-        gets: Returns the next complete value, or NO_REPLY. After the last complete one it raises
-            hiredis.ProtocolError, if the stream is not RESP2 or announces what is not allowed here.
-        begun: Length in bytes of a large string that waits for `pass_on`; 0: none.
-        buffered: What has arrived of that string, and behind it.
+        gets: Returns the next complete value, or INCOMPLETE. After the last complete value it raises
+            hiredis.ProtocolError if the stream is not RESP2 or a header exceeds the limits.
+        large_string_bytes: Length of a large string that waits for `pass_on`; 0: none.
+        buffered: The bytes of that string, and after it, that have arrived.
     """
 
     def __init__(self, max_string_bytes: int, large_part: tuple[int, int] = (0, -1)) -> None:
-        """Create a reader at the beginning of a stream.
+        """Initialise a reader at the beginning of a stream.
 
         Args:
-            max_string_bytes: Bytes of a string that is not large.
-            large_part: Of how many parts an array is that may have a large string of up to MOST_LARGE bytes,
-                and which part of it, counted from 0. By default there is none.
+            max_string_bytes: Maximum length of a string that is not large.
+            large_part: Number of elements of the arrays that may contain a large string, of up to
+                MAX_VALUE_BYTES, and the index of that element, from 0. By default no array may.
         """
         part_count, part_index = large_part
         self.max_string_bytes = max_string_bytes
@@ -63,57 +64,57 @@
         self.parts_behind_large = part_count - part_index - 1
         self.reader = hiredis.Reader(notEnoughData=INCOMPLETE)
         self.gets: Callable[[], Any] = self.reader.gets
-        self.broken = False  # the stream cannot go on
-        self.partial_line = b""  # a line that is not complete yet
-        self.bytes_to_skip = 0  # still to arrive of a string that is not large
-        # The array that is read: its parts (-1: not a plain one), and how many were not announced yet.
+        self.broken = False  # the stream cannot be read any further
+        self.partial_line = b""  # the beginning of an incomplete line
+        self.bytes_to_skip = 0  # still to arrive of a string that is not large, with its CRLF
+        # Elements of the current array (-1: it is nested), and elements whose header is still to arrive.
         self.array_parts = 0
         self.parts_due = 0
-        # The large string.
+        # State of the large string.
         self.large_string_bytes = 0
         self.buffered = b""
-        self.large_bytes_left = 0  # still to arrive of one that is passed on, END included
-        self.large_end = b""  # what has arrived of its END
+        self.large_bytes_left = 0  # still to arrive of one that is passed on, including its CRLF
+        self.large_end = b""  # received bytes of its CRLF
         self.sink: Callable[[bytes], None] | None = None
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the stream."""
+        """Process the next bytes of the stream."""
         if self.large_string_bytes or self.broken or self.large_bytes_left or self.partial_line:
             if self.large_string_bytes or self.broken:
                 self.buffered += data if self.large_string_bytes else b""
                 return
             data = self._resume(data)
-        at = self.bytes_to_skip
-        size = len(data)
-        if at and not may_end_at(data, at):
+        offset = self.bytes_to_skip
+        data_size = len(data)
+        if offset and not may_end_at(data, offset):
             self._fail(b"")
             return
-        while at < size and (end := data.find(CRLF, at)) >= 0:
-            line = data[at:end]
+        while offset < data_size and (end := data.find(CRLF, offset)) >= 0:
+            line = data[offset:end]
             length = FREQUENT_HEADS.get(line)
             if length is not None and length <= self.max_string_bytes:
                 self.parts_due -= 1
             else:
                 length = self._following_bytes(line)
                 if length is None or length > STREAMING_THRESHOLD_BYTES + 2 and self.is_large_part():
-                    self._stop_at(data, at, end, length)
+                    self._stop_at(data, offset, end, length)
                     return
-            head = at
-            at = end + 2 + length
-            if length and not data.startswith(CRLF, at - 2) and not may_end_at(data, at):
-                self._fail(data[:head])
+            head_start = offset
+            offset = end + 2 + length
+            if length and not data.startswith(CRLF, offset - 2) and not may_end_at(data, offset):
+                self._fail(data[:head_start])
                 return
-        self.bytes_to_skip = max(0, at - size)
-        self.partial_line = data[at:]
-        if len(self.partial_line) > MAX_LINE_BYTES + 1:  # its CR may have arrived
-            self._fail(data[:at])
+        self.bytes_to_skip = max(0, offset - data_size)
+        self.partial_line = data[offset:]
+        if len(self.partial_line) > MAX_LINE_BYTES + 1:  # the CR of its end may have arrived
+            self._fail(data[:offset])
         else:
-            self.reader.feed(data[:at])
+            self.reader.feed(data[:offset])
 
     def pass_on(self, sink: Callable[[bytes], None]) -> None:
-        """Pass the large string that has begun to `sink` as it arrives.
+        """Pass the current large string to `sink` as it arrives.
 
-        The last call has END, behind the string; no piece of the string itself equals it.
+        The last call passes the CRLF after the string; no chunk of the string itself equals CRLF.
         """
         self.sink = sink
         self.large_bytes_left = self.large_string_bytes + 2
@@ -124,17 +125,17 @@
         self.feed(data)
 
     def is_large_part(self) -> bool:
-        """Return whether the part that was announced last may be a large string."""
+        """Return whether the element of the last header may be a large string."""
         return self.parts_due == self.parts_behind_large and self.array_parts == self.large_array_parts
 
     def is_in_large_part(self) -> bool:
-        """Return whether a part that may be a large string was announced and is not complete."""
+        """Return whether an element that may be a large string has begun and is incomplete."""
         return self.is_large_part() and (
             self.bytes_to_skip > 0 or self.large_bytes_left > 0 or self.large_string_bytes > 0
         )
 
     def has_data(self) -> bool:
-        """Return whether a value has begun and is not complete, or the stream cannot go on."""
+        """Return whether a value has begun and is incomplete, or the stream is malformed."""
         return (
             self.broken
             or bool(self.partial_line)
@@ -145,24 +146,24 @@
         )
 
     def _resume(self, data: bytes) -> bytes:
-        """Pass on what belongs to the large string; returns the rest, behind the line that had begun."""
+        """Pass on the bytes of the large string. Return the other bytes, after an incomplete line."""
         if self.large_bytes_left:
             data = self._pass_piece(data)
         return self.partial_line + data if self.partial_line else data
 
-    def _stop_at(self, data: bytes, at: int, end: int, length: int | None) -> None:
-        """Stop at the head `data[at:end]`: it announces a large string, or without `length` is malformed."""
+    def _stop_at(self, data: bytes, offset: int, end: int, length: int | None) -> None:
+        """Stop at the header `data[offset:end]` of a large string, or without `length` of malformed data."""
         if length is None:
-            self._fail(data[:at])
+            self._fail(data[:offset])
             return
-        self.reader.feed(data[:at])
+        self.reader.feed(data[:offset])
         self.large_string_bytes = length - 2
         self.buffered = data[end + 2 :]
         self.partial_line = b""
         self.bytes_to_skip = 0
 
     def _fail(self, valid: bytes) -> None:
-        """Read nothing more; the values that are complete with `valid` still come out."""
+        """Stop reading; `gets` still returns the values that are complete with the bytes `valid`."""
         self.reader.feed(valid)
         self.broken = True
         self.partial_line = b""
@@ -170,14 +171,14 @@
         self.gets = self._gets_last
 
     def _gets_last(self) -> Any:
-        """Return the next value of a broken stream; after the last one raise hiredis.ProtocolError."""
+        """Return the next value of a malformed stream; after the last, raise hiredis.ProtocolError."""
         value = self.reader.gets()
         if value is INCOMPLETE:
             raise hiredis.ProtocolError("the stream cannot go on")
         return value
 
     def _following_bytes(self, line: bytes) -> int | None:
-        """Return how many bytes of a string follow this line, or None where the stream cannot go on."""
+        """Return how many bytes of a string follow this line, or None if the line is malformed."""
         kind = line[:1]
         if kind == b"*":
             return self._following_array_head(line)
@@ -192,31 +193,31 @@
         return 0 if kind in (b"+", b"-", b":") and len(line) <= MAX_LINE_BYTES else None
 
     def _following_array_head(self, line: bytes) -> int | None:
-        """Note the parts of an array; returns 0, or None where the stream cannot go on."""
+        """Store the length of an array. Return 0, or None if the header is malformed."""
         count = parse_count(line[1:])
         if count is None:
             return None
         if self.parts_due <= 0:
             self.array_parts = count
             self.parts_due = count
-        else:  # it nests: that is no plain array, and holds nothing large
+        else:  # a nested array, which may not contain a large string
             self.array_parts = -1
             self.parts_due += max(0, count) - 1
         return 0 if count <= MAX_ARRAY_PARTS else None
 
     def _pass_piece(self, data: bytes) -> bytes:
-        """Pass on what belongs to the large string; returns what stands behind it."""
+        """Pass on the bytes of the large string. Return the bytes after it."""
         assert self.sink is not None
-        taken = data[: self.large_bytes_left] if len(data) > self.large_bytes_left else data
-        self.large_bytes_left -= len(taken)
+        chunk = data[: self.large_bytes_left] if len(data) > self.large_bytes_left else data
+        self.large_bytes_left -= len(chunk)
         if self.large_bytes_left >= 2:
-            self._emit(taken)
+            self._emit(chunk)
             return b""
-        # How many bytes of this piece belong to the string itself.
-        string_bytes = len(taken) - (2 - self.large_bytes_left) + len(self.large_end)
-        self.large_end += taken[string_bytes:] if string_bytes > 0 else taken
+        # Number of bytes of this chunk that belong to the string itself.
+        string_bytes = len(chunk) - (2 - self.large_bytes_left) + len(self.large_end)
+        self.large_end += chunk[string_bytes:] if string_bytes > 0 else chunk
         if string_bytes > 0:
-            self._emit(taken[:string_bytes])
+            self._emit(chunk[:string_bytes])
         if not CRLF.startswith(self.large_end):
             self._fail(b"")
             return b""
@@ -224,25 +225,25 @@
             return b""
         self.sink(CRLF)
         self.reader.feed(LARGE_STRING_PLACEHOLDER)
-        return data[len(taken) :]
+        return data[len(chunk) :]
 
     def _emit(self, string: bytes) -> None:
-        """Pass a piece to the sink; in two if it equals END, which tells the sink the end of the string."""
+        """Pass a chunk to the sink, in two parts if it equals CRLF, which would signal the end."""
         assert self.sink is not None
-        for piece in (string[:1], string[1:]) if string == CRLF else (string,):
-            self.sink(piece)
+        for chunk in (string[:1], string[1:]) if string == CRLF else (string,):
+            self.sink(chunk)
 
 
 def parse_count(digits: bytes) -> int | None:
-    """Return the number of a head: -1, or decimal digits and nothing else; None where it is none."""
+    """Return the number in a header, -1 or plain decimal digits; None if it is malformed."""
     if digits.isdigit() and (digits[0] != ZERO_DIGIT or len(digits) == 1) and len(digits) <= MAX_COUNT_DIGITS:
         return int(digits)
     return -1 if digits == b"-1" else None
 
 
-def may_end_at(data: bytes, at: int) -> bool:
-    """Return whether the bytes before `at` are END, as far as they are in `data`.
+def may_end_at(data: bytes, offset: int) -> bool:
+    """Return whether the bytes before `offset` are CRLF, as far as `data` contains them.
 
-    If `at` is 1, its CR may have arrived before `data`.
+    If `offset` is 1, the CR may have arrived before `data`.
     """
-    return CRLF.startswith(data[at - 2 : at]) if at > 1 else data[:1] in (b"\n", b"")
+    return CRLF.startswith(data[offset - 2 : offset]) if offset > 1 else data[:1] in (b"\n", b"")
--- a/api_gateway/base/serving.py
+++ b/api_gateway/base/serving.py
@@ -1,4 +1,4 @@
-"""Runs a service as a process that logs to standard error, reloads after SIGHUP and ends by SIGTERM."""
+"""Runs a service as a process that logs to standard error, reloads on SIGHUP and stops on SIGTERM."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
 from api_gateway.base.errors import ConfigError
 
-FULL_COLLECTION_INTERVAL_S = 24 * 3600.0  # between collections of garbage that scan all objects
-OLDEST_GENERATION = 2  # that a full collection collects
+FULL_COLLECTION_INTERVAL_S = 24 * 3600.0  # between two garbage collections that scan all objects
+OLDEST_GENERATION = 2  # generation that only a full collection covers
 
 
 class Service(Protocol):
-    """What serve() runs."""
+    """The interface of a service that serve() runs."""
 
-    config: Any  # its `listen` is HOST and PORT
+    config: Any  # its `listen` is a host and a port
 
     async def start(self) -> int:
-        """Start and return the port. Raises OSError or ConfigError."""
+        """Start the service and return its port. Raises OSError or ConfigError."""
 
     def reload(self) -> None:
         """Read the configuration again."""
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop the service and release its resources."""
 
 
 @contextmanager
 def short_collections(clock: Callable[[], float] = monotonic) -> Iterator[None]:
-    """Keep full collections of garbage short while the context lasts.
+    """Keep full garbage collections short within the context.
 
-    Such a collection blocks the event loop while it scans all objects, of which a service keeps many for
-    long. What has outlived one is not scanned by the next ones, but once in FULL_COLLECTION_INTERVAL_S.
-    Counting of references frees those as ever; what waits until then are cycles among them, and the list
-    service was seen to leave none.
+    A full collection blocks the event loop while it scans all objects, and a service keeps many long-lived
+    ones. Objects that have survived a full collection are therefore frozen and scanned only once in
+    FULL_COLLECTION_INTERVAL_S. Reference counting still frees them; only reference cycles among them wait,
+    and the list service was observed to leave none.
 
     Args:
         clock: Monotonic time in seconds.
@@ -68,39 +68,39 @@
 
 
 async def serve(create: Callable[[], Service], description: str) -> None:
-    """Run a service until the process gets SIGTERM or SIGINT.
+    """Run a service until the process receives SIGTERM or SIGINT.
 
     Args:
-        create: Makes the service.
-        description: Of the service, for the log.
+        create: Creates the service.
+        description: Description of the service for the log.
 
     Raises:
-        ConfigError, OSError: It cannot be made or started.
+        ConfigError, OSError: The service cannot be created or started.
     """
     service = create()
-    is_ended = asyncio.Event()
+    shutdown_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, is_ended.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown_requested.set)
     port = await service.start()
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     with short_collections():
-        gc.collect()  # nobody waits yet
+        gc.collect()  # no client waits yet
         logging.getLogger(__name__).info("%s at %s:%d", description, service.config.listen[0], port)
-        await is_ended.wait()
+        await shutdown_requested.wait()
     await service.close()
 
 
 def run(program: str, create: Callable[[], Service], description: str) -> int:
-    """Run a service until it is ended.
+    """Run a service as the main function of a process.
 
     Args:
-        program: Name of the program, which begins an error's line.
-        create: Makes the service.
-        description: Of the service, for the log.
+        program: Name of the program, with which an error line begins.
+        create: Creates the service.
+        description: Description of the service for the log.
 
     Returns:
-        The exit code: 2, with one line, where the service cannot be made or started.
+        The exit code: 2, after one error line, if the service cannot be created or started; otherwise 0.
     """
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
--- a/api_gateway/base/shared_file.py
+++ b/api_gateway/base/shared_file.py
@@ -1,4 +1,4 @@
-"""One small file that the processes of a gateway share: read whole, and replaced whole under a lock."""
+"""A small file that the processes of a gateway share, read as a whole and replaced under a lock."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from contextlib import contextmanager
 from pathlib import Path
 
-# Inode, time of the last change in nanoseconds, and size in bytes.
+# Inode, modification time in nanoseconds, and size in bytes.
 FileSignature = tuple[int, int, int]
 
 
 class SharedFile:
     """A text file, with `.new` and `.lock` files beside it.
 
-    A process dies at any moment without harm: the lock goes with it, and a reader sees either text whole.
+    A process may die at any moment without harm, because its lock is then released and a reader sees either
+    the complete old text or the complete new one.
     """
 
     def __init__(self, path: Path | None) -> None:
-        """Name the file; None: nothing is stored and nothing is ever found."""
+        """Initialise with the path of the file; with None nothing is stored or found."""
         self.path = path
         self.last_signature: FileSignature | None = None
 
     def signature(self) -> FileSignature | None:
-        """Return what tells the present file from another one; None where there is none to be seen."""
+        """Return a value that differs for each version of the file; None if the file is not accessible."""
         if self.path is None:
             return None
         try:
@@ -34,15 +35,15 @@
         return status.st_ino, status.st_mtime_ns, status.st_size
 
     def has_changed(self) -> bool:
-        """Return whether another process has written since this one last read or wrote."""
+        """Return whether another process has written the file since this one last read or wrote it."""
         return self.path is not None and self.signature() != self.last_signature
 
     def read(self) -> str | None:
-        """Return the text, or None where nothing was stored yet.
+        """Return the text, or None if nothing has been stored yet.
 
         Raises:
-            OSError: As without a descriptor; the file counts as changed until it has been read.
-            ValueError: It is not UTF-8.
+            OSError: It cannot be read, as without a descriptor; has_changed() stays true until it is read.
+            ValueError: The text is not UTF-8.
         """
         signature = self.signature()
         try:
@@ -55,10 +56,10 @@
     def write(self, text: str) -> None:
         """Replace the file.
 
-        To be called in locked(): what a process that died left half written is simply written over.
+        Must be called within locked(). A partly written file of a process that died is overwritten.
 
         Raises:
-            OSError: The file is as it was.
+            OSError: The file cannot be replaced; it is unchanged.
         """
         if self.path is None:
             return
@@ -69,14 +70,14 @@
 
     @contextmanager
     def locked(self) -> Iterator[None]:
-        """Wait for the lock and hold it while the context lasts. Raises OSError."""
+        """Acquire the lock, waiting for it, and hold it within the context. Raises OSError."""
         if self.path is None:
             yield
             return
         flags = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
-        descriptor = os.open(self.path.with_suffix(".lock"), flags, 0o600)
+        lock_fd = os.open(self.path.with_suffix(".lock"), flags, 0o600)
         try:
-            fcntl.flock(descriptor, fcntl.LOCK_EX)
+            fcntl.flock(lock_fd, fcntl.LOCK_EX)
             yield
         finally:
-            os.close(descriptor)
+            os.close(lock_fd)
--- a/api_gateway/base/subsets.py
+++ b/api_gateway/base/subsets.py
@@ -1,14 +1,15 @@
-"""Subsets: which part of the endpoints a gateway uses. No I/O, no clock, no random draws.
-
-Endpoints and gateways have positions on rings of 2**63. A subset takes the endpoints after its gateway's
-position: by service (an endpoint's kind) where kinds are named, half of them in the gateway's own zone. As
-positions come from names and numbers alone, an endpoint that comes or goes changes only the subsets whose arc
-it lies in, by one endpoint each; a gateway that comes or goes changes no other's. Weights do not matter.
-
-Were it half whatever the zones are, endpoints of a small zone would be in more subsets than those of a large
-one. With equally many gateways in each zone, endpoints are in equally many subsets where the arc in the own
-zone is as many times as long as that in the other zones as there are others. So it is half as far as that
-ratio is met within chance, and beyond that the part in the own zone is smaller or larger.
+"""Chooses the subset of the endpoints that a gateway uses. No I/O, no clock, no random draws.
+
+Endpoints and gateways have positions on rings of size 2**63. A subset contains the endpoints that follow its
+gateway's position, half of them in the gateway's own zone. If kinds (services) are named, this holds for each
+kind. Positions depend only on names and numbers. Therefore adding or removing an endpoint changes only the
+subsets whose arc contains it, by one endpoint each, and adding or removing a gateway changes no other subset.
+Weights are ignored.
+
+If the gateway's own zone always contributed half, endpoints of a small zone would be in more subsets than
+those of a large zone. With the same number of gateways in each of z zones, all endpoints are in the same
+number of subsets if the arc in the own zone is z - 1 times as long as the arc in the other zones. So the own
+zone contributes half as long as the arcs have this ratio within random variation, and otherwise less or more.
 """
 
 from __future__ import annotations
@@ -23,39 +24,41 @@
 from urllib.parse import quote, unquote, urlencode
 
 RING_SIZE = 2**63
-GOLDEN_RATIO_STEP = (
-    5700357409661599243  # the golden section of a ring: steps of it fill a ring evenly, however many
-)
-MIN_GROUP_SIZE = 6  # endpoints of each kind, as far as there are so many
+# The golden section of the ring. Steps of this length fill the ring evenly, however many there are.
+GOLDEN_RATIO_STEP = 5700357409661599243
+MIN_GROUP_SIZE = 6  # minimum number of endpoints of each kind, if the kind has as many
 MAX_SUBSET_SIZE = 65536
 MAX_KINDS = 4096
 MAX_NAME_CHARS = 128  # of a zone or a kind
 MAX_NUMBER_DIGITS = 18  # of a number in a query
-# Over the root of a group's size: chance alone moves the ratio of its two arcs by so much (four deviations).
+# Divided by the root of the group size, the deviation (four standard deviations) of the ratio of a group's
+# two arcs that random variation alone explains.
 ARC_RATIO_TOLERANCE = 8.0
-SPARE_DEVIATIONS = 2.5  # read from each of several lists past its part by length, in standard deviations
+SPARE_DEVIATIONS = 2.5  # standard deviations read from each list beyond its expected part of the result
 
-RingKey = tuple[int, str]  # an endpoint's position and its id, which breaks ties
+RingKey = tuple[int, str]  # position and id of an endpoint; the id breaks ties
 
 
 def position_of_endpoint(name: str) -> int:
-    """Return an endpoint's position, of 63 bits, by its id."""
+    """Return the 63-bit position of an endpoint, a hash of its id."""
     text = f"{name}\x1fplace".encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetSpec:
-    """What a gateway asks for: its subset. Equal values are one subset, as kinds are sorted, each once.
+    """Parameters of a gateway's subset.
+
+    Kinds are sorted and deduplicated, so that the same subset has equal parameters.
 
     Raises:
-        ValueError: A value is out of its bounds.
+        ValueError: A value is out of range.
     """
 
-    index: int  # the gateway's number
-    size: int  # available endpoints, over all kinds
-    zone: str = ""  # the gateway's own; none: one ring over all zones
-    kinds: tuple[str, ...] = ()  # none: all endpoints are one group
+    index: int  # number of the gateway
+    size: int  # number of available endpoints of all kinds together
+    zone: str = ""  # zone of the gateway; empty: zones are ignored
+    kinds: tuple[str, ...] = ()  # empty: all endpoints form one group
 
     def __post_init__(self) -> None:
         """Check the values and sort the kinds."""
@@ -79,23 +82,23 @@
     def position(self) -> int:
         """Position of the gateway.
 
-        Any run of numbers is spread evenly over the ring, and so is every n-th of them, as those of one of n
-        zones, where n is below ten; some strides beyond are less even.
+        Consecutive numbers are spread evenly over the ring. So is every n-th number, as those of one of n
+        zones, if n is less than ten; some larger strides are less even.
         """
         return self.index * GOLDEN_RATIO_STEP % RING_SIZE
 
     @property
     def groups(self) -> tuple[str | None, ...]:
-        """The kinds, or None for all endpoints as one group."""
+        """The groups: the named kinds, or None for a single group of all endpoints."""
         return self.kinds or (None,)
 
     @property
     def group_size(self) -> int:
-        """Available endpoints wanted of each group."""
+        """Number of available endpoints requested of each group."""
         return max(MIN_GROUP_SIZE, -(-self.size // len(self.kinds))) if self.kinds else self.size
 
     def query(self) -> str:
-        """Return it as part of a URL: view=INDEX,SIZE,ZONE, and kinds=A,B where kinds are named."""
+        """Return the URL query: view=INDEX,SIZE,ZONE, and kinds=A,B if kinds are named."""
         params = {"view": f"{self.index},{self.size},{self.zone}"}
         if self.kinds:
             params["kinds"] = ",".join(quote(kind, safe="") for kind in self.kinds)
@@ -103,19 +106,19 @@
 
 
 def is_encodable(name: str) -> bool:
-    """Return whether a name can be sent: half of a pair of surrogates can't."""
+    """Return whether a name can be encoded as UTF-8, which a lone surrogate cannot."""
     return not any("\ud800" <= char <= "\udfff" for char in name)
 
 
 def read_subset_spec(view: str, kinds: str | None = None) -> SubsetSpec:
-    """Read a subset from the values in a query.
+    """Parse subset parameters from the values of a URL query.
 
     Args:
-        view: INDEX,SIZE or INDEX,SIZE,ZONE, once the URL's own quoting is undone.
-        kinds: Kinds, each quoted once more, separated by commas; None: none are named.
+        view: INDEX,SIZE or INDEX,SIZE,ZONE, after the quoting of the URL has been undone.
+        kinds: Kinds separated by commas, each quoted a second time; None: no kinds are named.
 
     Raises:
-        ValueError: It is none.
+        ValueError: A value is malformed or out of range.
     """
     index, _, rest = view.partition(",")
     size, _, zone = rest.partition(",")
@@ -128,17 +131,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SubsetPart:
-    """What a subset takes of one ring: of its own zone's (own), or of that of all others."""
+    """The members of a subset in one group, either of its own zone or of all other zones."""
 
     group: str | None
     is_own_zone: bool
-    members: tuple[Any, ...]  # ids, or what Rings.members_of() returns, in the order of the ring
-    end: RingKey | None  # up to there a change may change the part; None: anywhere on the ring
+    members: tuple[Any, ...]  # ids, or what EndpointRings.members_of() returns, in ring order
+    end: RingKey | None  # changes after it do not affect the part; None: any change may
 
 
 @dataclass(slots=True)
 class RingEntry:
-    """An endpoint as it lies in the rings."""
+    """The ring key and the attributes of an endpoint that select its rings."""
 
     ring_key: RingKey
     kind: str
@@ -147,7 +150,7 @@
 
 
 class Ring:
-    """The endpoints of one group in one zone, sorted by position: the available and the draining ones."""
+    """The available and the draining endpoints of one group in one zone, each sorted by position."""
 
     __slots__ = ("draining", "up")
 
@@ -158,31 +161,31 @@
 
 
 class EndpointRings:
-    """All endpoints. A change costs two searches and two shifts of a list, whatever the subsets are.
+    """All endpoints. A change costs two binary searches and two list shifts, however many subsets there are.
 
-    Spots may have another form in a subclass that overrides position_key(), position_of(), id_of() and
+    A subclass may represent ring keys differently if it overrides position_key(), position_of(), id_of() and
     members_of().
     """
 
     def __init__(self) -> None:
-        """Initialise without endpoints."""
+        """Initialise with no endpoints."""
         self.entries: dict[str, RingEntry] = {}  # by id
         self.groups: dict[str | None, dict[str, Ring]] = {None: {}}  # by kind (None: all), by zone
 
     def set_endpoint(self, name: str, kind: str, zone: str, up: bool) -> None:
-        """Store an endpoint that is available (up) or draining, whatever it was before."""
-        last = self.entries.get(name)
-        if last is not None and (last.kind, last.zone, last.up) == (kind, zone, up):
+        """Add or update an endpoint, which is available (`up`) or draining."""
+        previous = self.entries.get(name)
+        if previous is not None and (previous.kind, previous.zone, previous.up) == (kind, zone, up):
             return
         self.remove_endpoint(name)
-        ring_key = (position_of_endpoint(name), name) if last is None else last.ring_key
+        ring_key = (position_of_endpoint(name), name) if previous is None else previous.ring_key
         self.entries[name] = RingEntry(ring_key, kind, zone, up)
         for group in (None, kind):
             ring = self.groups.setdefault(group, {}).setdefault(zone, Ring())
             insort(ring.up if up else ring.draining, ring_key)
 
     def remove_endpoint(self, name: str) -> None:
-        """Remove an endpoint, if it is there."""
+        """Remove an endpoint if it is stored."""
         endpoint = self.entries.pop(name, None)
         if endpoint is None:
             return
@@ -193,7 +196,7 @@
             self.remove_empty_ring(group, endpoint.zone, ring)
 
     def remove_empty_ring(self, group: str | None, zone: str, ring: Ring) -> None:
-        """Remove a ring without endpoints, and its group if that has no other."""
+        """Remove a ring if it has no endpoints, and its group if it has no other ring."""
         if not ring.up and not ring.draining:
             del self.groups[group][zone]
             if not self.groups[group] and group is not None:
@@ -201,49 +204,49 @@
 
     @staticmethod
     def position_key(position: int) -> Any:
-        """Return what sorts before all ring_keys of a position and after those of the positions before."""
+        """Return a lower bound of the ring keys at a position, which sorts after those of lower positions."""
         return position, ""
 
     @staticmethod
     def position_of(ring_key: Any) -> int:
-        """Return the position of a ring_key."""
+        """Return the position in a ring key."""
         position: int = ring_key[0]
         return position
 
     @staticmethod
     def id_of(ring_key: Any) -> str:
-        """Return the endpoint id of a ring_key."""
+        """Return the endpoint id in a ring key."""
         endpoint_id: str = ring_key[1]
         return endpoint_id
 
     @staticmethod
     def members_of(ring_keys: list[Any]) -> list[Any]:
-        """Return ring_keys as a Part holds them: their ids."""
+        """Return the members of a SubsetPart for these ring keys, which are their ids."""
         return list(map(itemgetter(1), ring_keys))
 
     def total(self, view: SubsetSpec) -> int:
-        """Return the count of available endpoints in the groups of a subset."""
+        """Return the number of available endpoints in all groups of a subset."""
         return sum(len(ring.up) for group in view.groups for ring in self.groups.get(group, {}).values())
 
     def members(self, view: SubsetSpec) -> set[str]:
-        """Return a subset: the available ones and the draining among them, at most twice its size."""
+        """Return a subset with the draining endpoints between its members, at most twice its size."""
         return {name for group in view.groups for part in self.parts(view, group) for name in part.members}
 
     def zone_count(self, group: str | None) -> int:
-        """Return the count of named zones with available endpoints of a group, in time linear in zones."""
+        """Return the number of named zones with available endpoints of a group, in time linear in zones."""
         return sum(bool(zone and ring.up) for zone, ring in self.groups.get(group, {}).items())
 
     def parts(self, view: SubsetSpec, group: str | None) -> Iterator[SubsetPart]:
-        """Yield what a subset takes of a group.
+        """Yield the parts of a subset in a group.
 
-        That is half of its size in the own zone and the rest in the others, or as ZoneSplit says where zones
-        are uneven. Where one side has too few available endpoints the other gives more, and where both have,
-        all are taken.
+        Half of the endpoints are in the own zone and the rest in the others, or as ZoneSplit decides if the
+        zones are uneven. If one side has too few available endpoints, the other contributes more. If both
+        have too few, all are taken.
 
-        Draining endpoints belong to it where they would be among the first without draining, so that they are
-        passed on as draining; that bounds them when a zone drains at once. They lie before the last available
-        one, or there is none beyond. So a change beyond the end of a part changes nothing in it, unless
-        another zone has its first endpoint or has lost its last.
+        A draining endpoint is included if it would be a member without draining, so that the gateway is
+        informed that it drains. This limits their number when a whole zone drains at once. Draining members
+        lie before the last available member, unless all available endpoints are members. So a change
+        after the end of a part does not affect it, unless a zone gets its first endpoint or loses its last.
         """
         zones = self.groups.get(group, {})
         size = view.group_size
@@ -253,36 +256,38 @@
         own = ZoneSide(self, own_rings, view)
         other = ZoneSide(self, other_rings, view)
         own_count = min(own.available, max(half, size - other.available))
-        lowest = max(0, size - other.available)
-        highest = min(own.available, size)
-        if lowest < highest:
-            own_count = ZoneSplit(own, other, size, self.zone_count(group)).find(own_count, lowest, highest)
+        min_count = max(0, size - other.available)
+        max_count = min(own.available, size)
+        if min_count < max_count:
+            own_count = ZoneSplit(own, other, size, self.zone_count(group)).find(
+                own_count, min_count, max_count
+            )
         other_count = min(other.available, size - own_count)
         if view.zone:
-            yield own.part(group, is_own=True, limit=own_count, reach=max(half, own_count))
-        yield other.part(group, is_own=False, limit=other_count, reach=max(size - half, other_count))
+            yield own.part(group, is_own=True, limit=own_count, rank_limit=max(half, own_count))
+        yield other.part(group, is_own=False, limit=other_count, rank_limit=max(size - half, other_count))
 
 
 class ZoneSide:
-    """The endpoints of one group in the own zone, or in all others, from a subset's position on."""
+    """The endpoints of one group in the own zone, or in all other zones, that follow a subset's position."""
 
     def __init__(self, all_rings: EndpointRings, rings: list[Ring], view: SubsetSpec) -> None:
-        """Initialise the side of some rings of all."""
+        """Initialise the side that consists of `rings`, some of `all_rings`."""
         self.all_rings = all_rings
         self.rings = rings
         self.position = view.position
         self.size = view.group_size
         self.available = sum(len(ring.up) for ring in rings)
-        self.found: list[Any] = []  # ring_keys of the first available ones, as far as they were sought
-        self.end = 0.0  # length of an arc within which any change matters
+        self.found: list[Any] = []  # ring keys of the first available endpoints found so far
+        self.end = 0.0  # length of the arc within which any change may affect the split
 
     def _take_from_position(self, lists: list[list[Any]], limit: int) -> list[Any]:
         return take_from(lists, self.all_rings.position_key(self.position), limit)
 
     def first_available(self, count: int) -> list[Any]:
-        """Return the first `count` available ones, as far as there are so many, and maybe more.
+        """Return at least the first `count` available endpoints, or all if there are fewer.
 
-        They are sought once, or twice where the split is not half and half.
+        They are searched for once, or twice if the split is not half and half.
         """
         if len(self.found) < min(count, self.available):
             limit = self.size + 1 if self.found else count + 1
@@ -290,32 +295,32 @@
         return self.found
 
     def distance(self, ring_key: Any) -> int:
-        """Return how far after the subset's position a ring_key lies."""
+        """Return the distance of a ring key from the subset's position."""
         return (self.all_rings.position_of(ring_key) - self.position) % RING_SIZE
 
     def arc_length(self, count: int) -> float:
-        """Return the length of the arc to the last of the first `count` available; inf: there are fewer."""
+        """Return the length of the arc to the `count`-th available endpoint; inf if there are fewer."""
         if count > self.available:
             return math.inf
         return self.distance(self.first_available(count)[count - 1]) if count else 0.0
 
-    def part(self, group: str | None, *, is_own: bool, limit: int, reach: int) -> SubsetPart:
-        """Return the first `limit` available ones, and the draining among the first `reach` of all."""
+    def part(self, group: str | None, *, is_own: bool, limit: int, rank_limit: int) -> SubsetPart:
+        """Return the first `limit` available endpoints, and the draining ones of the first `rank_limit`."""
         found = self.first_available(limit)[:limit]
         has_end = limit < self.available
         if draining := [ring.draining for ring in self.rings if ring.draining]:
             id_of = self.all_rings.id_of
             ranks = [(self.distance(ring_key), id_of(ring_key)) for ring_key in found]
-            for before, ring_key in enumerate(self._take_from_position(draining, reach)):
+            for before, ring_key in enumerate(self._take_from_position(draining, rank_limit)):
                 available_before = bisect_left(ranks, (self.distance(ring_key), id_of(ring_key)))
-                if before + available_before >= reach or (has_end and available_before >= limit):
+                if before + available_before >= rank_limit or (has_end and available_before >= limit):
                     break
                 found.append(ring_key)
         members = tuple(self.all_rings.members_of(found))
         return SubsetPart(group, is_own, members, self._last_relevant(limit) if has_end else None)
 
     def _last_relevant(self, count: int) -> RingKey | None:
-        """Return up to where a change matters, if `count` available ones are taken."""
+        """Return the last ring key at which a change may affect a part of `count` available endpoints."""
         if self.end >= RING_SIZE - 1:
             return None
         if self.end > self.arc_length(count):
@@ -327,10 +332,10 @@
 
 
 class ZoneSplit:
-    """Decides how many endpoints of a group are of the own zone."""
+    """Decides how many endpoints of a group are taken from the own zone."""
 
     def __init__(self, own: ZoneSide, other: ZoneSide, size: int, zone_count: int) -> None:
-        """Initialise the split of `size` endpoints, of which there are some in `zone_count` zones."""
+        """Initialise the split of `size` endpoints; `zone_count` zones have available endpoints."""
         self.own = own
         self.other = other
         self.size = size
@@ -340,24 +345,26 @@
         self.high_ratio = ratio * tolerance
 
     def is_farther(self, count: int, ratio: float) -> bool:
-        """Return whether the last of `count` in the own zone lies farther than its replacement elsewhere.
+        """Return whether the `count`-th endpoint of the own zone is farther than its replacement elsewhere.
 
-        Lengths in the other zones count `ratio` times.
+        Distances in the other zones are multiplied by `ratio`.
         """
         return self.own.arc_length(count) > ratio * self.other.arc_length(self.size - count + 1)
 
-    def find(self, half: int, lowest: int, highest: int) -> int:
-        """Return half, or as many more or fewer as bring the ratio of the arcs within its bounds."""
+    def find(self, half: int, min_count: int, max_count: int) -> int:
+        """Return the count closest to `half` for which the ratio of the arcs is within its bounds."""
         count = half
-        if half < highest and not self.is_farther(half + 1, self.low_ratio):
-            tried = range(half + 1, highest + 1)
-            count += bisect_left(tried, True, key=lambda tried: self.is_farther(tried, self.low_ratio))
-        elif half > lowest and self.is_farther(half, self.high_ratio):
-            tried = range(lowest + 1, half + 1)
-            count = lowest + bisect_left(
-                tried, True, key=lambda tried: self.is_farther(tried, self.high_ratio)
+        if half < max_count and not self.is_farther(half + 1, self.low_ratio):
+            candidates = range(half + 1, max_count + 1)
+            count += bisect_left(
+                candidates, True, key=lambda candidate: self.is_farther(candidate, self.low_ratio)
+            )
+        elif half > min_count and self.is_farther(half, self.high_ratio):
+            candidates = range(min_count + 1, half + 1)
+            count = min_count + bisect_left(
+                candidates, True, key=lambda candidate: self.is_farther(candidate, self.high_ratio)
             )
-        # An endpoint that comes within these would be nearer than the last that the other side gives.
+        # A new endpoint within these arcs would be nearer than the last endpoint of the other side.
         own_ratio = self.high_ratio if count < half else self.low_ratio
         other_ratio = self.low_ratio if count > half else self.high_ratio
         self.own.end = own_ratio * self.other.arc_length(self.size - count) if count < self.size else 0.0
@@ -366,7 +373,7 @@
 
 
 def take_from(lists: list[list[Any]], start: Any, limit: int) -> list[Any]:
-    """Return the first `limit` of all lists, each sorted, from the start on and round the ring."""
+    """Return the first `limit` ring keys of all sorted lists, from `start` on and around the ring."""
     starts = [bisect_left(ring_keys, start) for ring_keys in lists]
     after = [(ring_keys, index, len(ring_keys)) for ring_keys, index in zip(lists, starts, strict=True)]
     found = merge_runs(after, limit)
@@ -377,25 +384,28 @@
 
 
 def merge_runs(runs: list[tuple[list[Any], int, int]], limit: int) -> list[Any]:
-    """Return the first `limit` of all runs, each a list, its first index and its end, sorted in between.
+    """Return the first `limit` ring keys of all runs: a list, a first and an end index, sorted in between.
 
-    Of each run more is read than its part by length. What comes before all that was not read is certain.
+    More of each run is read than its expected part. The result is final once `limit` ring keys sort before
+    all that were not read; otherwise more is read.
     """
     if len(runs) == 1:
         ring_keys, start, end = runs[0]
         return ring_keys[start : min(end, start + limit)]
     total = sum(end - start for _, start, end in runs)
-    spare = SPARE_DEVIATIONS
+    spare_deviations = SPARE_DEVIATIONS
     while True:
         found: list[Any] = []
-        unread: Any = None
+        first_unread: Any = None
         for ring_keys, start, end in runs:
             expected = limit * (end - start) / total if total else 0.0
-            cut = min(end, start + limit, start + int(expected + spare * (1.0 + math.sqrt(expected))))
-            found += ring_keys[start:cut]
-            if cut < end and (unread is None or ring_keys[cut] < unread):
-                unread = ring_keys[cut]
+            read_end = min(
+                end, start + limit, start + int(expected + spare_deviations * (1.0 + math.sqrt(expected)))
+            )
+            found += ring_keys[start:read_end]
+            if read_end < end and (first_unread is None or ring_keys[read_end] < first_unread):
+                first_unread = ring_keys[read_end]
         found.sort()
-        if unread is None or bisect_left(found, unread) >= limit:
+        if first_unread is None or bisect_left(found, first_unread) >= limit:
             return found[:limit]
-        spare *= 4.0
+        spare_deviations *= 4.0
--- a/api_gateway/downstream/listener.py
+++ b/api_gateway/downstream/listener.py
@@ -63,10 +63,10 @@
         self.reserve = ReservedDescriptor()
         super().__init__(sock, factory)
 
-    def on_shortage(self, err: OSError, lasted: float) -> None:
+    def on_shortage(self, err: OSError, duration: float) -> None:
         """End a connection that may go; in a lasting shortage also close what waits, unread."""
         self.reclaim()
-        if err.errno == errno.EMFILE and lasted >= LASTING_SHORTAGE_S:
+        if err.errno == errno.EMFILE and duration >= LASTING_SHORTAGE_S:
             self.reserve.close_waiting(self.sockets[0])
 
     def close(self) -> None:
--- a/tests/base/test_entry_stream.py
+++ b/tests/base/test_entry_stream.py
@@ -1,4 +1,4 @@
-"""Long lists, entry by entry: the same as at once, and never more than one entry held as objects."""
+"""Tests that a list read entry by entry gives the same result as one read at once, in bounded memory."""
 
 import json
 
@@ -17,7 +17,7 @@
 )
 
 
-def read(body):
+def read_all(body):
     entries = EntryStream(body)
     return list(entries), entries.head
 
@@ -30,22 +30,22 @@
     st.booleans(),
     st.integers(1, 40),
 )
-def test_a_list_is_read_as_it_is_at_once_however_it_is_written_and_cut(
-    servers, beside, place, indent, ascii, window
+def test_entries_equal_those_of_json_loads_for_any_format_and_read_size(
+    servers, other_fields, servers_index, indent, ascii, read_bytes
 ):
-    beside.pop("servers", None)
-    pairs = list(beside.items())
-    pairs.insert(place, ("servers", servers))
+    other_fields.pop("servers", None)
+    pairs = list(other_fields.items())
+    pairs.insert(servers_index, ("servers", servers))
     body = json.dumps(dict(pairs), indent=indent, ensure_ascii=ascii).encode("utf-8", "surrogatepass")
     try:
         body.decode()
     except UnicodeDecodeError:
         return
-    last, entry_stream.READ_BYTES = entry_stream.READ_BYTES, window
+    original, entry_stream.READ_BYTES = entry_stream.READ_BYTES, read_bytes
     try:
-        assert read(body) == (servers, beside)
+        assert read_all(body) == (servers, other_fields)
     finally:
-        entry_stream.READ_BYTES = last
+        entry_stream.READ_BYTES = original
 
 
 @pytest.mark.parametrize(
@@ -83,14 +83,14 @@
         b'{"a":' * 100000,
     ],
 )
-@pytest.mark.parametrize("window", [1, 7, 65536])
-def test_what_is_no_list_is_told_so(body, window, monkeypatch):
-    monkeypatch.setattr(entry_stream, "READ_BYTES", window)
+@pytest.mark.parametrize("read_bytes", [1, 7, 65536])
+def test_malformed_lists_raise_value_error(body, read_bytes, monkeypatch):
+    monkeypatch.setattr(entry_stream, "READ_BYTES", read_bytes)
     with pytest.raises(ValueError):
-        read(body)
+        read_all(body)
 
 
-def test_text_without_end_is_given_up_and_not_gathered(monkeypatch):
+def test_unterminated_value_is_rejected_without_buffering_it(monkeypatch):
     monkeypatch.setattr(entry_stream, "READ_BYTES", 1000)
     monkeypatch.setattr(entry_stream, "MAX_VALUE_CHARS", 5000)
     entries = EntryStream(b'{"servers":["' + b"x" * 100_000)
@@ -99,8 +99,8 @@
     assert entries.body_index <= 8000
 
 
-def test_what_stands_before_the_entries_is_known_at_the_first_of_them():
+def test_fields_before_the_entries_are_known_at_the_first_entry():
     entries = EntryStream(b'{"version":7,"full":true,"servers":[{"id":"a"},{"id":"b"}],"epoch":"e"}')
-    each = iter(entries)
-    assert next(each) == {"id": "a"} and entries.head == {"version": 7, "full": True}
-    assert list(each) == [{"id": "b"}] and entries.head["epoch"] == "e"
+    iterator = iter(entries)
+    assert next(iterator) == {"id": "a"} and entries.head == {"version": 7, "full": True}
+    assert list(iterator) == [{"id": "b"}] and entries.head["epoch"] == "e"
--- a/tests/base/test_resp.py
+++ b/tests/base/test_resp.py
@@ -1,4 +1,4 @@
-"""RESP2 values: whole and in pieces, and what they may announce."""
+"""Tests of the RESP2 reader: chunked input, malformed input and limits on header values."""
 
 import hiredis
 import pytest
@@ -9,25 +9,25 @@
 VALUES = [[b"*9\r\n", None], 7, b"yes", b"", None, [[b"a\r\n"]]]
 
 
-def drain(reader):
+def read_available(reader):
     values = []
     while (value := reader.gets()) is not INCOMPLETE:
         values.append(value)
     return values
 
 
-@pytest.mark.parametrize("size", [1, 2, 3, 7, len(STREAM)])
-def test_values_come_out_whole_however_they_are_cut(size):
+@pytest.mark.parametrize("chunk_size", [1, 2, 3, 7, len(STREAM)])
+def test_values_are_complete_for_any_chunk_size(chunk_size):
     reader, values = RespReader(100), []
-    for at in range(0, len(STREAM), size):
-        reader.feed(STREAM[at : at + size])
-        values += drain(reader)
+    for offset in range(0, len(STREAM), chunk_size):
+        reader.feed(STREAM[offset : offset + chunk_size])
+        values += read_available(reader)
     assert values == VALUES
     assert not reader.has_data()
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         b"*%d\r\n" % (MAX_ARRAY_PARTS + 1),
         b"*1\r\n*1000000000\r\n",
@@ -38,24 +38,24 @@
         b"+" + b"x" * 9000,
     ],
 )
-@pytest.mark.parametrize("size", [1, 9000])
-def test_what_stands_before_a_bad_head_still_comes_out(bad, size):
+@pytest.mark.parametrize("chunk_size", [1, 9000])
+def test_values_before_a_malformed_header_are_returned(malformed, chunk_size):
     reader, values = RespReader(100), []
     with pytest.raises(hiredis.ProtocolError):
-        for at in range(0, len(bad) + 4, size):
-            reader.feed((b":1\r\n" + bad)[at : at + size])
+        for offset in range(0, len(malformed) + 4, chunk_size):
+            reader.feed((b":1\r\n" + malformed)[offset : offset + chunk_size])
             while (value := reader.gets()) is not INCOMPLETE:
                 values.append(value)
     assert values == [1]
 
 
-ENDS = b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n"
+BAD_TERMINATORS = b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n"
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
-        ENDS,
+        BAD_TERMINATORS,
         b"$4\r\nabcd\r\r",
         b"$4\r\nabcd\n\n",
         b"$4\r\nabcde\r\n",
@@ -65,21 +65,21 @@
         b"*2\r\n:1\r\n$4\r\nabcd\rx",
     ],
 )
-@pytest.mark.parametrize("size", [1, 2, 3, 7, 90000])
-def test_a_string_with_another_end_than_its_own_is_no_value(bad, size):
-    text, reader, values = b":1\r\n" + bad + b"\r\n:2\r\n", RespReader(80000), []
+@pytest.mark.parametrize("chunk_size", [1, 2, 3, 7, 90000])
+def test_string_with_a_wrong_terminator_is_rejected(malformed, chunk_size):
+    text, reader, values = b":1\r\n" + malformed + b"\r\n:2\r\n", RespReader(80000), []
     with pytest.raises(hiredis.ProtocolError):
-        for at in range(0, len(text), size):
-            reader.feed(text[at : at + size])
+        for offset in range(0, len(text), chunk_size):
+            reader.feed(text[offset : offset + chunk_size])
             while (value := reader.gets()) is not INCOMPLETE:
                 values.append(value)
     assert values == [1] and reader.has_data()
 
 
-@pytest.mark.parametrize("head", [b"$+70000", b"$ 70000", b"$070000", b"$7_0000", b"$70000 ", b"$70000\n"])
-def test_the_head_of_a_large_string_is_a_plain_number(head):
+@pytest.mark.parametrize("header", [b"$+70000", b"$ 70000", b"$070000", b"$7_0000", b"$70000 ", b"$70000\n"])
+def test_length_of_a_large_string_must_be_a_plain_number(header):
     reader = RespReader(100, (1, 0))
-    reader.feed(b"*1\r\n" + head + b"\r\n")
+    reader.feed(b"*1\r\n" + header + b"\r\n")
     with pytest.raises(hiredis.ProtocolError):
         reader.gets()
     assert not reader.large_string_bytes
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize(
     "outer", [b"*1\r\n*1\r\n", b"*2\r\n*1\r\n:1\r\n", b"*3\r\n*-1\r\n", b"*2\r\n:1\r\n*1\r\n"]
 )
-def test_nothing_large_stands_in_an_array_within_another(outer):
+def test_nested_array_may_not_contain_a_large_string(outer):
     reader = RespReader(100, (3, 0))
     reader.feed(outer + b"*3\r\n$70000\r\n")
     with pytest.raises(hiredis.ProtocolError):
@@ -96,12 +96,12 @@
     assert not reader.large_string_bytes
 
 
-def test_no_piece_of_a_large_string_looks_like_its_end():
-    body, reader, pieces = b"\r\n" * 35000, RespReader(100, (1, 0)), []
+def test_no_chunk_of_a_large_string_equals_its_terminator():
+    body, reader, chunks = b"\r\n" * 35000, RespReader(100, (1, 0)), []
     reader.feed(b"*1\r\n$70000\r\n")
-    reader.pass_on(pieces.append)
+    reader.pass_on(chunks.append)
     for text in (body[:2], body[2:-2], body[-2:]):
         reader.feed(text)
-        assert CRLF not in pieces
+        assert CRLF not in chunks
     reader.feed(CRLF)
-    assert b"".join(pieces) == body + CRLF and pieces[-1] == CRLF and reader.gets() == [b""]
+    assert b"".join(chunks) == body + CRLF and chunks[-1] == CRLF and reader.gets() == [b""]
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -314,7 +314,7 @@
         listener = node.node.clients.listener
         listener.sockets[0] = Empty(listener.sockets[0], 10, code)
         assert await node.send_command(command()) == SERVED
-        assert listener.sockets[0].left == 0 and listener.short_since is None
+        assert listener.sockets[0].left == 0 and listener.shortage_began_at is None
 
 
 @on_loop
@@ -338,7 +338,7 @@
         listener = node.node.clients.listener
         listener.sockets[0] = Empty(listener.sockets[0], 3, code)
         assert await node.send_command(command()) == SERVED
-        assert listener.retry is None and listener.short_since is None
+        assert listener.retry_timer is None and listener.shortage_began_at is None
 
 
 @pytest.mark.parametrize("code, shut", [(errno.EMFILE, True), (errno.ENFILE, False)])
@@ -355,10 +355,13 @@
             )
             with contextlib.suppress(ConnectionResetError):
                 assert await reader.read() == b""
-            assert monotonic() - listener.short_since >= LASTING_SHORTAGE_S
+            assert monotonic() - listener.shortage_began_at >= LASTING_SHORTAGE_S
         else:
             await wait_until(
-                lambda: listener.short_since and monotonic() - listener.short_since > 2 * LASTING_SHORTAGE_S
+                lambda: (
+                    listener.shortage_began_at
+                    and monotonic() - listener.shortage_began_at > 2 * LASTING_SHORTAGE_S
+                )
             )
             listener.sockets[0].left = 0
             assert await read_reply(reader) == SERVED
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -1,4 +1,4 @@
-"""Calls to the counter: late, odd and missing answers."""
+"""Tests of counter calls with late, malformed and missing answers."""
 
 import asyncio
 
@@ -9,12 +9,12 @@
 
 
 @on_loop
-async def test_a_late_answer_of_the_counter_keeps_its_place(tmp_path):
+async def test_late_answer_is_matched_with_its_own_call(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         counter, results = node.node.counter, asyncio.Queue()
 
         def add(amount):
-            counter.add(8, amount, 4, lambda name, *told: results.put_nowait(told[:2]))
+            counter.add(8, amount, 4, lambda name, *outcome: results.put_nowait(outcome[:2]))
 
         while counter.connections[0].transport is None:
             await asyncio.sleep(0)
@@ -23,14 +23,14 @@
         assert (await results.get())[0] == "timeout"
         node.counter.silent = False
         add(2)
-        node.counter.answer_all()  # the first answer comes now, before or behind the second's request
+        node.counter.answer_all()  # the first answer arrives now, before or after the second request
         assert await results.get() == ("late", 1.0)
         assert await results.get() == ("ok", 3.0)
         assert [words[1:] for words in node.counter.calls] == [[b"8", b"1", b"4000"], [b"8", b"2", b"4000"]]
 
 
 @on_loop
-async def test_the_counter_is_connected_again_and_unwritten_calls_are_told(tmp_path):
+async def test_client_reconnects_and_reports_unwritten_calls(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         counter, results = node.node.counter, asyncio.Queue()
 
@@ -55,61 +55,61 @@
 
 
 @pytest.mark.parametrize(
-    "odd", [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"x" * 5000, b"what\r\n"]
+    "malformed", [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"x" * 5000, b"what\r\n"]
 )
 @on_loop
-async def test_odd_answers_of_the_counter_cost_only_the_connection(odd, tmp_path):
+async def test_malformed_answers_only_drop_the_connection(malformed, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         counter, results = node.node.counter, asyncio.Queue()
         while counter.connections[0].transport is None:
             await asyncio.sleep(0)
-        old, node.counter.silent = counter.connections[0].transport, True
+        old_transport, node.counter.silent = counter.connections[0].transport, True
         counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
         await node.counter.arrived.get()
         for writer in node.counter.writers:
-            writer.write(odd)
+            writer.write(malformed)
         assert await results.get() == "timeout"
-        while counter.connections[0].transport in (None, old):
+        while counter.connections[0].transport in (None, old_transport):
             await asyncio.sleep(0.01)
         assert await node.send_command(command()) == SERVED
 
 
 @on_loop
-async def test_connections_outlive_a_counter_that_closes_idle_ones_early(tmp_path):
+async def test_keep_alive_adapts_to_a_short_idle_timeout_of_the_counter(tmp_path):
     async with StubCounter() as stub:
         stub.idle = 1.0
         counter = CounterClient(("127.0.0.1", stub.port), 0.5)
         counter.start()
-        for _ in counter.connections:  # each line loses one connection and learns from it
+        for _ in counter.connections:  # each connection is closed once and learns the idle timeout
             await stub.closed.get()
-        seen = stub.pings
-        while stub.pings < seen + 6 * len(counter.connections):
+        initial_pings = stub.pings
+        while stub.pings < initial_pings + 6 * len(counter.connections):
             await asyncio.sleep(0.01)
         assert stub.closed.qsize() == 0
         counter.close()
 
 
 @on_loop
-async def test_a_call_on_a_connection_just_lost_waits_for_the_next_one():
+async def test_call_on_a_lost_connection_waits_for_the_reconnect():
     async with StubCounter() as stub:
         counter, results = CounterClient(("127.0.0.1", stub.port), 5.0), asyncio.Queue()
         counter.start()
-        line = counter.connections[0]
-        while line.transport is None:
+        connection = counter.connections[0]
+        while connection.transport is None:
             await asyncio.sleep(0)
         for _ in range(4):
             counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
             assert await results.get() == "ok"
             for writer in stub.writers:
                 writer.transport.abort()
-            while line.transport is not None:
+            while connection.transport is not None:
                 await asyncio.sleep(0)
         counter.close()
 
 
-@pytest.mark.parametrize("odd", [b"ok\r\n", b"ok {}\r\n", b"ok --1\r\n", b"x" * 5000])
+@pytest.mark.parametrize("malformed", [b"ok\r\n", b"ok {}\r\n", b"ok --1\r\n", b"x" * 5000])
 @on_loop
-async def test_after_a_broken_answer_the_total_is_read(odd):
+async def test_total_is_read_again_after_a_malformed_answer(malformed):
     async with StubCounter() as stub:
         counter, results = CounterClient(("127.0.0.1", stub.port), 5.0), asyncio.Queue()
         counter.start()
@@ -119,15 +119,15 @@
         counter.add(8, 2.5, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
         await stub.arrived.get()
         stub.silent = False
-        stub.held[0][0].write(odd)
+        stub.held[0][0].write(malformed)
         assert await results.get() == ("ok", 2.5)
         assert [words[2] for words in stub.calls] == [b"2.5", b"0"]
         counter.close()
 
 
 @on_loop
-async def test_a_counter_that_garbles_every_answer_fills_no_log(caplog):
-    line = CounterConnection(("127.0.0.1", 1))
+async def test_malformed_answers_are_logged_at_a_limited_rate(caplog):
+    connection = CounterConnection(("127.0.0.1", 1))
     for _ in range(100):
-        line.data_received(b"ok {}\r\n")
+        connection.data_received(b"ok {}\r\n")
     assert caplog.text.count("unexpected answer") == 1
