--- a/tests/base/test_resp.py
+++ b/tests/base/test_resp.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    "malformed",
+    "bad",
     [
         b"*%d\r\n" % (MAX_ARRAY_PARTS + 1),
         b"*1\r\n*1000000000\r\n",
@@ -39,11 +39,11 @@
     ],
 )
 @pytest.mark.parametrize("chunk_size", [1, 9000])
-def test_values_before_a_malformed_header_are_returned(malformed, chunk_size):
+def test_values_before_a_malformed_header_are_returned(bad, chunk_size):
     reader, values = RespReader(100), []
     with pytest.raises(hiredis.ProtocolError):
-        for offset in range(0, len(malformed) + 4, chunk_size):
-            reader.feed((b":1\r\n" + malformed)[offset : offset + chunk_size])
+        for offset in range(0, len(bad) + 4, chunk_size):
+            reader.feed((b":1\r\n" + bad)[offset : offset + chunk_size])
             while (value := reader.gets()) is not INCOMPLETE:
                 values.append(value)
     assert values == [1]
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "malformed",
+    "bad",
     [
         BAD_TERMINATORS,
         b"$4\r\nabcd\r\r",
@@ -66,8 +66,8 @@
     ],
 )
 @pytest.mark.parametrize("chunk_size", [1, 2, 3, 7, 90000])
-def test_string_with_a_wrong_terminator_is_rejected(malformed, chunk_size):
-    text, reader, values = b":1\r\n" + malformed + b"\r\n:2\r\n", RespReader(80000), []
+def test_string_with_a_wrong_terminator_is_rejected(bad, chunk_size):
+    text, reader, values = b":1\r\n" + bad + b"\r\n:2\r\n", RespReader(80000), []
     with pytest.raises(hiredis.ProtocolError):
         for offset in range(0, len(text), chunk_size):
             reader.feed(text[offset : offset + chunk_size])
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -55,10 +55,10 @@
 
 
 @pytest.mark.parametrize(
-    "malformed", [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"x" * 5000, b"what\r\n"]
+    "odd", [b"ok\r\n", b"ok many\r\n", b"pong\r\n", b"ok inf\r\n", b"x" * 5000, b"what\r\n"]
 )
 @on_loop
-async def test_malformed_answers_only_drop_the_connection(malformed, tmp_path):
+async def test_malformed_answers_only_drop_the_connection(odd, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         counter, results = node.node.counter, asyncio.Queue()
         while counter.connections[0].transport is None:
@@ -67,7 +67,7 @@
         counter.add(8, 1, 4, lambda name, result, total, elapsed: results.put_nowait(result))
         await node.counter.arrived.get()
         for writer in node.counter.writers:
-            writer.write(malformed)
+            writer.write(odd)
         assert await results.get() == "timeout"
         while counter.connections[0].transport in (None, old_transport):
             await asyncio.sleep(0.01)
@@ -107,9 +107,9 @@
         counter.close()
 
 
-@pytest.mark.parametrize("malformed", [b"ok\r\n", b"ok {}\r\n", b"ok --1\r\n", b"x" * 5000])
+@pytest.mark.parametrize("odd", [b"ok\r\n", b"ok {}\r\n", b"ok --1\r\n", b"x" * 5000])
 @on_loop
-async def test_total_is_read_again_after_a_malformed_answer(malformed):
+async def test_total_is_read_again_after_a_malformed_answer(odd):
     async with StubCounter() as stub:
         counter, results = CounterClient(("127.0.0.1", stub.port), 5.0), asyncio.Queue()
         counter.start()
@@ -119,7 +119,7 @@
         counter.add(8, 2.5, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
         await stub.arrived.get()
         stub.silent = False
-        stub.held[0][0].write(malformed)
+        stub.held[0][0].write(odd)
         assert await results.get() == ("ok", 2.5)
         assert [words[2] for words in stub.calls] == [b"2.5", b"0"]
         counter.close()
