--- a/api_gateway/experiments/membership/__main__.py
+++ b/api_gateway/experiments/membership/__main__.py
@@ -170,8 +170,8 @@
         data = datagram_of_m1(Ping(number, None), rumours(3 + number))
         hears.append(timed(swim.receive, now, address_of(1), data))
         if number % 100 == 0:
-            wholes.append(timed(swim.anti_entropy.exchange, now))
-            swim.drain_sends()
+            wholes.append(timed(swim.anti_entropy.begin_exchange, now))
+            swim.drain_outbox()
     return statistics.median(ticks), statistics.median(hears), statistics.median(wholes), memory
 
 
--- a/api_gateway/experiments/membership/referee.py
+++ b/api_gateway/experiments/membership/referee.py
@@ -60,7 +60,7 @@
 
     def stepped(self, member: Swim, died: bool) -> None:
         """After each input of a member."""
-        told = member.me.incarnation
+        told = member.local_member.incarnation
         if told < self.incarnations.get(member, 0):
             self.breach("incarnation", f"{member.name} went back to {told}")
         self.incarnations[member] = told
--- a/api_gateway/experiments/membership/world.py
+++ b/api_gateway/experiments/membership/world.py
@@ -12,7 +12,7 @@
 
 from api_gateway.experiments.membership.referee import Referee
 from api_gateway.membership.messages import DEAD, Address
-from api_gateway.membership.outbox import Send
+from api_gateway.membership.outbox import OutgoingDatagram
 from api_gateway.membership.swim import Swim
 
 TRANSLATED = ("192.0.2.1", 9)  # where all datagrams seem to come from: nobody is reached there
@@ -145,13 +145,13 @@
             return self.now
         return last + every
 
-    def step(self, member: Swim, act: Callable[[float], list[Send]]) -> None:
+    def step(self, member: Swim, act: Callable[[float], list[OutgoingDatagram]]) -> None:
         died = member.counts["died"]
         sends = act(self.now)
         self.referee.stepped(member, member.counts["died"] != died)
         self.dispatch(member, sends)
 
-    def dispatch(self, sender: Swim, sends: list[Send]) -> None:
+    def dispatch(self, sender: Swim, sends: list[OutgoingDatagram]) -> None:
         if sends:
             sizes = [len(send.data) for send in sends]
             self.referee.sends(sender, sizes)
@@ -165,7 +165,7 @@
                 if self.rng.random() >= self.loss:
                     self.carry(send, self.now + self.rng.choice(DELAYS))
 
-    def carry(self, send: Send, due: float) -> None:
+    def carry(self, send: OutgoingDatagram, due: float) -> None:
         self.at(due, lambda: self.arrive(send.to, send.data))
 
     def arrive(self, to: Address, data: bytes) -> None:
@@ -336,7 +336,11 @@
             c.dispatch(member, member.leave(c.now))
         c.kill(name)
         new = f"n{next(self.lives)}" if act == "other name" else name
-        life = max(0, member.me.incarnation - 1) if act == "clock back" else member.me.incarnation + 1
+        life = (
+            max(0, member.local_member.incarnation - 1)
+            if act == "clock back"
+            else member.local_member.incarnation + 1
+        )
         self.places[new] = place
 
         def start() -> None:
--- a/api_gateway/experiments/scale/parts.py
+++ b/api_gateway/experiments/scale/parts.py
@@ -17,8 +17,8 @@
 from api_gateway.budgets.client import BudgetClient
 from api_gateway.budgets.terms import Terms
 from api_gateway.experiments.scale.crowds import stand
-from api_gateway.membership.outbox import Send
-from api_gateway.membership.service import MembershipService, read_membership
+from api_gateway.membership.outbox import OutgoingDatagram
+from api_gateway.membership.service import MembershipService, read_membership_config
 
 CLUSTER = "scale"
 
@@ -28,14 +28,14 @@
 
     def __init__(self, number: int, seeds: list[str]) -> None:
         told = {"cluster": CLUSTER, "listen": "127.0.0.1:0", "seeds": seeds}
-        super().__init__(read_membership(told), f"hollow-{number}", lambda: {"kind": "gateway"})
+        super().__init__(read_membership_config(told), f"hollow-{number}", lambda: {"kind": "gateway"})
         self.sent = self.out = self.got = self.back = 0
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         self.got, self.back = self.got + 1, self.back + len(data)
         super().datagram_received(data, addr)
 
-    def send(self, sends: list[Send]) -> None:
+    def send(self, sends: list[OutgoingDatagram]) -> None:
         self.sent, self.out = self.sent + len(sends), self.out + sum(len(send.data) for send in sends)
         super().send(sends)
 
@@ -45,7 +45,7 @@
             "out": self.out,
             "got": self.got,
             "back": self.back,
-            "rumours": len(self.swim.pending_rumours),
+            "rumours": len(self.swim.pending_updates),
             "known": sum(member.state == "alive" for member in self.swim.members.values()),
         }
 
--- a/api_gateway/experiments/scale/swarm.py
+++ b/api_gateway/experiments/scale/swarm.py
@@ -9,7 +9,7 @@
 from api_gateway.experiments.membership.world import Cluster
 from api_gateway.membership.anti_entropy import EXCHANGE_INTERVAL_PER_MEMBER_S, EXCHANGE_INTERVAL_S
 from api_gateway.membership.messages import Address
-from api_gateway.membership.outbox import Send
+from api_gateway.membership.outbox import OutgoingDatagram
 from api_gateway.membership.swim import Swim
 
 LIFE = 1_700_000_000_000  # a member's first number: ms of a clock
@@ -46,7 +46,7 @@
     def changed(self) -> None:
         """None of them is judged."""
 
-    def dispatch(self, sender: Swim, sends: list[Send]) -> None:
+    def dispatch(self, sender: Swim, sends: list[OutgoingDatagram]) -> None:
         for send in sends:
             self.sent[sender.name] += 1
             self.out[sender.name, int(self.now)] += len(send.data)
@@ -56,7 +56,7 @@
 
     def at_rest(self) -> bool:
         """All know each other, and no rumour is left."""
-        return self.agreed() and not any(len(member.pending_rumours) for member in self.members.values())
+        return self.agreed() and not any(len(member.pending_updates) for member in self.members.values())
 
 
 def members(size: int, seed: int = 1) -> dict[str, float]:
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from api_gateway.discovery.subset_config import SubsetConfig
     from api_gateway.downstream.admission_settings import AdmissionSettings
-    from api_gateway.membership.service import Membership
+    from api_gateway.membership.service import MembershipConfig
 
 BYTES_PER_MB = 2**20
 
@@ -74,7 +74,7 @@
     saves_list: bool
     has_replicas: bool
     edge: AdmissionSettings | None
-    membership: Membership | None
+    membership: MembershipConfig | None
     subset: SubsetConfig | None
     document: Document
 
@@ -242,10 +242,10 @@
 # Optional parts: each is imported only where the document has its key.
 
 
-def _read_membership(document: Any) -> Membership:
-    from api_gateway.membership.service import read_membership
+def _read_membership(document: Any) -> MembershipConfig:
+    from api_gateway.membership.service import read_membership_config
 
-    return read_membership(document)
+    return read_membership_config(document)
 
 
 def _read_edge(document: Any) -> AdmissionSettings:
--- a/api_gateway/membership/__init__.py
+++ b/api_gateway/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership: which processes of a cluster are present (SWIM), on a UDP socket."""
+"""Cluster membership: detects over UDP which processes of a cluster are present (SWIM)."""
--- a/api_gateway/membership/anti_entropy.py
+++ b/api_gateway/membership/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Full state exchange: now and then two members tell each other all that they know.
+"""Anti-entropy: periodic exchanges of the full state between two members.
 
-This brings in what rumours missed, joins new members, and lets the sides of a network split find each other
-again however long it lasted: addresses of lost members and seeds are tried for ever.
+An exchange repairs what gossip missed and lets new members join. It also lets the sides of a network
+partition find each other again, however long it lasted, because lost members and seeds are retried forever.
 """
 
 from __future__ import annotations
@@ -23,28 +23,30 @@
 from api_gateway.membership.outbox import Outbox
 from api_gateway.membership.timers import TimerQueue
 
-EXCHANGE_INTERVAL_S = 30.0  # s between two exchanges that this member begins
+EXCHANGE_INTERVAL_S = 30.0  # between two exchanges that one member starts
 EXCHANGE_INTERVAL_PER_MEMBER_S = (
-    0.5  # s of them for each member, where that is more: the cost of a member does not grow
+    0.5  # times the cluster size, if longer, so that the load on each member does not grow with the cluster
 )
 BUSY_EXCHANGE_INTERVAL_S = (
-    3.0  # s between two while members are new, or there is more news than rumours carry
+    3.0  # between two exchanges while members are joining or more updates are pending than gossip carries
 )
-EXCHANGE_JITTER = (0.75, 1.25)  # factors between which the interval is drawn
-JOIN_EXCHANGE_JITTER = (0.5, 1.5)  # factors of the interval after a new member
-SLICE_MEMBERS = 200  # of which an exchange tells at once
-SLICE_INTERVAL_S = 0.05  # between two such slices
-RECONNECT_INTERVAL_S = 5.0  # between tries of one member to reach lost members, longer in larger clusters
-RECONNECT_CLUSTER_INTERVAL_S = 1.0  # between such tries of all members of a cluster together
-RECONNECT_JITTER = (0.5, 1.5)  # factors between which that interval is drawn
+EXCHANGE_JITTER = (0.75, 1.25)  # range of the random factor of the exchange interval
+JOIN_EXCHANGE_JITTER = (0.5, 1.5)  # the same after a member joined
+MEMBERS_PER_SLICE = 200  # members whose state an exchange sends at once
+SLICE_INTERVAL_S = 0.05  # between two slices of one exchange
+RECONNECT_INTERVAL_S = 5.0  # between attempts of one member to reach lost members
+RECONNECT_CLUSTER_INTERVAL_S = (
+    1.0  # times the cluster size, if longer: one attempt per interval in the whole cluster
+)
+RECONNECT_JITTER = (0.5, 1.5)  # range of the random factor of the reconnect interval
 
 
 class AntiEntropy:
-    """Begins and answers full state exchanges.
+    """Starts full state exchanges and responds to those of other members.
 
     Attributes:
-        seeds: Addresses that a cluster is joined through; the caller may replace them.
-        next_exchange_at: When the next exchange begins, in seconds; the first one is the join.
+        seeds: Addresses through which the member joins the cluster; the caller may replace them.
+        next_exchange_at: When the next exchange starts, in seconds. The first exchange is the join.
     """
 
     def __init__(
@@ -57,7 +59,7 @@
         seeds: list[Address],
         now: float,
     ) -> None:
-        """Join at once, and draw when lost members are tried first."""
+        """Schedule the join immediately, and the first reconnect attempt at a random time."""
         self._table = table
         self._gossip = gossip
         self._outbox = outbox
@@ -68,50 +70,50 @@
         self._next_reconnect_at = now + rng.uniform(0, RECONNECT_INTERVAL_S)
 
     def next_due_at(self) -> float:
-        """Return when an exchange or a try to reconnect is due, in seconds."""
+        """Return when the next exchange or reconnect attempt is due, in seconds."""
         return min(self.next_exchange_at, self._next_reconnect_at)
 
-    def begin_exchange_by(self, latest: float) -> None:
-        """Begin the next exchange at that time, unless it begins earlier."""
+    def schedule_exchange(self, latest: float) -> None:
+        """Start the next exchange at `latest`, unless it is scheduled earlier."""
         self.next_exchange_at = min(self.next_exchange_at, latest)
 
-    def expect_more_new_members(self, now: float) -> None:
-        """Begin an exchange soon after a new member: there may be more that are new."""
-        self.begin_exchange_by(now + BUSY_EXCHANGE_INTERVAL_S * self._rng.uniform(*JOIN_EXCHANGE_JITTER))
+    def schedule_exchange_after_join(self, now: float) -> None:
+        """Schedule an exchange soon after a member joined, because more members may be joining."""
+        self.schedule_exchange(now + BUSY_EXCHANGE_INTERVAL_S * self._rng.uniform(*JOIN_EXCHANGE_JITTER))
 
     def tick(self, now: float) -> None:
-        """Begin what is due."""
+        """Start the exchange and the reconnect attempt if they are due."""
         if now >= self.next_exchange_at:
             interval = max(EXCHANGE_INTERVAL_S, EXCHANGE_INTERVAL_PER_MEMBER_S * self._table.size())
             if self._gossip.has_backlog():
                 interval = BUSY_EXCHANGE_INTERVAL_S
             self.next_exchange_at = now + interval * self._rng.uniform(*EXCHANGE_JITTER)
-            self.exchange(now)
+            self.begin_exchange(now)
         if now >= self._next_reconnect_at:
             interval = max(RECONNECT_INTERVAL_S, RECONNECT_CLUSTER_INTERVAL_S * self._table.size())
             self._next_reconnect_at = now + interval * self._rng.uniform(*RECONNECT_JITTER)
             self._reconnect(now)
 
-    def exchange(self, now: float) -> None:
-        """Exchange all that is known with one member; with the seeds as long as nobody is there."""
+    def begin_exchange(self, now: float) -> None:
+        """Start an exchange with a random member, or with all seeds while no other member is present."""
         targets = [member.address for member in self._table.draw_others(1)[:1]]
-        my_address = self._table.me.address
+        my_address = self._table.local_member.address
         for address in targets or [seed for seed in self.seeds if seed != my_address]:
-            self._begin(address, now)
+            self._send_sync_request(address, now)
 
-    def answer(self, to: Address, now: float) -> None:
-        """Send all that is known to a member that began an exchange."""
+    def respond(self, to: Address, now: float) -> None:
+        """Send the full state to a member that started an exchange."""
         self._send_slice(to, list(self._table.members), now)
 
     def _reconnect(self, now: float) -> None:
-        """Try one address of a lost member, or a seed that is no present member: it may have been cut off."""
+        """Start an exchange with a lost member or an absent seed, which may have been partitioned off."""
         known = {member.address for member in self._table.present_members()} if self.seeds else set()
         lost = self._table.lost_addresses
         candidates = [*lost, *(seed for seed in self.seeds if seed not in known and seed not in lost)]
         if candidates:
-            self._begin(self._rng.choice(candidates), now)
+            self._send_sync_request(self._rng.choice(candidates), now)
 
-    def _begin(self, to: Address, now: float) -> None:
+    def _send_sync_request(self, to: Address, now: float) -> None:
         self._send_slice(to, list(self._table.members), now, SyncRequest())
 
     def _send_slice(
@@ -121,17 +123,19 @@
         now: float,
         message: SyncRequest | StateUpdate | None = None,
     ) -> None:
-        """Send what is known of the first names, in as many datagrams as it takes; the others follow later.
+        """Send the state of the first members in as many datagrams as needed, and schedule the rest.
 
-        Only the first datagram carries `message`; the others expect no answer.
+        Only the first datagram carries `message`; the others need no reply.
         """
-        if len(names) > SLICE_MEMBERS:
-            self._timers.schedule(now, SLICE_INTERVAL_S, partial(self._send_slice, to, names[SLICE_MEMBERS:]))
+        if len(names) > MEMBERS_PER_SLICE:
+            self._timers.schedule(
+                now, SLICE_INTERVAL_S, partial(self._send_slice, to, names[MEMBERS_PER_SLICE:])
+            )
         next_message = message or StateUpdate()
         members = self._table.members
         updates: list[MemberUpdate] = []
         size = 0
-        for name in names[:SLICE_MEMBERS]:
+        for name in names[:MEMBERS_PER_SLICE]:
             if name not in members:
                 continue
             update = members[name].to_update()
--- a/api_gateway/membership/errors.py
+++ b/api_gateway/membership/errors.py
@@ -1,50 +1,50 @@
-"""Errors of membership."""
+"""Exceptions of the membership package."""
 
 from __future__ import annotations
 
 
 class MembershipError(ValueError):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of this package."""
 
 
 class DatagramError(MembershipError):
-    """A datagram that must have no effect.
+    """A received datagram is invalid and must be ignored.
 
     Attributes:
-        reason: Why it is rejected.
+        reason: Why the datagram is rejected.
     """
 
     def __init__(self, reason: str) -> None:
-        """Keep why the datagram is rejected."""
+        """Store the reason for the rejection."""
         super().__init__(reason)
         self.reason = reason
 
 
 class OtherClusterError(DatagramError):
-    """A datagram of another cluster.
+    """A received datagram belongs to another cluster.
 
     Attributes:
-        cluster: The cluster that it should have been of.
+        cluster: The cluster that was expected.
     """
 
     def __init__(self, cluster: str) -> None:
-        """Keep the cluster that was expected."""
-        super().__init__(f"not of cluster {cluster!r}")
+        """Store the expected cluster."""
+        super().__init__(f"datagram does not belong to cluster {cluster!r}")
         self.cluster = cluster
 
 
 class MalformedDatagramError(DatagramError):
-    """A datagram that is truncated, or that does not hold what it must."""
+    """A received datagram is truncated, or a required field is missing or invalid."""
 
 
 class MembershipConfigError(MembershipError):
-    """A value of the key `membership` that cannot be used.
+    """The value of the key `membership` in a configuration is invalid.
 
     Attributes:
-        key: The key at fault, as an operator wrote it.
+        key: Path of the invalid key in the configuration.
     """
 
     def __init__(self, key: str, text: str) -> None:
-        """Keep the key; `text` is what an operator sees."""
+        """Store the key; `text` is the message for operators."""
         super().__init__(text)
         self.key = key
--- a/api_gateway/membership/failure_detector.py
+++ b/api_gateway/membership/failure_detector.py
@@ -1,9 +1,9 @@
-"""Probes, probes through others, and suspicion: how a member finds out that another one is gone.
+"""Failure detection by direct probes, indirect probes and suspicion.
 
-A probe without an ack is sent once more, then others are asked to probe; without any ack the member is
-accused, and is then suspect. A suspect refutes with a higher incarnation. One that does not is held dead by
-each member for itself, after a time that is long for one accuser and short for several (Lifeguard, Dadgar and
-others, DSN 2018).
+A ping without an ack is repeated once, and then other members are requested to probe the target. If no ack
+arrives at all, the target becomes suspect. A suspect refutes the suspicion with a higher incarnation. If it
+does not, each member declares it dead independently after a timeout that is long with one accuser and short
+with several (Lifeguard, Dadgar et al., DSN 2018).
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 )
 from api_gateway.membership.timers import TimerQueue
 
-PROBE_INTERVAL_S = 0.8  # between two members that are probed
-REPEAT_AFTER_S = 0.1  # without an ack, after which a probe is sent once more
-DIRECT_ACK_TIMEOUT_S = 0.2  # from the first probe, after which others are asked to probe
-INDIRECT_ACK_TIMEOUT_S = 0.3  # more for an ack through others
-INDIRECT_PROBES = 3  # members that are asked, and as many more where much is lost
-MIN_SUSPICION_S = 1.0  # times log10 of the cluster, one at least, that a suspect has with enough accusers
-SUSPICION_SPREAD = 6.0  # times the shortest suspicion: how long it lasts with one accuser
-SMALL_CLUSTER_SUSPICION_SPREAD = 4.0  # the same where nobody else is there who could accuse
-CONFIRMATIONS = 2  # accusers beside the first one that are enough
-SUSPECT_PROBERS = 8  # members that probe a suspect at once when they learn of it, in a cluster of any size
-PAUSED_AFTER_PERIODS = 2  # by which a probe is late, after which this process must have been paused
-TIMER_TOLERANCE_S = 1e-9  # by which a timer may seem early because times are rounded
+PROBE_INTERVAL_S = 0.8  # between the probes of two members
+REPEAT_AFTER_S = 0.1  # without an ack, after which a ping is repeated
+DIRECT_ACK_TIMEOUT_S = 0.2  # from the first ping; indirect probes are requested after it
+INDIRECT_ACK_TIMEOUT_S = 0.3  # further time for an ack through another member
+INDIRECT_PROBES = 3  # members that are requested to probe; up to three times as many under packet loss
+MIN_SUSPICION_S = 1.0  # times max(1, log10 of the cluster size), with enough accusers
+LONGEST_SUSPICION_RATIO = 6.0  # of the timeout with one accuser to the shortest one
+SMALL_CLUSTER_SUSPICION_RATIO = 4.0  # the same if no other member could confirm the suspicion
+REQUIRED_CONFIRMATIONS = 2  # accusers in addition to the first one for the shortest timeout
+SUSPECT_PROBERS = 8  # expected members that probe a new suspect at once, whatever the cluster size
+PAUSED_AFTER_PERIODS = 2  # a probe that is late by more periods shows that this process was paused
+TIMER_TOLERANCE_S = 1e-9  # timers may appear to fire this early because times are rounded
 
 
 class ProbeStage(IntEnum):
-    """How far a probe without an ack has got."""
+    """The stages of a probe that has received no ack."""
 
     SENT = 0
     REPEATED = 1
@@ -55,11 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeRequester:
-    """A member that asked for a probe.
+    """A member that requested an indirect probe.
 
     Attributes:
-        address: Where its ack goes.
-        sequence: The number of its own probe.
+        address: Address that the ack is forwarded to.
+        sequence: Sequence number of the requester's own probe.
     """
 
     address: Address
@@ -68,14 +68,14 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe that waits for its ack.
+    """A probe that is waiting for its ack.
 
     Attributes:
-        sequence: Its number, which the ack repeats.
-        target: Name of the member that is probed.
-        deadline: When its present stage ends, in seconds.
-        stage: How far it has got.
-        requester: For whom it was sent, where another member asked.
+        sequence: Sequence number, which the ack repeats.
+        target: Name of the probed member.
+        deadline: When the current stage ends, in seconds.
+        stage: Current stage.
+        requester: The member that requested the probe, if any.
     """
 
     sequence: int
@@ -86,11 +86,11 @@
 
 
 class FailureDetector:
-    """Probes the members in a shuffled round, one a period, and decides who is suspect and who is dead.
+    """Probes one member per period in random round-robin order, and decides which are suspect or dead.
 
     Attributes:
-        next_probe_at: When the next member of the round is probed, in seconds.
-        probes: Those that wait for an ack, by sequence number.
+        next_probe_at: When the next member is probed, in seconds.
+        probes: Probes that are waiting for an ack, by sequence number.
     """
 
     def __init__(
@@ -102,13 +102,13 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        """Draw the first sequence number and when the first probe is sent."""
+        """Draw the first sequence number and the time of the first probe."""
         self._table = table
         self._gossip = gossip
         self._health = health
         self._timers = timers
         self._rng = rng
-        self._round: list[str] = []  # who is still to be probed in this one
+        self._probe_order: list[str] = []  # names still to be probed in this round, last one first
         self._sequence = rng.getrandbits(31)
         self.probes: dict[int, Probe] = {}
         self.next_probe_at = now + rng.uniform(0, PROBE_INTERVAL_S)
@@ -116,22 +116,22 @@
     # Probes
 
     def probe_next(self, now: float) -> bool:
-        """Probe the next member of the round; return False where there is nobody to probe."""
+        """Probe the next member of the round, and return False if there is no other member to probe."""
         self.next_probe_at = now + PROBE_INTERVAL_S
-        while self._round or self._table.size() > 1:
-            if not self._round:
-                self._start_round()
-            member = self._table.members.get(self._round.pop())
+        while self._probe_order or self._table.size() > 1:
+            if not self._probe_order:
+                self._shuffle_probe_order()
+            member = self._table.members.get(self._probe_order.pop())
             if member is not None and member.is_present():
                 self.probe(now, member)
                 return True
         return False
 
     def probe(self, now: float, member: Member, requester: ProbeRequester | None = None) -> None:
-        """Send a probe to a member, on behalf of `requester` where another member asked."""
+        """Probe a member, on behalf of `requester` if another member requested it."""
         self._sequence += 1
         if requester is None:
-            timeout_s = REPEAT_AFTER_S * self._health.wait_factor()
+            timeout_s = REPEAT_AFTER_S * self._health.ack_timeout_factor()
         else:
             timeout_s = INDIRECT_ACK_TIMEOUT_S
         probe = Probe(self._sequence, member.name, now + timeout_s, requester=requester)
@@ -140,7 +140,10 @@
         self._send_ping(probe, member)
 
     def on_ack(self, sequence: int, sender: str) -> None:
-        """Handle an ack; it is of use if a probe waits for it, and `sender` may answer in its stage."""
+        """Handle an ack. It is ignored unless a probe is waiting for it.
+
+        Before the indirect stage, only the probed member itself may acknowledge.
+        """
         probe = self.probes.get(sequence)
         if probe is None or (probe.target != sender and probe.stage < ProbeStage.INDIRECT):
             return
@@ -155,10 +158,10 @@
         if member is not None:
             member.is_reached_indirectly = probe.target != sender
 
-    def _start_round(self) -> None:
-        my_name = self._table.me.name
-        self._round = [name for name in self._table.present.in_drawing_order() if name != my_name]
-        self._rng.shuffle(self._round)
+    def _shuffle_probe_order(self) -> None:
+        my_name = self._table.local_member.name
+        self._probe_order = [name for name in self._table.present.in_index_order() if name != my_name]
+        self._rng.shuffle(self._probe_order)
 
     def _send_ping(self, probe: Probe, member: Member) -> None:
         self._gossip.send(member.address, Ping(probe.sequence, member.name), member)
@@ -179,66 +182,66 @@
         if probe.stage == ProbeStage.REPEATED:
             self._send_ping(probe, member)
             timeout_s = DIRECT_ACK_TIMEOUT_S - REPEAT_AFTER_S
-            self._wait_for_ack(now, probe, timeout_s * self._health.wait_factor())
+            self._wait_for_ack(now, probe, timeout_s * self._health.ack_timeout_factor())
         elif probe.stage == ProbeStage.INDIRECT:
             self._health.record_direct_probe(is_acked=False)
             self._request_indirect_probes(probe)
-            self._wait_for_ack(now, probe, INDIRECT_ACK_TIMEOUT_S * self._health.wait_factor())
+            self._wait_for_ack(now, probe, INDIRECT_ACK_TIMEOUT_S * self._health.ack_timeout_factor())
         else:
             del self.probes[sequence]
             self._on_probe_failed(now, member)
 
     def _request_indirect_probes(self, probe: Probe) -> None:
         count = INDIRECT_PROBES + round(2 * INDIRECT_PROBES * self._health.probe_loss)
-        for helper in self._table.draw_others(count, (probe.target,)):
-            self._gossip.send(helper.address, PingRequest(probe.sequence, probe.target), helper)
+        for prober in self._table.draw_others(count, (probe.target,)):
+            self._gossip.send(prober.address, PingRequest(probe.sequence, probe.target), prober)
 
     def _on_probe_failed(self, now: float, member: Member) -> None:
         self._table.counts["unreached"] += 1
         self._health.record_failure()
         if not self._health.is_isolated(now, self._table.size()):
-            self.accuse(now, member, (self._table.me.name,))
+            self.suspect(now, member, (self._table.local_member.name,))
 
     # Suspicion
 
-    def accuse(self, now: float, member: Member, accusers: Iterable[str]) -> None:
-        """Note who found a member silent: it is suspect from then on, and one more accuser is news."""
-        fresh = [name for name in accusers if name not in member.accusers and name != member.name]
-        known_accusers = len(member.accusers)
+    def suspect(self, now: float, member: Member, accusers: Iterable[str]) -> None:
+        """Record accusers of a member. An alive member becomes suspect; each new accuser is disseminated."""
+        new_accusers = [name for name in accusers if name not in member.accusers and name != member.name]
+        previous_count = len(member.accusers)
         if member.state == ALIVE:
-            self._begin_suspicion(now, member, fresh)
-            known_accusers = 0
-        elif not fresh:
+            self._begin_suspicion(now, member, new_accusers)
+            previous_count = 0
+        elif not new_accusers:
             return
-        member.accusers = (member.accusers + fresh)[:MAX_ACCUSERS]
-        self._table.rumours.put(member.name)
+        member.accusers = (member.accusers + new_accusers)[:MAX_ACCUSERS]
+        self._table.pending_updates.enqueue(member.name)
         self._schedule_suspicion_end(now, member)
-        if known_accusers == 0 or known_accusers <= CONFIRMATIONS < len(member.accusers):
-            self._gossip.has_urgent_news = True
+        if previous_count == 0 or previous_count <= REQUIRED_CONFIRMATIONS < len(member.accusers):
+            self._gossip.has_urgent_updates = True
 
     def suspicion_duration(self, member: Member) -> float:
-        """Return the seconds that a suspect has to refute.
+        """Return the time in seconds that a suspect has to refute.
 
-        They are fewer with more accusers, and more where much is lost or this member is not healthy itself.
+        It shrinks with more accusers, and grows with packet loss or if the local member is unhealthy itself.
         """
         size = self._table.size()
         shortest = MIN_SUSPICION_S * max(1.0, math.log10(max(1, size)))
-        enough = min(CONFIRMATIONS, size - 2)
-        if enough > 0:
-            longest = SUSPICION_SPREAD * shortest
+        required = min(REQUIRED_CONFIRMATIONS, size - 2)
+        if required > 0:
+            longest = LONGEST_SUSPICION_RATIO * shortest
             confirmations = max(0, len(member.accusers) - 1)
-            fraction = min(1.0, math.log(confirmations + 1) / math.log(enough + 1))
+            fraction = min(1.0, math.log(confirmations + 1) / math.log(required + 1))
         else:
-            longest = SMALL_CLUSTER_SUSPICION_SPREAD * shortest
+            longest = SMALL_CLUSTER_SUSPICION_RATIO * shortest
             fraction = 0.0
         return (longest - (longest - shortest) * fraction) * self._health.suspicion_factor()
 
     def _begin_suspicion(self, now: float, member: Member, accusers: list[str]) -> None:
-        """Hold a member for suspect, and perhaps probe it at once, unless its accuser is this one."""
+        """Mark a member as suspect and maybe probe it at once, unless the local member is the accuser."""
         self._table.set_state(now, member, SUSPECT)
         self._table.counts["suspected"] += 1
-        # An unhealthy member would only add to what is lost.
-        may_probe = self._health.is_good() and self._table.me.name not in accusers
+        # Probes of an unhealthy member would only add to the packet loss.
+        may_probe = self._health.is_healthy() and self._table.local_member.name not in accusers
         if may_probe and self._rng.random() * self._table.size() < SUSPECT_PROBERS:
             self.probe(now, member)
 
@@ -249,7 +252,7 @@
         )
 
     def _check_suspicion(self, name: str, incarnation: int, now: float) -> None:
-        """Hold a suspect for dead if its time is over; check again later where it is not."""
+        """Declare a suspect dead if its timeout has expired; otherwise check again later."""
         member = self._table.members.get(name)
         if member is None or member.state != SUSPECT or member.incarnation != incarnation:
             return
@@ -264,13 +267,13 @@
     # Pauses of this process
 
     def has_been_paused(self, now: float) -> bool:
-        """Tell whether this process did not run for so long that its own timers say nothing of others."""
+        """Return whether this process was paused for so long that its timeouts are meaningless."""
         return now > self.next_probe_at + PAUSED_AFTER_PERIODS * PROBE_INTERVAL_S
 
     def recover_from_pause(self, now: float) -> None:
-        """Doubt this member before the others after a pause.
+        """Treat the local member as unhealthy after a pause, and extend suspicion timeouts by its length.
 
-        None of its suspects had the time to refute, since nothing was received, so they get the time back.
+        Suspects could not refute during the pause, because this process received nothing.
         """
         paused_s = now - self.next_probe_at
         self.next_probe_at = now
--- a/api_gateway/membership/gossip.py
+++ b/api_gateway/membership/gossip.py
@@ -1,6 +1,7 @@
-"""Dissemination: news of members goes along with probes and acks, each piece for a bounded number of times.
+"""Dissemination of membership updates, which are piggybacked on other messages a bounded number of times.
 
-What cannot wait for the next probe (a suspect, enough accusers, a refutation) is pushed to some members.
+Updates that cannot wait for the next probe (a new suspect, enough accusers, a refutation) are pushed to some
+members at once.
 """
 
 from __future__ import annotations
@@ -21,60 +22,60 @@
 )
 from api_gateway.membership.outbox import Outbox
 
-MAX_UPDATES_PER_DATAGRAM = 16  # pieces of news that one datagram carries
-RETRANSMIT_FACTOR = 3  # times log2 of the cluster: how often one piece of news is passed on
-PUSH_TARGETS = 2  # members that get urgent news at once
-PUSH_INTERVAL_S = 0.1  # between two pushes: what is news by then goes together
-PUSH_TOLERANCE_S = 1e-9  # by which a push may seem early because times are rounded
+MAX_UPDATES_PER_DATAGRAM = 16  # piggybacked on one datagram
+RETRANSMIT_FACTOR = 3  # times log2 of the cluster size: how often one update is sent
+PUSH_TARGETS = 2  # members that receive urgent updates at once
+PUSH_INTERVAL_S = 0.1  # between two pushes; updates that become urgent in between are sent together
+PUSH_TOLERANCE_S = 1e-9  # pushes may appear to be this early because times are rounded
 
 
 class Gossip:
-    """Sends messages with the news that was passed on least, and pushes urgent news.
+    """Sends messages with the least transmitted updates, and pushes urgent updates.
 
     Attributes:
-        has_urgent_news: Whether there is news that cannot wait for the next probe.
+        has_urgent_updates: Whether there are updates that cannot wait for the next probe.
     """
 
     def __init__(self, table: MemberTable, outbox: Outbox) -> None:
-        """Pass on the rumours of `table` through `outbox`."""
+        """Disseminate the pending updates of `table` through `outbox`."""
         self._table = table
-        self._rumours = table.rumours
+        self._pending_updates = table.pending_updates
         self._outbox = outbox
-        self.has_urgent_news = False
-        self._pushed_at = -math.inf
+        self.has_urgent_updates = False
+        self._last_push_at = -math.inf
 
     def has_backlog(self) -> bool:
-        """Tell whether there is more news than rumours can carry soon."""
-        return len(self._rumours) > 2 * MAX_UPDATES_PER_DATAGRAM
+        """Return whether more updates are pending than two datagrams can carry."""
+        return len(self._pending_updates) > 2 * MAX_UPDATES_PER_DATAGRAM
 
     def next_push_at(self) -> float:
-        """Return when urgent news may be pushed, in seconds; infinity where there is none."""
-        return self._pushed_at + PUSH_INTERVAL_S if self.has_urgent_news else math.inf
+        """Return when urgent updates may be pushed, in seconds, or infinity if there are none."""
+        return self._last_push_at + PUSH_INTERVAL_S if self.has_urgent_updates else math.inf
 
-    def push_urgent_news(self, now: float) -> None:
-        """Send urgent news to some members, unless the last push was just now."""
-        if not self.has_urgent_news or now - self._pushed_at < PUSH_INTERVAL_S - PUSH_TOLERANCE_S:
+    def push_urgent_updates(self, now: float) -> None:
+        """Push urgent updates to some members, unless the last push was less than `PUSH_INTERVAL_S` ago."""
+        if not self.has_urgent_updates or now - self._last_push_at < PUSH_INTERVAL_S - PUSH_TOLERANCE_S:
             return
-        self.has_urgent_news = False
-        self._pushed_at = now
+        self.has_urgent_updates = False
+        self._last_push_at = now
         for member in self._table.draw_others(PUSH_TARGETS):
             self.send(member.address, StateUpdate())
 
     def send(self, to: Address, message: Message, recipient: Member | None = None) -> None:
-        """Send a message with news.
+        """Send a message with piggybacked updates.
 
         Args:
-            to: Where it goes.
-            message: What is said or asked.
-            recipient: The member that gets it, where that is known; if it is held for suspect or dead that
-                comes first, so that it can refute.
+            to: Destination address.
+            message: The message to send.
+            recipient: The member that receives it, if known. If it is considered suspect or dead, the update
+                about it comes first, so that it can refute.
         """
         self._outbox.add(to, message, self._select_updates(recipient))
 
     def _select_updates(self, recipient: Member | None) -> list[MemberUpdate]:
         table = self._table
         max_transmissions = RETRANSMIT_FACTOR * max(1, math.ceil(math.log2(max(2, table.size()))))
-        names = self._rumours.least_transmitted(MAX_UPDATES_PER_DATAGRAM)
+        names = self._pending_updates.least_transmitted(MAX_UPDATES_PER_DATAGRAM)
         if recipient is not None and recipient.state in (SUSPECT, DEAD):
             others = (name for name in names if name != recipient.name)
             names = [recipient.name, *others][:MAX_UPDATES_PER_DATAGRAM]
@@ -86,5 +87,5 @@
             if size > MAX_DATAGRAM_BYTES - HEADER_RESERVE_BYTES:
                 break
             updates.append(update)
-            self._rumours.record_transmission(name, max_transmissions)
+            self._pending_updates.record_transmission(name, max_transmissions)
         return updates
--- a/api_gateway/membership/member_table.py
+++ b/api_gateway/membership/member_table.py
@@ -1,7 +1,7 @@
-"""The members that are known: their states and incarnations, who of them is present, and who was lost.
+"""The known members of the cluster with their states and incarnations, and the addresses of lost members.
 
-Every change of a state passes through `MemberTable.set_state`. A dead member, or one that left, is remembered
-for a while, so that old rumours do not bring it back.
+Every state change goes through `MemberTable.set_state`. Members that died or left are remembered for a while,
+so that old updates do not bring them back.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
     MemberState,
     MemberUpdate,
 )
-from api_gateway.membership.rumour_queue import RumourQueue
 from api_gateway.membership.timers import TimerQueue
+from api_gateway.membership.update_queue import UpdateQueue
 
-MAX_MEMBERS = 2000  # that are known; a member that joins past that is not taken
-MAX_LOST_ADDRESSES = 64  # that are remembered of members that died
-FORGET_AFTER_S = 300.0  # for which a dead member, or one that left, is remembered
-FORGET_TOLERANCE_S = 1e-6  # by which a timer may seem early because times are rounded
+MAX_MEMBERS = 2000  # known members; further members that join are ignored
+MAX_LOST_ADDRESSES = 64  # remembered addresses of members that died
+FORGET_AFTER_S = 300.0  # after which a member that died or left is forgotten
+FORGET_TOLERANCE_S = 1e-6  # timers may appear to fire this early because times are rounded
 
 
 @dataclass(slots=True)
 class Member:
-    """What is known of one member.
+    """The local record of one member.
 
     Attributes:
         name: Unique in the cluster.
-        address: Where it is reached.
-        incarnation: The highest number that it gave to its own state, as far as is known.
-        state: What it is held for here.
-        state_since: When it got that state, in seconds of the caller's clock.
-        metadata: What it publishes of itself.
-        accusers: Members whose own probes it did not answer.
-        is_reached_indirectly: Whether the last ack of it came through another member only.
+        address: Address of the member.
+        incarnation: The highest known version number that it gave to its own state.
+        state: Its state as seen by the local member.
+        state_since: When it entered that state, in seconds of the caller's clock.
+        metadata: Key-value pairs that it publishes about itself.
+        accusers: Names of the members whose own probes it did not answer.
+        is_reached_indirectly: Whether its last ack came only through another member.
     """
 
     name: str
@@ -56,11 +56,11 @@
     is_reached_indirectly: bool = False
 
     def is_present(self) -> bool:
-        """Tell whether it takes part, as far as is known: a suspect does."""
+        """Return whether the member counts as present. Suspects do."""
         return self.state in PRESENT_STATES
 
     def to_update(self) -> MemberUpdate:
-        """Return what is passed on of it."""
+        """Return the update that other members receive about it."""
         return MemberUpdate(
             self.name,
             self.address,
@@ -72,7 +72,7 @@
 
 
 class NameSet:
-    """Names from which some can be drawn at random without a pass over all."""
+    """A set of names with random sampling that does not iterate over all names."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -80,29 +80,29 @@
         self._index_by_name: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return how many names there are."""
+        """Return the number of names."""
         return len(self._names)
 
     def __contains__(self, name: str) -> bool:
-        """Tell whether a name is in the set."""
+        """Return whether a name is in the set."""
         return name in self._index_by_name
 
     def names(self) -> KeysView[str]:
         """Return a view of the names."""
         return self._index_by_name.keys()
 
-    def in_drawing_order(self) -> list[str]:
-        """Return a copy of the names in the order that random draws index."""
+    def in_index_order(self) -> list[str]:
+        """Return a copy of the names in the order in which random draws index them."""
         return list(self._names)
 
     def add(self, name: str) -> None:
-        """Add a name, unless it is there."""
+        """Add a name if it is not in the set."""
         if name not in self._index_by_name:
             self._index_by_name[name] = len(self._names)
             self._names.append(name)
 
     def discard(self, name: str) -> None:
-        """Remove a name, if it is there; the last name takes its place in the order."""
+        """Remove a name if it is in the set. The last name takes its index."""
         index = self._index_by_name.pop(name, None)
         if index is None:
             return
@@ -115,12 +115,12 @@
         """Draw names at random.
 
         Args:
-            rng: Is drawn from only where there are more names than are wanted.
-            count: How many at the most.
-            excluded: Names that are not drawn.
+            rng: Source of randomness, used only if there are more names than requested.
+            count: Maximum number of names.
+            excluded: Names that must not be drawn.
 
         Returns:
-            Different names, all that there are where they are no more than wanted.
+            Distinct names; all eligible names if there are no more than requested.
         """
         if len(self._names) <= count + len(excluded):
             return [name for name in self._names if name not in excluded]
@@ -133,64 +133,64 @@
 
 
 class MemberTable:
-    """The members that are known, this one among them.
+    """The known members, including the local one.
 
     Attributes:
-        me: This member.
-        members: All that are known, by name.
-        present: Names of those that are alive or suspect.
-        lost_addresses: Where members were that died, the latest last.
-        version: Grows with each change of a state or an address.
-        counts: Counts for operators, by event; shared by all parts of one member.
-        rumours: What is to be passed on; each change is added.
+        local_member: The member that this process is.
+        members: All known members by name, including dead ones and those that left.
+        present: Names of the members that are alive or suspect.
+        lost_addresses: Addresses of members that died, most recent last.
+        version: Increases with each change of a state or an address.
+        counts: Event counts for operators, shared by all components of one member.
+        pending_updates: Members whose updates are still to be disseminated; every change is queued.
     """
 
     def __init__(
         self,
-        me: Member,
+        local_member: Member,
         rng: random.Random,
         timers: TimerQueue,
-        rumours: RumourQueue,
+        pending_updates: UpdateQueue,
         counts: Counter[str],
     ) -> None:
-        """Start with this member only, as news."""
-        self.me = me
-        self.members: dict[str, Member] = {me.name: me}
+        """Start with only the local member, and queue its update."""
+        self.local_member = local_member
+        self.members: dict[str, Member] = {local_member.name: local_member}
         self.present = NameSet()
-        self.present.add(me.name)
+        self.present.add(local_member.name)
         self.lost_addresses: OrderedDict[Address, None] = OrderedDict()
         self.version = 0
         self.counts = counts
-        self.rumours = rumours
-        self.rumours.put(me.name)
+        self.pending_updates = pending_updates
+        self.pending_updates.enqueue(local_member.name)
         self._rng = rng
         self._timers = timers
 
     def size(self) -> int:
-        """Return how many members are present, this one among them."""
+        """Return the number of present members, including the local one."""
         return len(self.present)
 
-    def has_space(self) -> bool:
-        """Tell whether one more member can be taken."""
+    def has_capacity(self) -> bool:
+        """Return whether another member can be added."""
         return len(self.members) < MAX_MEMBERS
 
     def present_members(self) -> list[Member]:
-        """Return those that are alive or suspect."""
-        return [self.members[name] for name in self.present.in_drawing_order()]
+        """Return the members that are alive or suspect."""
+        return [self.members[name] for name in self.present.in_index_order()]
 
     def draw_others(self, count: int, excluded: Iterable[str] = ()) -> list[Member]:
-        """Draw at most `count` present members at random, without this one and those of `excluded`."""
-        names = self.present.draw(self._rng, count, (self.me.name, *excluded))
+        """Draw at most `count` present members at random, except the local one and those in `excluded`."""
+        names = self.present.draw(self._rng, count, (self.local_member.name, *excluded))
         return [self.members[name] for name in names]
 
     def add(self, now: float, update: MemberUpdate) -> Member:
-        """Take a new member, as alive, and return it."""
+        """Add a new member as alive and return it."""
         member = Member(update.name, update.address, update.incarnation, ALIVE, now, update.metadata)
         self.members[update.name] = member
         return member
 
-    def replace(self, member: Member, update: MemberUpdate) -> None:
-        """Take over address, incarnation and metadata of a newer incarnation."""
+    def apply_incarnation(self, member: Member, update: MemberUpdate) -> None:
+        """Adopt the address, incarnation and metadata of a newer incarnation."""
         if update.address != member.address:
             self.version += 1
         member.incarnation = update.incarnation
@@ -198,7 +198,7 @@
         member.metadata = update.metadata
 
     def set_state(self, now: float, member: Member, state: MemberState) -> None:
-        """Change the state of a member and make that news."""
+        """Change the state of a member and queue its update for dissemination."""
         previous_state = member.state
         member.state = state
         member.state_since = now
@@ -216,12 +216,12 @@
             self._remember_lost(member.address)
         if state == ALIVE and previous_state == SUSPECT:
             self.counts["cleared"] += 1
-        self.rumours.put(member.name)
+        self.pending_updates.enqueue(member.name)
 
     def start_incarnation(self, incarnation: int) -> None:
-        """Give the state of this member a new number, so that it replaces what others know of it."""
-        self.me.incarnation = incarnation
-        self.rumours.put(self.me.name)
+        """Give the local member a new incarnation, so that its state replaces what others know about it."""
+        self.local_member.incarnation = incarnation
+        self.pending_updates.enqueue(self.local_member.name)
 
     def _remember_lost(self, address: Address) -> None:
         self.lost_addresses[address] = None
@@ -235,4 +235,4 @@
             return
         if now - member.state_since >= FORGET_AFTER_S - FORGET_TOLERANCE_S:
             del self.members[name]
-            self.rumours.discard(name)
+            self.pending_updates.discard(name)
--- a/api_gateway/membership/messages.py
+++ b/api_gateway/membership/messages.py
@@ -1,8 +1,9 @@
 """Encode and decode the datagrams that the members of a cluster exchange.
 
-A datagram is one JSON object: `c` the cluster, `f` and `a` the sender's name and address, `k` the kind of the
-message, `s` its sequence number, `r` rows of what the sender knows of members. A probe names its `target`;
-`w` marks the rows of a full state exchange. The order of the keys is part of the wire form.
+A datagram is one JSON object. `c` is the cluster, `f` and `a` are the sender's name and address, `k` is the
+kind of the message, `s` is its sequence number, and `r` holds one row per membership update. Pings and ping
+requests name their `target`, and `w` marks the rows of a full state exchange. The order of the keys is part
+of the wire format.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 from api_gateway.membership.errors import MalformedDatagramError, OtherClusterError
 
-MAX_DATAGRAM_BYTES = 1200  # below the smallest common MTU, so that no datagram is fragmented
-HEADER_RESERVE_BYTES = 200  # of them kept free for everything but the rows
-MAX_METADATA_BYTES = 256  # of the JSON text of what a member publishes of itself
-MAX_NAME_CHARACTERS = 128  # of the name of a member
-MAX_ACCUSERS = 4  # names sent along with one suspect
-INCARNATION_BOUND = 2**62  # above any clock in milliseconds, and still a number of 64 bits
-PORT_BOUND = 65536  # ports are below it
+MAX_DATAGRAM_BYTES = 1200  # below the smallest common MTU, so that datagrams are not fragmented
+HEADER_RESERVE_BYTES = 200  # part of MAX_DATAGRAM_BYTES reserved for everything but the rows
+MAX_METADATA_BYTES = 256  # of a member's metadata as JSON text
+MAX_NAME_CHARACTERS = 128  # of a member's name
+MAX_ACCUSERS = 4  # names sent with the update of one suspect
+INCARNATION_BOUND = 2**62  # exclusive; above any clock in milliseconds, but still fits in 64 bits
+PORT_BOUND = 65536  # exclusive upper bound of port numbers
 
 MemberState = Literal["alive", "suspect", "dead", "left"]
 Address = tuple[str, int]
@@ -34,21 +35,21 @@
     SUSPECT: 1,
     DEAD: 2,
     LEFT: 3,
-}  # code of each state on the wire
+}  # numbers that stand for the states on the wire
 STATE_BY_CODE: dict[int, MemberState] = {code: state for state, code in STATE_CODES.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What a datagram says of one member.
+    """The state of one member as a datagram reports it.
 
     Attributes:
         name: The member's name, unique in its cluster.
-        address: Where the member is reached.
-        incarnation: The member's own version of its state; the higher one counts.
-        state: What the sender holds it for.
-        metadata: What the member publishes of itself.
-        accusers: Members whose own probes it did not answer.
+        address: The address of the member.
+        incarnation: Version number that the member gives to its own state. The highest one takes precedence.
+        state: The state of the member as the sender sees it.
+        metadata: Key-value pairs that the member publishes about itself.
+        accusers: Names of the members whose own probes it did not answer.
     """
 
     name: str
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A probe. `target` names the member that is meant, since another process may have its address by now."""
+    """A probe. `target` names the intended member, because another process may use its address by now."""
 
     kind: ClassVar[str] = "ping"
     sequence: int
@@ -70,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """The answer to a probe, or to a request to probe, by its sequence number."""
+    """The reply to a ping or a ping request with the same sequence number."""
 
     kind: ClassVar[str] = "ack"
     sequence: int
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """A request to probe `target` on behalf of the sender."""
+    """A request to probe `target` on behalf of the sender (`ping-req` in SWIM)."""
 
     kind: ClassVar[str] = "ask"
     sequence: int
@@ -87,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """The first datagram of a full state exchange; the receiver answers with its own full state."""
+    """The first datagram of a full state exchange; the receiver replies with its own full state."""
 
     kind: ClassVar[str] = "sync"
     sequence: int = 0
@@ -95,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """Updates that expect no answer."""
+    """Membership updates that need no reply."""
 
     kind: ClassVar[str] = "more"
     sequence: int = 0
@@ -106,13 +107,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A message with its sender and the updates that go along.
+    """A message with its sender and the piggybacked membership updates.
 
     Attributes:
         sender: Name of the member that sent it.
-        sender_address: Where that member is reached; answers go there.
-        message: What is said or asked.
-        updates: What the sender knows of members.
+        sender_address: Address of that member, to which replies are sent.
+        message: The message itself.
+        updates: Membership updates from the sender.
         is_full_state: Whether the updates are part of a full state exchange.
     """
 
@@ -124,7 +125,7 @@
 
 
 def encode_update(update: MemberUpdate) -> list[Any]:
-    """Return the row of a datagram for one member; accusers are left out where there are none."""
+    """Return the row for one member; the accusers are omitted if there are none."""
     host, port = update.address
     row: list[Any] = [update.name, host, port, update.incarnation, STATE_CODES[update.state], update.metadata]
     if update.accusers:
@@ -133,12 +134,12 @@
 
 
 def update_size(update: MemberUpdate) -> int:
-    """Return the bytes to count for an update: its JSON text with spaces, a little more than is sent."""
+    """Return the size in bytes of an update as JSON text with spaces, a little more than what is sent."""
     return len(json.dumps(encode_update(update)))
 
 
 def encode_datagram(cluster: str, datagram: Datagram) -> bytes:
-    """Return the bytes of a datagram to a member of `cluster`."""
+    """Encode a datagram for members of `cluster`."""
     message = datagram.message
     document: dict[str, Any] = {
         "c": cluster,
@@ -160,14 +161,14 @@
 
     Args:
         cluster: The cluster that it must belong to.
-        source: Where it came from; stands for the sender's address where it names none.
-        data: Its bytes.
+        source: The address that it came from, used as the sender's address if the datagram names none.
+        data: The bytes of the datagram.
 
     Returns:
-        The datagram; unknown keys are ignored.
+        The parsed datagram. Unknown keys are ignored.
 
     Raises:
-        DatagramError: It belongs to another cluster, or is truncated or malformed.
+        DatagramError: The datagram belongs to another cluster, is truncated or is malformed.
     """
     try:
         document = json.loads(data)
@@ -175,11 +176,11 @@
             raise OtherClusterError(cluster)
         message = _decode_message(document)
         if not isinstance(document["r"], list):
-            raise MalformedDatagramError("rows are no list")
+            raise MalformedDatagramError("rows are not a list")
         updates = tuple(_decode_update(row) for row in document["r"])
         host, port = document.get("a", source)
         if not isinstance(document["f"], str) or not is_address(host, port):
-            raise MalformedDatagramError("no name or address of a sender")
+            raise MalformedDatagramError("the name or address of the sender is missing or invalid")
         return Datagram(document["f"], (host, port), message, updates, bool(document.get("w")))
     except (MalformedDatagramError, OtherClusterError):
         raise
@@ -191,11 +192,11 @@
     kind = document["k"]
     sequence = document["s"]
     if type(sequence) is not int:
-        raise MalformedDatagramError("sequence is no integer")
+        raise MalformedDatagramError("sequence number is not an integer")
     if kind == Ping.kind:
         target = document.get("target")
         if "target" in document and not isinstance(target, str):
-            target = ""  # no member's name: nobody answers such a probe
+            target = ""  # no member has this name, so the probe is not answered
         return Ping(sequence, target)
     if kind == PingRequest.kind:
         return PingRequest(sequence, str(document.get("target", "")))
@@ -205,12 +206,12 @@
         return SyncRequest(sequence)
     if kind == StateUpdate.kind:
         return StateUpdate(sequence)
-    raise MalformedDatagramError("unknown kind")
+    raise MalformedDatagramError("unknown message kind")
 
 
 def _decode_update(row: Any) -> MemberUpdate:
-    name, host, port, incarnation, code, metadata, *more = row
-    accusers = more[0] if more else []
+    name, host, port, incarnation, code, metadata, *optional_fields = row
+    accusers = optional_fields[0] if optional_fields else []
     is_valid = (
         _is_name(name)
         and len(name) > 0
@@ -225,7 +226,7 @@
         and all(_is_name(accuser) for accuser in accusers)
     )
     if not is_valid:
-        raise MalformedDatagramError("row of a member")
+        raise MalformedDatagramError("invalid row of a member")
     return MemberUpdate(name, (host, port), incarnation, STATE_BY_CODE[code], metadata, tuple(accusers))
 
 
@@ -234,5 +235,5 @@
 
 
 def is_address(host: object, port: object) -> bool:
-    """Tell whether two values of a JSON document are a host and a port."""
+    """Return whether two values of a JSON document are a host and a valid port."""
     return isinstance(host, str) and type(port) is int and 0 < port < PORT_BOUND
--- a/api_gateway/membership/outbox.py
+++ b/api_gateway/membership/outbox.py
@@ -1,4 +1,4 @@
-"""The datagrams that one input of a member gives rise to, in their order."""
+"""The outgoing datagrams that result from one input of a member, in order."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """A datagram for the caller to send.
+class OutgoingDatagram:
+    """An encoded datagram for the caller to send.
 
     Attributes:
-        to: Where it goes.
-        data: Its bytes.
+        to: Destination address.
+        data: The bytes to send.
     """
 
     to: Address
@@ -23,18 +23,18 @@
 
 
 class Outbox:
-    """Encodes datagrams of one member and keeps them until the caller takes them.
+    """Encodes the datagrams of one member and buffers them until the caller drains them.
 
-    Each names the address at which the member is reached: answers go there, not to where it came from.
+    Each datagram names the advertised address of the member. Replies go there, not to the source address.
     """
 
     def __init__(self, cluster: str, name: str, address: Address, counts: Counter[str]) -> None:
-        """Start empty, for the member `name` of `cluster` that is reached at `address`."""
+        """Start empty, for the member `name` of `cluster` with the advertised address `address`."""
         self._cluster = cluster
         self._name = name
         self._address = address
         self._counts = counts
-        self._sends: list[Send] = []
+        self._datagrams: list[OutgoingDatagram] = []
 
     def add(
         self,
@@ -44,13 +44,13 @@
         *,
         is_full_state: bool = False,
     ) -> None:
-        """Encode a datagram now, with what is known now."""
+        """Encode a datagram with the current updates and queue it."""
         datagram = Datagram(self._name, self._address, message, tuple(updates), is_full_state)
-        self._sends.append(Send(to, encode_datagram(self._cluster, datagram)))
-
-    def drain(self) -> list[Send]:
-        """Return what is to be sent, which the caller owns then, and count it."""
-        sends = self._sends
-        self._sends = []
-        self._counts["sent"] += len(sends)
-        return sends
+        self._datagrams.append(OutgoingDatagram(to, encode_datagram(self._cluster, datagram)))
+
+    def drain(self) -> list[OutgoingDatagram]:
+        """Return the queued datagrams, count them as sent, and empty the outbox. The caller owns the list."""
+        datagrams = self._datagrams
+        self._datagrams = []
+        self._counts["sent"] += len(datagrams)
+        return datagrams
--- a/api_gateway/membership/timers.py
+++ b/api_gateway/membership/timers.py
@@ -1,4 +1,4 @@
-"""Actions of membership that are due later, without a clock: the caller says what time it is."""
+"""A timer queue without a clock: the caller passes the current time."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 import math
 from collections.abc import Callable
 
-TimerAction = Callable[[float], None]  # gets the present time in seconds
+TimerAction = Callable[[float], None]  # receives the current time in seconds
 
 
 class TimerQueue:
-    """Scheduled actions in the order of their due times; those of one time in the order of scheduling.
+    """Scheduled actions ordered by due time, and by order of scheduling if the due times are equal.
 
-    Nothing is ever cancelled: an action checks whether it is still of use when it runs.
+    Actions cannot be cancelled. Each one checks when it runs whether it is still needed.
     """
 
     def __init__(self) -> None:
-        """Start with nothing scheduled."""
+        """Start empty."""
         self._entries: list[tuple[float, int, TimerAction]] = []
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     def schedule(self, now: float, delay_s: float, action: TimerAction) -> None:
         """Schedule an action to run `delay_s` seconds after `now`."""
-        heapq.heappush(self._entries, (now + delay_s, next(self._numbers), action))
+        heapq.heappush(self._entries, (now + delay_s, next(self._sequence_numbers), action))
 
     def next_due_at(self) -> float:
-        """Return when the first action is due, in seconds; infinity where there is none."""
+        """Return when the first action is due, in seconds, or infinity if there is none."""
         return self._entries[0][0] if self._entries else math.inf
 
     def run_due(self, now: float) -> None:
-        """Run all actions that are due, those too that they schedule for `now` or earlier."""
+        """Run all actions that are due, including those that they schedule for `now` or earlier."""
         while self._entries and self._entries[0][0] <= now:
             action = heapq.heappop(self._entries)[2]
             action(now)
--- a/api_gateway/membership/rumour_queue.py
+++ b/api_gateway/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""Which members there is news of, and how often each piece of news was passed on."""
+"""The queue of members whose updates are still to be disseminated, ordered by number of transmissions."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from collections import OrderedDict
 
 
-class RumourQueue:
-    """Names of members whose state is still to be passed on; those passed on least come first."""
+class UpdateQueue:
+    """Names of members whose updates are still to be disseminated, least transmitted first."""
 
     def __init__(self) -> None:
-        """Start without any news."""
-        self._transmissions: dict[str, int] = {}  # by name: how often it was passed on
+        """Start empty."""
+        self._transmissions: dict[str, int] = {}  # number of transmissions by name
         self._names_by_count: dict[int, OrderedDict[str, None]] = {}
 
     def __len__(self) -> int:
-        """Return how many members there is news of."""
+        """Return the number of members with a pending update."""
         return len(self._transmissions)
 
-    def put(self, name: str, transmission_count: int = 0) -> None:
-        """Queue news of a member, in place of older news of it."""
+    def enqueue(self, name: str, transmission_count: int = 0) -> None:
+        """Queue the update of a member, replacing an older one."""
         self.discard(name)
         self._transmissions[name] = transmission_count
         self._names_by_count.setdefault(transmission_count, OrderedDict())[name] = None
 
     def discard(self, name: str) -> None:
-        """Drop what is queued of a member, if anything is."""
+        """Remove the update of a member, if one is queued."""
         count = self._transmissions.pop(name, None)
         if count is None:
             return
@@ -34,16 +34,16 @@
             del self._names_by_count[count]
 
     def least_transmitted(self, count: int) -> list[str]:
-        """Return at most `count` names, those passed on least first, oldest first among equals."""
-        rows = (self._names_by_count[transmitted] for transmitted in sorted(self._names_by_count))
-        return list(itertools.islice(itertools.chain.from_iterable(rows), count))
+        """Return at most `count` names, least transmitted first and then in queueing order."""
+        groups = (self._names_by_count[transmitted] for transmitted in sorted(self._names_by_count))
+        return list(itertools.islice(itertools.chain.from_iterable(groups), count))
 
     def record_transmission(self, name: str, max_transmissions: int) -> None:
-        """Count that news of a member was passed on; drop it once that was often enough."""
+        """Count one transmission of a member's update, and remove it after `max_transmissions`."""
         count = self._transmissions.get(name)
         if count is None:
             return
         if count + 1 >= max_transmissions:
             self.discard(name)
         else:
-            self.put(name, count + 1)
+            self.enqueue(name, count + 1)
--- a/api_gateway/registry/config.py
+++ b/api_gateway/registry/config.py
@@ -16,7 +16,7 @@
 from api_gateway.registry.subsets import MAX_VIEWS
 
 if TYPE_CHECKING:
-    from api_gateway.membership.service import Membership
+    from api_gateway.membership.service import MembershipConfig
 
 CONFIG_KEYS = {"listen", "hosts", "watchers", "learn_ms", "membership", "views"}
 DEFAULT_LEARNING_S = 10.0  # s after a start in which hosts come back, where there is no file that names them
@@ -45,7 +45,7 @@
     hosts_path: Path | None
     max_watches: int
     learning_duration_s: float
-    membership: Membership | None = None
+    membership: MembershipConfig | None = None
     max_views: int = MAX_VIEWS
 
 
@@ -91,11 +91,11 @@
         raise InvalidValueError(key, f"{key} is {value!r}, not a whole number of 1 or more")
 
 
-def _parse_membership(value: Any) -> Membership:
+def _parse_membership(value: Any) -> MembershipConfig:
     """Parse the key `membership`; the package is imported only where the key is."""
-    from api_gateway.membership.service import read_membership
+    from api_gateway.membership.service import read_membership_config
 
-    return read_membership(value)
+    return read_membership_config(value)
 
 
 def read_hosts(path: Path) -> list[Host]:
