--- a/api_gateway/budgets/__init__.py
+++ b/api_gateway/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Fleet-wide budgets, divided among the gateways that are there."""
+"""Fleet-wide budgets, which a grantor divides among the running gateways."""
--- a/api_gateway/budgets/__main__.py
+++ b/api_gateway/budgets/__main__.py
@@ -1,4 +1,4 @@
-"""The grantor of budgets: `python -m api_gateway.budgets`, with BUDGETS_CONFIG naming its configuration."""
+"""Runs the budget grantor: `python -m api_gateway.budgets`. BUDGETS_CONFIG names its configuration file."""
 
 from __future__ import annotations
 
--- a/api_gateway/budgets/client.py
+++ b/api_gateway/budgets/client.py
@@ -1,4 +1,4 @@
-"""A gateway's side on its socket: sends exchanges at their times, takes the grants. Nothing here decides."""
+"""The gateway's client of the grantor. It sends exchanges on schedule and passes the grants to the holder."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 from api_gateway.budgets.clock import boot_clock
 from api_gateway.budgets.holder import BudgetHolder
 from api_gateway.budgets.lock import FileLock
-from api_gateway.budgets.terms import GrantResponse, Terms
+from api_gateway.budgets.settings import BudgetSettings, GrantResponse
 
-INTERVAL_JITTER = 0.1  # fraction of the interval by which exchanges are spread
-CONFIRM_INTERVAL_FRACTION = 0.2  # of the interval, after which a smaller grant is confirmed
-RESERVE_POLL_INTERVAL_S = 1.0  # between two attempts to get the share of the reserve
-ERROR_BODY_BYTES = 200  # of an error's body that are logged
+INTERVAL_JITTER = 0.1  # fraction of the interval by which exchanges are randomly shifted
+CONFIRM_INTERVAL_FRACTION = 0.2  # fraction of the interval after which a smaller grant is confirmed
+RESERVE_POLL_INTERVAL_S = 1.0  # time between two attempts to acquire the reserve lock
+ERROR_BODY_BYTES = 200  # leading part of an error response's body that is logged
 
 log = logging.getLogger(__name__)
 
 
 class ReserveLock(FileLock):
-    """The right to a gateway's share of the reserve. Processes of one gateway have the folder in common."""
+    """The right to use a gateway's share of the reserve, shared by all processes of that gateway."""
 
     def __init__(self, folder: Path, name: str) -> None:
-        """Takes nothing yet.
+        """Create the lock without acquiring it.
 
         Args:
-            folder: Where processes of this gateway find each other.
+            folder: The folder that all processes of this gateway use for lock files.
             name: The gateway's name.
         """
         super().__init__(folder / f"{name}-reserve.lock")
         self.last_error = ""
 
     def acquire(self) -> bool:
-        """Returns whether this process has the share now; a failing disk is logged once and means no."""
+        """Return whether this process holds the lock now. An OSError is logged once and counts as no."""
         try:
             return super().acquire()
         except OSError as err:
             if str(err) != self.last_error:
-                log.warning("share of the reserve not available error=%s", err)
+                log.warning("cannot lock the share of the reserve error=%s", err)
             self.last_error = str(err)
             return False
 
 
 class BudgetClient:
-    """Exchanges with the grantor for one gateway. `holder` says what may be used."""
+    """Exchanges messages with the grantor for one gateway. `holder` tracks what the gateway may use."""
 
     def __init__(
         self,
-        terms: Terms,
+        settings: BudgetSettings,
         grantor: str,
         name: str,
         zone: str,
@@ -63,29 +63,29 @@
         folder: Path,
         clock: Callable[[], float] = boot_clock,
     ) -> None:
-        """Connects to nothing yet.
+        """Create the client and try to acquire the reserve lock, without connecting.
 
         Args:
-            terms: Those of the grantor.
-            grantor: Its HOST:PORT.
+            settings: The settings, equal to those of the grantor.
+            grantor: HOST:PORT of the grantor.
             name: The gateway's name.
-            zone: Its zone.
-            index: Its number.
-            folder: Where processes of this gateway find each other.
-            clock: Seconds that only go forward, also while the machine sleeps.
+            zone: The gateway's zone.
+            index: The gateway's number.
+            folder: The folder that all processes of this gateway use for lock files.
+            clock: Returns monotonic seconds, which also advance while the machine is suspended.
         """
         self.url = f"http://{grantor}/v1/exchange"
         self.clock = clock
         self.reserve_lock = ReserveLock(folder, name)
         incarnation = int(time.time() * 1000)
         has_reserve = self.reserve_lock.acquire()
-        self.holder = BudgetHolder(terms, name, zone, index, incarnation, has_reserve, clock())
+        self.holder = BudgetHolder(settings, name, zone, index, incarnation, has_reserve, clock())
         self.failures = 0
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begins to exchange; to be called on the event loop."""
-        timeout = aiohttp.ClientTimeout(total=self.holder.terms.exchange_interval)
+        """Start the exchanges. Must be called on the event loop."""
+        timeout = aiohttp.ClientTimeout(total=self.holder.settings.exchange_interval)
         self.session = aiohttp.ClientSession(timeout=timeout)
         self.tasks = [
             asyncio.create_task(self.run_exchanges()),
@@ -93,17 +93,17 @@
         ]
 
     async def wait_for_reserve(self) -> None:
-        """Takes over the share of the reserve once another process of this gateway has ended."""
+        """Take over the share of the reserve once the other process of this gateway has ended."""
         holder = self.holder
-        while not holder.uses_reserve and holder.index < holder.terms.max_gateways:
+        while not holder.uses_reserve and holder.index < holder.settings.max_gateways:
             await asyncio.sleep(RESERVE_POLL_INTERVAL_S)
             if self.reserve_lock.acquire():
                 holder.start_using_reserve(self.clock())
 
     async def run_exchanges(self) -> None:
-        """Exchanges once in each interval, until a newer process of this gateway is there."""
+        """Exchange once per interval, until a newer process of this gateway exists."""
         loop = asyncio.get_running_loop()
-        interval = self.holder.terms.exchange_interval
+        interval = self.holder.settings.exchange_interval
         while not self.holder.is_superseded:
             started_at = loop.time()
             self.log_outcome(await self.exchange())
@@ -112,19 +112,19 @@
             else:
                 fraction = random.uniform(1 - INTERVAL_JITTER, 1 + INTERVAL_JITTER)
             await asyncio.sleep(max(0.0, started_at + interval * fraction - loop.time()))
-        log.warning("budgets end: superseded by a newer process gateway=%s", self.holder.name)
+        log.warning("budget exchanges stop: superseded by a newer process gateway=%s", self.holder.name)
 
     def log_outcome(self, error: str) -> None:
-        """Logs the first failure of several, and the first success after them."""
+        """Log the first of consecutive failures, and the first success after them."""
         if error and not self.failures:
             remaining = max(0.0, self.holder.granted_until - self.clock())
             log.warning("budget exchange failed error=%s grants_end_in=%.1fs", error, remaining)
         elif not error and self.failures:
-            log.info("budget exchanges work again failures=%d", self.failures)
+            log.info("budget exchange succeeded again failures=%d", self.failures)
         self.failures = self.failures + 1 if error else 0
 
     async def exchange(self) -> str:
-        """Exchanges once; returns why it failed, or "" where it did not."""
+        """Perform one exchange; return why it failed, or "" if it succeeded."""
         request = msgspec.json.encode(self.holder.make_exchange(self.clock()))
         try:
             async with self.session.post(self.url, data=request) as response:
@@ -141,11 +141,11 @@
             return f"{type(err).__name__} {err}".strip()
 
     def status(self) -> dict[str, Any]:
-        """Returns what operators see, as JSON."""
+        """Return the status for operators, as JSON."""
         return {**self.holder.status(self.clock()), "failures": self.failures}
 
     async def close(self) -> None:
-        """Ends the tasks, the session and the right to the share of the reserve."""
+        """Cancel the tasks, close the session and release the reserve lock."""
         for task in self.tasks:
             task.cancel()
         await self.session.close()
--- a/api_gateway/budgets/clock.py
+++ b/api_gateway/budgets/clock.py
@@ -1,8 +1,8 @@
-"""The clock by which grants are counted."""
+"""The clock that measures the validity of grants."""
 
 import time
 
 
 def boot_clock() -> float:
-    """Returns seconds that only go forward, also while the machine sleeps."""
+    """Return monotonic seconds, which also advance while the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/api_gateway/budgets/config.py
+++ b/api_gateway/budgets/config.py
@@ -1,4 +1,4 @@
-"""The grantor's configuration: one JSON file, named by the variable BUDGETS_CONFIG."""
+"""The grantor's configuration: a JSON file, named by the environment variable BUDGETS_CONFIG."""
 
 from __future__ import annotations
 
@@ -12,45 +12,47 @@
 
 from api_gateway.base.endpoint_list import Address, read_address
 from api_gateway.base.errors import ConfigError, config_errors_in_one_line
-from api_gateway.budgets.terms import Terms, Weight, validate_terms
+from api_gateway.budgets.settings import BudgetSettings, Weight, validate_settings
 
 
 class ConfigFile(Struct, frozen=True, forbid_unknown_fields=True):
-    """The file as it stands.
+    """The contents of the configuration file. The attributes are its keys.
 
     Attributes:
-        listen: HOST:PORT of the service.
-        terms: The budgets.
-        log: The file of the grant log; without one each start waits until all earlier grants have ended.
-        weights: By the name of a gateway, or of a zone.
+        listen: HOST:PORT that the service listens on.
+        terms: The budgets and their settings.
+        log: Path of the grant log. Without a log, the grantor waits at each start until all earlier grants
+            have expired.
+        weights: Weight in the division, by the name of a gateway or of a zone.
     """
 
     listen: str
-    terms: Terms
+    terms: BudgetSettings
     log: Annotated[str, Meta(min_length=1)] | None = None
     weights: dict[str, Weight] = {}
 
 
 class Config(Struct, frozen=True):
-    """The configuration as the service uses it; see ConfigFile."""
+    """The validated configuration, as the service uses it; see ConfigFile."""
 
     listen: Address
-    terms: Terms
+    settings: BudgetSettings
     log: Path | None
     weights: dict[str, float]
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
-    """Reads the file that BUDGETS_CONFIG names.
+    """Read and validate the file that BUDGETS_CONFIG names.
 
     Raises:
-        ConfigError: The variable is not set, or the file cannot be used; the text says why in one line.
+        ConfigError: The variable is not set, or the file is missing or invalid; the message says why in one
+            line.
     """
     path = env.get("BUDGETS_CONFIG")
     if not path:
         raise ConfigError("BUDGETS_CONFIG is not set")
     with config_errors_in_one_line(path):
         file = msgspec.json.decode(Path(path).read_bytes(), type=ConfigFile)
-        validate_terms(file.terms)
+        validate_settings(file.terms)
         log = Path(file.log) if file.log else None
         return Config(read_address(file.listen), file.terms, log, file.weights)
--- a/api_gateway/budgets/division.py
+++ b/api_gateway/budgets/division.py
@@ -1,4 +1,4 @@
-"""Division of one amount among claims: max-min fair by demand, with minimums and weights. Pure functions."""
+"""Weighted max-min fair division of an amount among claims with minimums. Pure functions."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-ROUNDING_TOLERANCE = 1e-9  # by which a part may miss a whole number and still count as one
+ROUNDING_TOLERANCE = 1e-9  # a part that is this close to a whole number counts as one
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What one gateway asks for.
+    """One gateway's claim in a division.
 
     Attributes:
-        demand: Units that it can use.
-        minimum: Units that it gets in any case, as far as all minimums fit.
-        weight: Its weight against the others.
+        demand: Units that the gateway can use.
+        minimum: Units that it gets regardless of its demand, as long as the minimums of all claims fit.
+        weight: Its weight relative to the other claims.
     """
 
     demand: float
@@ -25,16 +25,16 @@
 
     @property
     def wanted_amount(self) -> float:
-        """The units above which nothing is given to it."""
+        """The most units that this claim is given."""
         return max(self.demand, self.minimum)
 
 
 class Division(NamedTuple):
-    """A division of one amount.
+    """The result of dividing an amount.
 
     Attributes:
-        parts: One for each claim, in their order.
-        level: What a part of weight 1 reaches; infinite where all that is wanted fits.
+        parts: One part per claim, in the order of the claims.
+        level: The upper bound on the part of a claim of weight 1; infinite if all claims are satisfied.
     """
 
     parts: list[float]
@@ -42,14 +42,15 @@
 
 
 def divide_fairly(amount: float, claims: list[Claim]) -> Division:
-    """Divides an amount so that nobody gets more than wanted.
+    """Divide an amount by weighted max-min fairness.
 
-    Whoever gets less than wanted has, for its weight, no less than any other, but for minimums. Where the
-    minimums alone do not fit they shrink alike.
+    No claim gets more than it wants. A claim that gets less than it wants gets, relative to its weight, no
+    less than any other claim, except where a minimum raises that one. If the minimums alone do not fit, all
+    of them are reduced by the same factor.
 
     Args:
-        amount: Units to be divided; below 0 counts as 0.
-        claims: Whom it is divided among.
+        amount: Units to divide; a negative amount counts as 0.
+        claims: The claims to divide the amount among.
     """
     amount = max(0.0, amount)
     wanted = sum(claim.wanted_amount for claim in claims)
@@ -64,10 +65,10 @@
 
 
 def fair_level(amount: float, minimum: float, claims: list[Claim]) -> float:
-    """Returns the level at which the parts sum to the amount.
+    """Return the level at which the parts sum to the amount.
 
-    A claim's part grows with the level from its minimum up to what is wanted. The sum of all parts is
-    therefore linear between the levels at which some part begins or stops to grow.
+    As the level rises, a claim's part grows from its minimum to its wanted amount. The sum of all parts is
+    therefore piecewise linear, with breakpoints at the levels where a part starts or stops growing.
     """
     growth_begins = [(claim.minimum / claim.weight, claim.weight) for claim in claims]
     growth_ends = [(claim.wanted_amount / claim.weight, -claim.weight) for claim in claims]
@@ -84,21 +85,22 @@
 
 
 def distribute_spare(spare: float, parts: list[float], claims: list[Claim]) -> list[float]:
-    """Returns the parts with what nobody asked for on top, by weight."""
+    """Return the parts, each increased by its weighted share of an amount that no claim wants."""
     total = sum(claim.weight for claim in claims)
     return [part + spare * claim.weight / total for part, claim in zip(parts, claims, strict=True)]
 
 
-def round_to_integers(parts: list[float], turn: int) -> list[float]:
-    """Returns whole numbers with the same sum, rounded down.
+def round_to_integers(parts: list[float], rotation: int) -> list[float]:
+    """Round the parts to whole numbers whose sum is the sum of the parts, rounded down.
 
     Args:
-        parts: What is rounded.
-        turn: Whose fraction is rounded up changes with it, so that each has the extra unit in turn.
+        parts: The parts to round.
+        rotation: Selects which fractional parts are rounded up. Consecutive values move the extra units on,
+            so that each part gets one in turn.
     """
     floors = [math.floor(part + ROUNDING_TOLERANCE) for part in parts]
     remainder = math.floor(sum(parts) + ROUNDING_TOLERANCE) - sum(floors)
     fractional = [index for index, part in enumerate(parts) if part - floors[index] > ROUNDING_TOLERANCE]
     for step in range(min(remainder, len(fractional))):
-        floors[fractional[(turn * remainder + step) % len(fractional)]] += 1
+        floors[fractional[(rotation * remainder + step) % len(fractional)]] += 1
     return [float(floor) for floor in floors]
--- a/api_gateway/budgets/errors.py
+++ b/api_gateway/budgets/errors.py
@@ -1,4 +1,4 @@
-"""Why an exchange is not answered with grants, and why the grant log could not be used."""
+"""Errors of exchanges that get no grants, and of the grant log."""
 
 from __future__ import annotations
 
@@ -6,43 +6,43 @@
 
 
 class BudgetsError(Exception):
-    """The base of the package's errors."""
+    """Base class of the errors of this package."""
 
 
 class StaleIncarnationError(BudgetsError):
     """An exchange came from an older incarnation of a gateway.
 
     Attributes:
-        newest_incarnation: The newest one that is known.
+        newest_incarnation: The newest incarnation of that gateway that the grantor knows.
     """
 
     def __init__(self, newest_incarnation: int) -> None:
-        """Says which incarnation is known."""
+        """Create the error with the newest known incarnation."""
         super().__init__(f"life {newest_incarnation} is known")
         self.newest_incarnation = newest_incarnation
 
 
 class SupersededExchangeError(BudgetsError):
-    """A newer exchange of the same incarnation has overtaken this one, or its grants have ended by now.
+    """A newer exchange of the same incarnation was handled first, or the grants have already expired.
 
-    No response to it would be of use.
+    The gateway would not accept a response to this exchange.
     """
 
 
 class InvalidExchangeError(BudgetsError, ValueError):
-    """An exchange, or a change of the terms, is impossible; the text says why."""
+    """An exchange or a change of the settings is invalid; the message says why."""
 
 
 class GrantLogError(BudgetsError):
-    """The log could not be read or written.
+    """The grant log could not be read or written.
 
     Attributes:
-        path: The log's file.
-        reason: What the disk or the database said, in one line.
+        path: The file of the log.
+        reason: The cause in one line, for instance the error of the operating system or of SQLite.
     """
 
     def __init__(self, path: Path, reason: object) -> None:
-        """Says which file failed and why."""
+        """Create the error with the file that failed and the reason."""
         super().__init__(f"{path}: {reason}")
         self.path = path
         self.reason = str(reason)
--- a/api_gateway/budgets/grantor.py
+++ b/api_gateway/budgets/grantor.py
@@ -1,11 +1,13 @@
-"""The grantor: which part of each budget each gateway may use, and until when. No I/O, no clock, no globals.
-
-Of each incarnation of a gateway the grantor keeps the most that it may be using (what its grant covers): what
-the gateway said it limits itself to, or the newest amount it was granted, whichever is more. A gateway
-accepts only the response to its latest exchange, so its next one settles which of the two it is. What an
-incarnation covers is free for others when the gateway has said that it limits itself to less, or when the
-grant has ended by any clock, and never before. An amount is granted only up to what all others leave, so the
-sum of what is covered never exceeds what is divided.
+"""The grantor decides how much of each budget each gateway may use, and until when.
+
+It performs no I/O, reads no clock and has no global state.
+
+For each incarnation of a gateway the grantor records an upper bound on what it may be using, the outstanding
+amount. This is the larger of the amount to which the gateway reported to limit itself and the newest amount
+that it was granted. A gateway accepts only the response to its latest exchange, so its next exchange shows
+which of the two applies. Outstanding units become free for other gateways only when the gateway has reported
+a lower limit, or when the grant has expired on every clock. No grant exceeds what the outstanding amounts of
+all others leave, so the sum of the outstanding amounts never exceeds the amount that is divided.
 """
 
 from __future__ import annotations
@@ -29,45 +31,45 @@
     PendingGrowth,
     StoredGrant,
 )
-from api_gateway.budgets.terms import (
+from api_gateway.budgets.settings import (
     AMOUNT_TOLERANCE,
     LEVEL,
     RATE,
     Budget,
     BudgetReport,
+    BudgetSettings,
     ExchangeRequest,
     GrantResponse,
-    Terms,
 )
 
-DEMAND_RISE_EXCHANGES = 0.5  # exchanges after which a demand that grew is believed
-DEMAND_FALL_EXCHANGES = 2.0  # exchanges after which a demand that shrank is
-HYSTERESIS_FRACTION = 0.1  # of a grant, by which it does not follow a demand where nobody goes short
-MIN_DIVISION_INTERVAL_S = 0.2  # between two divisions of a budget
-ROTATION_INTERVAL_S = 10.0  # after which others have the units of a level that cannot be shared evenly
-MAX_GATEWAY_NAMES = 4096  # gateways that are remembered; exchanges of further ones are rejected
-FORGET_AFTER_S = 3600.0  # after which a gateway that has nothing is forgotten
+DEMAND_RISE_EXCHANGES = 0.5  # time constant, in exchange intervals, for smoothing a rising demand
+DEMAND_FALL_EXCHANGES = 2.0  # time constant, in exchange intervals, for smoothing a falling demand
+HYSTERESIS_FRACTION = 0.1  # deviation from its target up to which a grant stays, if no gateway goes short
+MIN_DIVISION_INTERVAL_S = 0.2  # minimum time between two divisions of a budget
+ROTATION_INTERVAL_S = 10.0  # time after which indivisible units of a level move to other gateways
+MAX_GATEWAY_NAMES = 4096  # gateways recorded at the same time; exchanges of further ones are rejected
+FORGET_AFTER_S = 3600.0  # time since its last exchange after which a gateway without grants is removed
 
 
 class Grantor:
-    """Divides the budgets of one set of terms.
+    """Divides the configured budgets among the gateways.
 
-    The methods are many because all of them keep one invariant, that the sum of what is covered never exceeds
-    what is divided; it can be checked in one place.
+    All methods maintain one invariant: the sum of the outstanding amounts never exceeds the amount that is
+    divided. The class has many methods so that this can be checked in one place.
 
     Attributes:
-        terms: The terms in force.
-        term: The number that each grant carries; newer than that of any earlier incarnation of the grantor.
-        has_log: Whether what is granted must be stored before it is sent.
-        is_log_writable: Whether the log took the last write.
-        learned_at: When all grants of earlier incarnations have ended; before, nothing new is granted.
-        unstored: Amounts that the log does not hold as they are; 0 for a grant that has ended.
-        counts: Events for the operators' status, by name.
+        settings: The settings in force.
+        term: The number that each grant carries; larger than that of any earlier incarnation of the grantor.
+        has_log: Whether grants must be stored before they are sent.
+        is_log_writable: Whether the last write to the log succeeded.
+        learned_at: When all grants of earlier incarnations have expired. Nothing new is granted before.
+        unstored: Outstanding amounts that differ from the log, by grant; 0 for a grant that has expired.
+        counts: Number of events for the operators' status, by name.
     """
 
     def __init__(
         self,
-        terms: Terms,
+        settings: BudgetSettings,
         term: int,
         now: float,
         stored: Mapping[GrantKey, StoredGrant] | None,
@@ -75,26 +77,27 @@
         weights: Mapping[str, float] | None = None,
         longest_lifetime: float = 0.0,
     ) -> None:
-        """Begins with what the log held.
+        """Create a grantor from the contents of the log.
 
         Args:
-            terms: The terms in force.
+            settings: The settings in force.
             term: See the class.
-            now: The grantor's clock in seconds; it only goes forward.
-            stored: What the log held, where it was complete. None: nothing is known of earlier grants, which
-                are waited for until they have ended.
+            now: The grantor's monotonic clock in seconds.
+            stored: The grants in the log, if the log was complete. None means that earlier grants are
+                unknown; the grantor then waits until they have expired.
             has_log: See the class.
-            weights: By the name of a gateway, or else of its zone; 1 where there is none.
-            longest_lifetime: Seconds for which earlier grants may last by the log, where it is not complete.
+            weights: Weights by the name of a gateway, or else of its zone; 1 for a gateway with neither.
+            longest_lifetime: Seconds for which earlier grants may be in use according to a log that is not
+                complete.
         """
-        self.terms = terms
+        self.settings = settings
         self.term = term
         self.has_log = has_log
         self.is_log_writable = True
         self.weights = weights or {}
         self.incarnations: dict[tuple[str, int], GatewayIncarnation] = {}
         self.newest_incarnations: dict[str, int] = {}
-        self.pools = {budget.name: self.make_pool(budget) for budget in terms.budgets}
+        self.pools = {budget.name: self.make_pool(budget) for budget in settings.budgets}
         self.learned_at = now
         if stored is None:
             self.wait_for_earlier_grants(now, longest_lifetime, term - 1)
@@ -104,42 +107,42 @@
             self.restore(now, GrantKey(*key), grant)
 
     def make_pool(self, budget: Budget) -> BudgetPool:
-        """Returns the pool of a budget of which nothing is granted."""
-        terms = self.terms
+        """Return the pool of a budget without grants."""
+        settings = self.settings
         return BudgetPool(
             budget=budget,
-            divisible=terms.divisible_amount(budget),
-            reserve_share=terms.reserve_share(budget),
-            burst_ratio=terms.burst_ratio(budget),
+            divisible=settings.divisible_amount(budget),
+            reserve_share=settings.reserve_share(budget),
+            burst_ratio=settings.burst_ratio(budget),
             largest_total=budget.total,
         )
 
     def wait_for_earlier_grants(self, now: float, longest_lifetime: float, term: int) -> None:
-        """Grants nothing new until all that was granted before has ended.
+        """Grant nothing new until all earlier grants have expired.
 
         Args:
             now: The grantor's clock in seconds.
-            longest_lifetime: Seconds for which earlier grants may last at least.
-            term: The newest term of these grants.
+            longest_lifetime: Seconds to wait at least, because earlier grants may be in use that long.
+            term: The newest term of the earlier grants.
         """
-        release_delay = max(budget.release_delay for budget in self.terms.budgets)
-        self.learned_at = now + max(self.terms.grant_lifetime() + release_delay, longest_lifetime)
+        release_delay = max(budget.release_delay for budget in self.settings.budgets)
+        self.learned_at = now + max(self.settings.grant_lifetime() + release_delay, longest_lifetime)
         self.term = max(self.term, term + 1)
 
     def restore(self, now: float, key: GrantKey, stored: StoredGrant) -> None:
-        """Takes over what an earlier incarnation of the grantor had granted.
+        """Take over a grant that an earlier incarnation of the grantor had made.
 
-        It may have been granted just now, and lasts as long as that incarnation said. Where terms are longer
-        now, the log must hold that before it is granted again.
+        It may have been made a moment ago, so its whole stored lifetime is assumed to remain. If the
+        configured durations are longer now, the log must hold them before the amount is granted again.
         """
         incarnation = self.incarnations.setdefault(
             (key.gateway, key.incarnation), GatewayIncarnation(key.gateway, key.incarnation)
         )
-        lifetime = max(self.terms.grant_lifetime(), stored.lifetime)
+        lifetime = max(self.settings.grant_lifetime(), stored.lifetime)
         incarnation.granted_until = max(incarnation.granted_until, now + lifetime)
         incarnation.last_exchange_at = now
         grant = BudgetGrant(
-            covered=stored.amount,
+            outstanding_amount=stored.amount,
             demand=stored.amount,
             stored_amount=stored.amount,
             release_delay=stored.release_delay,
@@ -148,32 +151,32 @@
         newest = self.newest_incarnations.get(key.gateway, 0)
         self.newest_incarnations[key.gateway] = max(key.incarnation, newest)
         if key.budget in self.pools:
-            self.pools[key.budget].covered += stored.amount
-        is_shorter = stored.lifetime < self.terms.grant_lifetime()
+            self.pools[key.budget].outstanding_amount += stored.amount
+        is_shorter = stored.lifetime < self.settings.grant_lifetime()
         if is_shorter or stored.release_delay < self.release_delay_of(key.budget, grant):
             self.mark_unstored(key, grant)
 
     def mark_unstored(self, key: GrantKey, grant: BudgetGrant) -> None:
-        """Notes that what the log holds of a grant lasts too short a time."""
+        """Mark a grant to be stored again because the log holds too short a duration for it."""
         grant.stored_amount = 0.0
-        self.unstored[key] = grant.covered
+        self.unstored[key] = grant.outstanding_amount
 
     def release_delay_of(self, budget: str, grant: BudgetGrant) -> float:
-        """Returns the seconds for which units may outlast the grant, by all terms that it was given under."""
+        """Return the longest release delay in seconds of all settings under which a grant was made."""
         pool = self.pools.get(budget)
         return max(grant.release_delay, pool.budget.release_delay if pool is not None else 0.0)
 
     # Exchanges
 
     def handle_exchange(self, now: float, request: ExchangeRequest) -> GrantResponse:
-        """Returns the response to an exchange.
+        """Return the response to an exchange.
 
-        With a log, `unstored_amounts` must be stored before it is sent.
+        If there is a log, `unstored_amounts` must be stored before the response is sent.
 
         Raises:
             StaleIncarnationError: A newer incarnation of the gateway is known.
-            SupersededExchangeError: A newer exchange was answered.
-            InvalidExchangeError: It names what does not exist, or amounts that are impossible.
+            SupersededExchangeError: A newer exchange has already been answered.
+            InvalidExchangeError: The request names an unknown budget or contains impossible amounts.
         """
         self.validate(request)
         incarnation = self.incarnation_of(request)
@@ -187,20 +190,21 @@
             return last_response
         self.counts["exchanges"] += 1
         if request.term > self.term:
-            # The only grantor, whose clock was set back: what it grants must be newer all the same.
+            # There is one grantor, so its clock was set back. Its grants must carry a newer term anyway.
             self.term = request.term + 1
         self.update_reports(now, incarnation, request)
         amounts = {
             name: self.grant(now, incarnation, name, report) for name, report in request.budgets.items()
         }
-        # From the first response on: the gateway counts from before it asked, so its end is never later.
-        granted_until = now + self.terms.grant_lifetime()
+        # Counted from the first response to this exchange. The gateway counts from before it sent the
+        # exchange, so its grants never expire later.
+        granted_until = now + self.settings.grant_lifetime()
         incarnation.granted_until = max(incarnation.granted_until, granted_until)
         response = GrantResponse(
             request.incarnation,
             request.sequence,
             self.term,
-            self.terms.grant_duration,
+            self.settings.grant_duration,
             amounts,
             {name: self.pools[name].burst_ratio for name in amounts if self.pools[name].burst_ratio},
         )
@@ -208,10 +212,10 @@
         return response
 
     def validate(self, request: ExchangeRequest) -> None:
-        """Checks what a request says against the terms.
+        """Check a request against the settings.
 
         Raises:
-            InvalidExchangeError: They contradict it.
+            InvalidExchangeError: The request contradicts the settings.
         """
         for name, report in request.budgets.items():
             pool = self.pools.get(name)
@@ -226,16 +230,16 @@
                     f"{name}: {report.reserve_share:g} of the reserve, "
                     f"where a share has {pool.reserve_share:g}"
                 )
-            if report.reserve_share > 0 and request.index >= self.terms.max_gateways:
+            if report.reserve_share > 0 and request.index >= self.settings.max_gateways:
                 raise InvalidExchangeError(
-                    f"index {request.index} has no share of the reserve: only {self.terms.max_gateways} do"
+                    f"index {request.index} has no share of the reserve: only {self.settings.max_gateways} do"
                 )
 
     def incarnation_of(self, request: ExchangeRequest) -> GatewayIncarnation:
-        """Returns the incarnation that sent a request; it is remembered from its first one on.
+        """Return the record of the incarnation that sent a request, created at its first request.
 
         Raises:
-            StaleIncarnationError: A newer one is known.
+            StaleIncarnationError: A newer incarnation of the gateway is known.
             InvalidExchangeError: Too many gateways are known.
         """
         newest = self.newest_incarnations.get(request.name)
@@ -250,7 +254,7 @@
         )
 
     def update_reports(self, now: float, incarnation: GatewayIncarnation, request: ExchangeRequest) -> None:
-        """Takes over what a gateway says of itself and of its demand."""
+        """Record what a gateway reports about itself and its demand."""
         is_first = incarnation.last_exchange_at == -math.inf
         elapsed = 0.0 if is_first else now - incarnation.last_exchange_at
         incarnation.zone = request.zone
@@ -264,43 +268,43 @@
         incarnation.last_exchange_at = now
 
     def update_demand(self, grant: BudgetGrant, report: BudgetReport, elapsed: float) -> None:
-        """Smooths a demand over some exchanges: one that grew is believed sooner than one that shrank."""
+        """Update the smoothed demand of a grant. It follows a rise faster than a fall."""
         demand = max(0.0, report.demand - report.reserve_share)
         exchanges = DEMAND_RISE_EXCHANGES if demand > grant.demand else DEMAND_FALL_EXCHANGES
-        time_constant = self.terms.exchange_interval * exchanges
+        time_constant = self.settings.exchange_interval * exchanges
         weight = 1 - math.exp(-elapsed / time_constant) if elapsed > 0 else 1.0
         grant.demand += (demand - grant.demand) * weight
 
     def grant(self, now: float, incarnation: GatewayIncarnation, name: str, report: BudgetReport) -> float:
-        """Returns the amount of one budget that a gateway is granted now, at most what all others leave."""
+        """Return the amount of one budget to grant a gateway now, at most what all others leave."""
         pool = self.pools[name]
         grant = incarnation.grants[name]
         if now < self.learned_at:
-            # It keeps what it has; all that the others have is not known yet.
+            # The gateway keeps its units. What all others use is not known yet.
             available = min(report.holding, pool.divisible)
         else:
-            available = max(0.0, pool.divisible - (pool.covered - grant.covered))
+            available = max(0.0, pool.divisible - (pool.outstanding_amount - grant.outstanding_amount))
         if self.has_log and not self.is_log_writable:
             available = min(available, grant.stored_amount)
         self.update_target(now, incarnation, pool, grant)
         amount = min(self.next_amount(pool, grant, report.holding, available), available)
         if pool.budget.kind == LEVEL:
             amount = float(math.floor(amount + AMOUNT_TOLERANCE))
-        self.set_covered(incarnation, name, grant, max(report.holding, amount))
+        self.set_outstanding_amount(incarnation, name, grant, max(report.holding, amount))
         return amount
 
     def next_amount(self, pool: BudgetPool, grant: BudgetGrant, holding: float, available: float) -> float:
-        """Returns the target, or what the gateway has where that is near enough and nobody goes short."""
+        """Return the target, or the current holding if that is close to it and no gateway goes short."""
         is_near = abs(grant.target - holding) <= HYSTERESIS_FRACTION * holding
-        keeps = is_near and not pool.is_short and holding <= available
-        return holding if keeps else grant.target
+        keeps_holding = is_near and not pool.is_short and holding <= available
+        return holding if keeps_holding else grant.target
 
-    def set_covered(
+    def set_outstanding_amount(
         self, incarnation: GatewayIncarnation, name: str, grant: BudgetGrant, amount: float
     ) -> None:
-        """Sets what a grant covers, and notes whether the log still has to hold it."""
-        self.pools[name].covered += amount - grant.covered
-        grant.covered = amount
+        """Set the outstanding amount of a grant, and note whether it still has to be stored."""
+        self.pools[name].outstanding_amount += amount - grant.outstanding_amount
+        grant.outstanding_amount = amount
         key = incarnation.key(name)
         if amount != grant.stored_amount:
             self.unstored[key] = amount
@@ -312,9 +316,9 @@
     def update_target(
         self, now: float, incarnation: GatewayIncarnation, pool: BudgetPool, grant: BudgetGrant
     ) -> None:
-        """Divides anew where something has changed.
+        """Divide the budget again if something has changed.
 
-        Between two divisions a gateway that comes gets what the last one would have given it.
+        Between two divisions a gateway that joins gets what the last division would have given it.
         """
         if pool.needs_division and now - pool.divided_at >= MIN_DIVISION_INTERVAL_S:
             self.divide_pool(now, pool)
@@ -324,11 +328,11 @@
             grant.target = max(grant.target, min(wanted, fair_amount))
 
     def weight_of(self, incarnation: GatewayIncarnation) -> float:
-        """Returns the weight of a gateway: its own, else that of its zone, else 1."""
+        """Return the weight configured for a gateway, else for its zone, else 1."""
         return self.weights.get(incarnation.name, self.weights.get(incarnation.zone, 1.0))
 
     def divide_pool(self, now: float, pool: BudgetPool) -> None:
-        """Sets the target of each gateway that has a grant of this budget, or has just asked for one."""
+        """Set the target of each gateway that has a grant of this budget or is requesting one."""
         name = pool.budget.name
         claimants = self.claimants_of(now, name)
         grants = [incarnation.grants[name] for incarnation in claimants]
@@ -337,26 +341,28 @@
             for incarnation, grant in zip(claimants, grants, strict=True)
         ]
         parts, pool.fair_level = divide_fairly(pool.divisible, claims)
-        spare = pool.divisible * (1 - self.terms.unassigned_fraction) - sum(parts)
+        spare = pool.divisible * (1 - self.settings.unassigned_fraction) - sum(parts)
         if spare > 0 and parts:
             parts = distribute_spare(spare, parts, claims)
         if pool.budget.kind == LEVEL:
             parts = round_to_integers(parts, int(now / ROTATION_INTERVAL_S))
         for grant, part in zip(grants, parts, strict=True):
             grant.target = part
-        # Summed anew, so that errors of rounding do not add up.
-        pool.covered = sum(
-            incarnation.grants[name].covered
+        # The sum is recomputed so that rounding errors do not accumulate.
+        pool.outstanding_amount = sum(
+            incarnation.grants[name].outstanding_amount
             for incarnation in self.incarnations.values()
             if name in incarnation.grants
         )
-        missing = sum(max(0.0, grant.target * (1 - HYSTERESIS_FRACTION) - grant.covered) for grant in grants)
-        pool.is_short = missing > pool.divisible - pool.covered + AMOUNT_TOLERANCE
+        missing = sum(
+            max(0.0, grant.target * (1 - HYSTERESIS_FRACTION) - grant.outstanding_amount) for grant in grants
+        )
+        pool.is_short = missing > pool.divisible - pool.outstanding_amount + AMOUNT_TOLERANCE
         pool.divided_at = now
         pool.needs_division = False
 
     def claimants_of(self, now: float, budget: str) -> list[GatewayIncarnation]:
-        """Returns the newest incarnations that have a share in the division of a budget, by name."""
+        """Return the newest incarnations that take part in the division of a budget, sorted by name."""
         claimants = [
             incarnation
             for incarnation in self.incarnations.values()
@@ -369,7 +375,7 @@
     # Time
 
     def release_ended(self, now: float) -> None:
-        """Releases what has ended. To be called some times a second."""
+        """Release grants that have expired. Must be called several times per second."""
         for key, incarnation in list(self.incarnations.items()):
             if now < incarnation.granted_until:
                 continue
@@ -379,7 +385,7 @@
             is_newest = self.newest_incarnations.get(incarnation.name) == incarnation.incarnation
             is_forgotten = now - incarnation.last_exchange_at >= FORGET_AFTER_S
             if not incarnation.grants and (not is_newest or is_forgotten):
-                # Not sooner: till then an older incarnation is not taken for a new gateway.
+                # Until here, the record prevents an older incarnation from being taken for a new gateway.
                 del self.incarnations[key]
                 if is_newest:
                     del self.newest_incarnations[incarnation.name]
@@ -393,11 +399,11 @@
                 pool.needs_division = True
 
     def release(self, incarnation: GatewayIncarnation, name: str, grant: BudgetGrant) -> None:
-        """Frees what a grant covers for other gateways."""
+        """Free the outstanding amount of a grant for other gateways, and remove the grant."""
         if name in self.pools:
-            self.pools[name].covered -= grant.covered
+            self.pools[name].outstanding_amount -= grant.outstanding_amount
             self.pools[name].needs_division = True
-        if grant.stored_amount or grant.covered:
+        if grant.stored_amount or grant.outstanding_amount:
             self.unstored[incarnation.key(name)] = 0.0
         del incarnation.grants[name]
         incarnation.last_response = None
@@ -405,48 +411,50 @@
     # The log
 
     def unstored_amounts(self, request: ExchangeRequest) -> dict[GrantKey, float]:
-        """Returns what must be stored before the response to a request may be sent."""
+        """Return the amounts that must be stored before the response to a request may be sent."""
         incarnation = self.incarnations[request.name, request.incarnation]
         if not self.has_log or incarnation.last_response is None:
             return {}
         return {
-            incarnation.key(name): incarnation.grants[name].covered
+            incarnation.key(name): incarnation.grants[name].outstanding_amount
             for name, amount in incarnation.last_response.amounts.items()
             if amount > incarnation.grants[name].stored_amount
         }
 
     def rows_to_store(self, now: float, complete: bool) -> dict[GrantKey, StoredGrant]:
-        """Returns what the log does not hold as it is.
+        """Return the grants that differ from the log.
 
         Args:
             now: The grantor's clock in seconds.
-            complete: Whether all that may be in use is wanted instead.
+            complete: Whether to return all grants instead.
         """
         rows = {} if complete else dict.fromkeys(self.unstored, NO_GRANT)
         for incarnation in self.incarnations.values():
             for name, grant in incarnation.grants.items():
                 key = incarnation.key(name)
                 if complete or key in self.unstored:
-                    lifetime = max(self.terms.grant_lifetime(), incarnation.granted_until - now)
-                    rows[key] = StoredGrant(grant.covered, lifetime, self.release_delay_of(name, grant))
+                    lifetime = max(self.settings.grant_lifetime(), incarnation.granted_until - now)
+                    rows[key] = StoredGrant(
+                        grant.outstanding_amount, lifetime, self.release_delay_of(name, grant)
+                    )
         return rows
 
     def longest_lifetime(self, now: float) -> float:
-        """Returns the seconds after which nothing is in use of all that was granted by now."""
+        """Return the seconds after which no unit granted so far is in use any more."""
         release_delays = [
             self.release_delay_of(name, grant)
             for incarnation in self.incarnations.values()
             for name, grant in incarnation.grants.items()
         ]
-        release_delays += [budget.release_delay for budget in self.terms.budgets]
+        release_delays += [budget.release_delay for budget in self.settings.budgets]
         granted_until = max(
             (incarnation.granted_until for incarnation in self.incarnations.values()), default=now
         )
-        lifetime = max(self.terms.grant_lifetime(), granted_until - now)
+        lifetime = max(self.settings.grant_lifetime(), granted_until - now)
         return max(lifetime + max(release_delays), self.learned_at - now)
 
     def on_stored(self, written: Mapping[GrantKey, StoredGrant]) -> None:
-        """Notes that these rows are in the log."""
+        """Record that the log now contains these rows."""
         self.is_log_writable = True
         for key, stored in written.items():
             incarnation = self.incarnations.get((key.gateway, key.incarnation))
@@ -458,21 +466,21 @@
                 del self.unstored[key]
 
     def is_complete(self, now: float) -> bool:
-        """Returns whether all that is granted is known.
+        """Return whether all grants in use are known.
 
-        A log of what an incarnation knew in part is no use to the next one, which waits too.
+        A log written before that is incomplete, so the next incarnation of the grantor has to wait too.
         """
         return now >= self.learned_at
 
     def on_log_failed(self) -> None:
-        """Notes that the log takes nothing: no more is granted than what it holds already."""
+        """Record that the log cannot be written. Grants are now limited to the amounts it contains."""
         self.is_log_writable = False
 
     def reduce_to_stored(self, request: ExchangeRequest, response: GrantResponse) -> GrantResponse:
-        """Returns a response that could not be stored, reduced to what the log held before.
+        """Return a response that could not be stored, reduced to the amounts already in the log.
 
         Raises:
-            SupersededExchangeError: Its grants have ended while the disk was tried.
+            SupersededExchangeError: The grants expired while the write was attempted.
         """
         incarnation = self.incarnations.get((request.name, request.incarnation))
         if incarnation is None or not incarnation.grants.keys() >= response.amounts.keys():
@@ -492,71 +500,74 @@
         if incarnation.sequence == request.sequence:
             incarnation.last_response = reduced
             for name, amount in amounts.items():
-                covered = max(request.budgets[name].holding, amount)
-                self.set_covered(incarnation, name, incarnation.grants[name], covered)
+                outstanding_amount = max(request.budgets[name].holding, amount)
+                self.set_outstanding_amount(incarnation, name, incarnation.grants[name], outstanding_amount)
         return reduced
 
-    # Changes of the terms
+    # Changes of the settings
 
-    def change_terms(self, now: float, terms: Terms, weights: Mapping[str, float]) -> None:
-        """Takes other totals, minimums, release delays, weights, or one more budget.
+    def change_settings(self, now: float, settings: BudgetSettings, weights: Mapping[str, float]) -> None:
+        """Apply new totals, minimums, release delays, weights, or an additional budget.
 
-        What is granted above a smaller total is worked off as grants end.
+        If a total becomes smaller, the excess of the grants disappears as they expire.
 
         Raises:
-            InvalidExchangeError: The change cannot hold at once everywhere, because the reserve is used by
-                gateways that hear nothing.
+            InvalidExchangeError: The change cannot take effect everywhere at once, because gateways that are
+                not notified go on using the reserve under the old settings.
         """
-        self.validate_change(terms)
-        budgets = {budget.name: budget for budget in terms.budgets}
-        longer_delays = {
+        self.validate_change(settings)
+        budgets = {budget.name: budget for budget in settings.budgets}
+        budgets_with_longer_delay = {
             name
             for name, pool in self.pools.items()
             if budgets[name].release_delay > pool.budget.release_delay
         }
-        self.terms = terms
+        self.settings = settings
         self.weights = weights
         for name, budget in budgets.items():
             pool = self.pools.setdefault(name, self.make_pool(budget))
             self.change_budget(now, pool, budget)
         for incarnation in self.incarnations.values():
-            for name in incarnation.grants.keys() & longer_delays:
+            for name in incarnation.grants.keys() & budgets_with_longer_delay:
                 self.mark_unstored(incarnation.key(name), incarnation.grants[name])
 
-    def validate_change(self, terms: Terms) -> None:
-        """Checks that other terms can hold from now on.
+    def validate_change(self, settings: BudgetSettings) -> None:
+        """Check that new settings can take effect while the grantor runs.
 
         Raises:
-            InvalidExchangeError: They cannot while the grantor runs.
+            InvalidExchangeError: They can only take effect with a restart.
         """
-        if fixed_while_running(self.terms) != fixed_while_running(terms):
-            raise InvalidExchangeError("most, length, every and drift cannot change while the grantor runs")
-        budgets = {budget.name: budget for budget in terms.budgets}
+        if fixed_while_running(self.settings) != fixed_while_running(settings):
+            raise InvalidExchangeError(
+                "most, length, every and drift cannot be changed while the grantor is running"
+            )
+        budgets = {budget.name: budget for budget in settings.budgets}
         for name, pool in self.pools.items():
             old = pool.budget
             new = budgets.get(name)
             if new is None or (new.kind, new.reserve) != (old.kind, old.reserve):
                 raise InvalidExchangeError(
-                    f"{name}: a budget cannot go while it is granted, nor change kind or reserve"
+                    f"{name}: a budget in use cannot be removed, nor can its kind or its reserve be changed"
                 )
             if new.release_delay < old.release_delay:
-                raise InvalidExchangeError(f"{name}: a linger cannot become shorter while it is granted")
+                raise InvalidExchangeError(f"{name}: the linger of a budget in use cannot be shortened")
 
     def change_budget(self, now: float, pool: BudgetPool, budget: Budget) -> None:
-        """Puts one budget on the terms in force."""
-        divisible = self.terms.divisible_amount(budget)
+        """Apply the settings in force to one budget."""
+        divisible = self.settings.divisible_amount(budget)
         if budget.kind == RATE and divisible > pool.divisible:
-            # Grants so far may save up more for each unit than new ones: these come when those have ended.
-            pool.pending_growth = PendingGrowth(now + self.terms.grant_lifetime(), divisible)
+            # Earlier grants may accumulate more tokens per unit than new ones would, so the increase waits
+            # until they have expired.
+            pool.pending_growth = PendingGrowth(now + self.settings.grant_lifetime(), divisible)
         else:
             pool.divisible = divisible
             pool.pending_growth = None
         pool.budget = budget
-        pool.burst_ratio = self.terms.burst_ratio(budget)
+        pool.burst_ratio = self.settings.burst_ratio(budget)
         pool.needs_division = True
         pool.largest_total = max(pool.largest_total, budget.total)
 
 
-def fixed_while_running(terms: Terms) -> tuple[int, float, float, float]:
-    """Returns what gateways go by that hear nothing of a change."""
-    return (terms.max_gateways, terms.grant_duration, terms.exchange_interval, terms.clock_drift)
+def fixed_while_running(settings: BudgetSettings) -> tuple[int, float, float, float]:
+    """Return the settings that must not change, because gateways are not notified of changes."""
+    return (settings.max_gateways, settings.grant_duration, settings.exchange_interval, settings.clock_drift)
--- a/api_gateway/budgets/grantor_status.py
+++ b/api_gateway/budgets/grantor_status.py
@@ -1,19 +1,19 @@
-"""What operators see of the grantor: the JSON of its `/status`."""
+"""The grantor's status for operators, served as JSON under `/status`."""
 
 from __future__ import annotations
 
 from api_gateway.budgets.grantor import Grantor
 from api_gateway.budgets.records import BudgetPool, GatewayIncarnation
 
-AMOUNT_DIGITS = 6  # decimals of an amount that are shown
+AMOUNT_DIGITS = 6  # decimal places of the amounts shown
 
 
 def describe_grantor(grantor: Grantor, now: float) -> dict[str, object]:
-    """Returns the state of all budgets, by the keys that docs/on-call.md explains."""
+    """Return the state of all budgets. docs/on-call.md explains the keys."""
     current = [
         incarnation for incarnation in grantor.incarnations.values() if now < incarnation.granted_until
     ]
-    max_gateways = grantor.terms.max_gateways
+    max_gateways = grantor.settings.max_gateways
     return {
         "term": grantor.term,
         "disk": grantor.is_log_writable or not grantor.has_log,
@@ -27,9 +27,9 @@
 
 
 def describe_pool(pool: BudgetPool, current: list[GatewayIncarnation]) -> dict[str, object]:
-    """Returns the state of one budget.
+    """Return the state of one budget.
 
-    `over` is how much more is granted than a smaller total bears, until grants end.
+    `over` is the outstanding amount in excess of a total that was reduced. It disappears as grants expire.
     """
     name = pool.budget.name
     demand = sum(incarnation.grants[name].demand for incarnation in current if name in incarnation.grants)
@@ -37,15 +37,15 @@
         "whole": pool.budget.total,
         "reserve": pool.budget.reserve,
         "divided": pool.divisible,
-        "granted": round(pool.covered, AMOUNT_DIGITS),
-        "over": round(max(0.0, pool.covered - pool.divisible), AMOUNT_DIGITS),
+        "granted": round(pool.outstanding_amount, AMOUNT_DIGITS),
+        "over": round(max(0.0, pool.outstanding_amount - pool.divisible), AMOUNT_DIGITS),
         "needed": round(demand, AMOUNT_DIGITS),
         "short": pool.is_short,
     }
 
 
 def find_shared_indexes(incarnations: list[GatewayIncarnation]) -> list[list[str]]:
-    """Returns the names of gateways that use one share of the reserve, a list for each such share."""
+    """Return, for each share of the reserve that several gateways use, the sorted names of these gateways."""
     names_by_index: dict[int, set[str]] = {}
     for incarnation in incarnations:
         if incarnation.uses_reserve:
--- a/api_gateway/budgets/holder.py
+++ b/api_gateway/budgets/holder.py
@@ -1,9 +1,11 @@
-"""What one gateway may use: its share of the reserve, and what it was granted. No I/O, no clock, no globals.
+"""The holder tracks what one gateway may use: its share of the reserve, and its grants.
 
-Times are of the gateway's own clock, which only goes forward and counts while the machine sleeps. A grant
-ends `grant_duration` after the exchange was sent that it answers, so before the grantor takes it for ended.
-Of all responses only the one to the latest exchange is accepted, and none of an older term than the newest
-seen.
+It performs no I/O, reads no clock and has no global state.
+
+Times are on the gateway's own clock, which is monotonic and advances while the machine is suspended. A grant
+expires `grant_duration` after the exchange that it answers was sent, and therefore before the grantor
+considers it expired. A response is accepted only if it answers the latest exchange and its term is not older
+than the newest term seen.
 """
 
 from __future__ import annotations
@@ -12,35 +14,36 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from api_gateway.budgets.terms import (
+from api_gateway.budgets.settings import (
     AMOUNT_TOLERANCE,
     LEVEL,
     Budget,
     BudgetReport,
+    BudgetSettings,
     ExchangeRequest,
     GrantResponse,
-    Terms,
 )
 
-PROMPT_CONFIRM_FRACTION = 0.1  # of a grant: one that shrank by more is confirmed at once
-MIN_REPORT_SPAN_S = 0.2  # under which two reports count as one
+PROMPT_CONFIRM_FRACTION = 0.1  # a grant that shrinks by more than this fraction is confirmed early
+MIN_REPORT_SPAN_S = 0.2  # shorter report periods count as this long
 
 
 @dataclass(slots=True)
 class BudgetAllowance:
-    """One budget at one gateway.
+    """The state of one budget at one gateway.
 
     Attributes:
-        budget: Its terms.
-        reserve_share: Units of the reserve that are always allowed.
-        granted: Units of the last response; they count until the grants end.
-        burst_ratio: Units of a rate that may be saved up for each that is granted a second.
-        used: Units of a level that are in use.
-        tokens: Units of a rate that are saved up; none at a start, or restarts would mint them.
-        counted_at: When the tokens were counted.
-        requested: Of a rate, units requested since the last report.
-        peak: Of a level, most units in use or wanted at once since the last report.
-        holding: Of a level, the granted units that are not given back yet.
+        budget: The budget's settings.
+        reserve_share: Units of the reserve that may always be used.
+        granted: Units granted by the last response, valid until the grants expire.
+        burst_ratio: For a rate, the tokens that may accumulate per granted unit per second.
+        used: For a level, the units in use.
+        tokens: For a rate, the accumulated tokens. There are none at the start, because otherwise each
+            restart would create some.
+        counted_at: When the tokens were last refilled.
+        requested: For a rate, the units requested since the last report.
+        peak: For a level, the most units in use or wanted at the same time since the last report.
+        holding: For a level, the granted units that have not been returned yet.
     """
 
     budget: Budget
@@ -59,17 +62,18 @@
     """The budgets of one incarnation of a gateway.
 
     Attributes:
-        uses_reserve: Whether this process alone may use the share of the reserve that goes with its index;
-            two incarnations of one gateway must never both do so.
-        granted_until: When all that was granted ends.
-        confirm_soon: Whether others wait for this gateway to confirm that it has less.
-        is_superseded: Whether a newer incarnation is there: this one is granted nothing more.
-        counts: Responses that were not accepted, by cause.
+        uses_reserve: Whether this process may use the share of the reserve that belongs to its index. Two
+            incarnations of one gateway must never both use it.
+        granted_until: When the current grants expire.
+        confirm_soon: Whether the next exchange is sent early, because other gateways wait until this one
+            confirms a smaller grant.
+        is_superseded: Whether a newer incarnation exists. This one then gets no further grants.
+        counts: Number of rejected responses, by cause.
     """
 
     def __init__(
         self,
-        terms: Terms,
+        settings: BudgetSettings,
         name: str,
         zone: str,
         index: int,
@@ -77,26 +81,26 @@
         has_reserve: bool,
         now: float,
     ) -> None:
-        """Begins without a grant.
+        """Create a holder without grants.
 
         Args:
-            terms: Those of the grantor.
+            settings: The settings, equal to those of the grantor.
             name: The gateway's name.
-            zone: Its zone.
-            index: Its number; from `max_gateways` on it has no share of the reserve.
-            incarnation: Larger than that of any earlier process of this name.
-            has_reserve: Whether this process alone has the gateway's share of the reserve.
+            zone: The gateway's zone.
+            index: The gateway's number. From `max_gateways` on, gateways have no share of the reserve.
+            incarnation: A number larger than that of any earlier process with this name.
+            has_reserve: Whether this process is the only one that uses the gateway's share of the reserve.
             now: The gateway's clock in seconds.
         """
-        self.terms = terms
+        self.settings = settings
         self.name = name
         self.zone = zone
         self.index = index
         self.incarnation = incarnation
-        self.uses_reserve = has_reserve and index < terms.max_gateways
+        self.uses_reserve = has_reserve and index < settings.max_gateways
         self.allowances = {
             budget.name: BudgetAllowance(budget, self.reserve_share_of(budget), counted_at=now)
-            for budget in terms.budgets
+            for budget in settings.budgets
         }
         self.granted_until = -math.inf
         self.sequence = 0
@@ -106,17 +110,19 @@
         self.term = 0
         self.was_answered = False
         self.confirm_soon = False
-        self.was_confirming = False  # the last exchange was a prompt one: no two in a row
+        self.was_confirming = (
+            False  # whether the last exchange was sent early; two early ones never follow each other
+        )
         self.is_superseded = False
         self.counts: Counter[str] = Counter()
 
     def reserve_share_of(self, budget: Budget) -> float:
-        """Returns the units of the reserve that this process may use."""
-        return self.terms.reserve_share(budget) if self.uses_reserve else 0.0
+        """Return the units of the reserve that this process may use."""
+        return self.settings.reserve_share(budget) if self.uses_reserve else 0.0
 
     def start_using_reserve(self, now: float) -> None:
-        """Uses the gateway's share of the reserve from now on: no other process does any longer."""
-        self.uses_reserve = self.index < self.terms.max_gateways
+        """Start to use the gateway's share of the reserve, after the process that used it has ended."""
+        self.uses_reserve = self.index < self.settings.max_gateways
         for allowance in self.allowances.values():
             self.refill(now, allowance)
             allowance.reserve_share = self.reserve_share_of(allowance.budget)
@@ -124,7 +130,7 @@
     # Exchanges
 
     def make_exchange(self, now: float) -> ExchangeRequest:
-        """Returns what to send. Its response, and no older one, will be accepted."""
+        """Return the next request. From now on only the response to this one is accepted."""
         self.sequence += 1
         self.sent_at = now
         self.awaits_response = True
@@ -140,7 +146,7 @@
         )
 
     def make_report(self, now: float, allowance: BudgetAllowance, span: float) -> BudgetReport:
-        """Returns the report of one budget over the last `span` seconds, and begins the next one."""
+        """Return the report on one budget for the last `span` seconds, and start the next report period."""
         if allowance.budget.kind == LEVEL:
             demand: float = allowance.peak
             allowance.peak = allowance.used
@@ -154,9 +160,9 @@
         )
 
     def update_holding(self, now: float, allowance: BudgetAllowance) -> float:
-        """Returns the granted units to which this gateway limits itself.
+        """Return the granted units to which this gateway limits itself.
 
-        What is in use of a level beyond a grant that became smaller counts until it has been released.
+        If the grant of a level became smaller, the excess units in use count until they are released.
         """
         granted = self.granted_amount(now, allowance)
         if allowance.budget.kind != LEVEL:
@@ -166,11 +172,11 @@
         return allowance.holding
 
     def granted_amount(self, now: float, allowance: BudgetAllowance) -> float:
-        """Returns the units that are granted now."""
+        """Return the units that are currently granted."""
         return allowance.granted if now < self.granted_until else 0.0
 
     def on_response(self, now: float, response: GrantResponse) -> bool:
-        """Takes the grants of a response; returns whether it was accepted."""
+        """Apply the grants of a response; return whether it was accepted."""
         is_latest = (response.incarnation, response.sequence) == (self.incarnation, self.sequence)
         if not is_latest or not self.awaits_response:
             self.counts["old answers"] += 1
@@ -183,16 +189,16 @@
         self.term = response.term
         for name, granted in response.amounts.items():
             self.set_granted(now, self.allowances[name], granted, response.burst_ratios.get(name, 0.0))
-        self.granted_until = self.sent_at + min(response.duration, self.terms.grant_duration)
+        self.granted_until = self.sent_at + min(response.duration, self.settings.grant_duration)
         for allowance in self.allowances.values():
             self.refill(now, allowance)
         return True
 
     def set_granted(self, now: float, allowance: BudgetAllowance, granted: float, burst_ratio: float) -> None:
-        """Takes the grant of one budget."""
+        """Apply the grant of one budget."""
         self.refill(now, allowance)
-        before = self.granted_amount(now, allowance)
-        has_shrunk = granted < before * (1 - PROMPT_CONFIRM_FRACTION)
+        previous = self.granted_amount(now, allowance)
+        has_shrunk = granted < previous * (1 - PROMPT_CONFIRM_FRACTION)
         self.confirm_soon = self.confirm_soon or (has_shrunk and not self.was_confirming)
         if allowance.budget.kind == LEVEL:
             allowance.holding = max(granted, self.update_holding(now, allowance))
@@ -200,10 +206,10 @@
         allowance.burst_ratio = burst_ratio
 
     def on_stale_incarnation(self, newest: int) -> None:
-        """Handles the word of the grantor that it knows a newer incarnation of this name.
+        """Handle the grantor's reply that it knows a newer incarnation of this gateway.
 
-        A process that starts goes above it: its wall clock was set back. One that was answered before has
-        been replaced.
+        If this process was never answered, it has just started after the wall clock was set back, and takes a
+        larger incarnation number. If it was answered before, another process has replaced it.
         """
         if self.was_answered:
             self.is_superseded = True
@@ -215,17 +221,17 @@
     # Use
 
     def allowed_amount(self, now: float, name: str) -> float:
-        """Returns the units of a level, or units a second, that may be used now."""
+        """Return the units of a level, or the units per second of a rate, that may be used now."""
         allowance = self.allowances[name]
         return allowance.reserve_share + self.granted_amount(now, allowance)
 
     def acquire(self, now: float, name: str, wanted: int = 1) -> bool:
-        """Takes one more unit of a level, to be given back by `release`; returns whether there was one.
+        """Try to acquire one unit of a level, to be returned with `release`; return whether one was free.
 
         Args:
             now: The gateway's clock in seconds.
-            name: The budget.
-            wanted: How many more units have a use, for the next report.
+            name: The name of the budget.
+            wanted: Number of further units that the caller could use, for the next report.
         """
         allowance = self.allowances[name]
         allowance.peak = max(allowance.peak, allowance.used + wanted)
@@ -235,20 +241,20 @@
         return True
 
     def release(self, name: str) -> None:
-        """Gives one unit of a level back."""
+        """Return one acquired unit of a level."""
         self.allowances[name].used -= 1
 
     def excess_units(self, now: float, name: str) -> int:
-        """Returns the units of a level that are to be released as soon as nothing needs them."""
+        """Return the units of a level above the allowed amount. Idle ones are to be released."""
         allowed = math.floor(self.allowed_amount(now, name) + AMOUNT_TOLERANCE)
         return max(0, self.allowances[name].used - allowed)
 
     def spend(self, now: float, name: str) -> float:
-        """Spends one unit of a rate if there is one.
+        """Spend one token of a rate if one is available.
 
         Returns:
-            0 where it was spent; else the seconds after which there will be one, infinite where there is
-            never one without a grant.
+            0 if a token was spent, else the seconds until one is available; infinite if none becomes
+            available without a grant.
         """
         allowance = self.allowances[name]
         allowance.requested += 1
@@ -262,22 +268,22 @@
         return (1 - allowance.tokens) / rate
 
     def max_tokens(self, now: float, allowance: BudgetAllowance) -> float:
-        """Returns the units of a rate that may be saved up."""
-        of_reserve = 1.0 if allowance.reserve_share > 0 else 0.0
-        return of_reserve + allowance.burst_ratio * self.granted_amount(now, allowance)
+        """Return the most tokens of a rate that may accumulate."""
+        reserve_tokens = 1.0 if allowance.reserve_share > 0 else 0.0
+        return reserve_tokens + allowance.burst_ratio * self.granted_amount(now, allowance)
 
     def refill(self, now: float, allowance: BudgetAllowance) -> None:
-        """Adds the tokens that came since they were counted: those of the grant only until it ended."""
+        """Add the tokens accrued since the last refill. The grant adds tokens only until it expires."""
         elapsed = now - allowance.counted_at
         if allowance.budget.kind == LEVEL or elapsed <= 0:
             return
         granted_time = min(max(0.0, min(now, self.granted_until) - allowance.counted_at), elapsed)
-        fresh = allowance.reserve_share * elapsed + allowance.granted * granted_time
-        allowance.tokens = min(self.max_tokens(now, allowance), allowance.tokens + fresh)
+        new_tokens = allowance.reserve_share * elapsed + allowance.granted * granted_time
+        allowance.tokens = min(self.max_tokens(now, allowance), allowance.tokens + new_tokens)
         allowance.counted_at = now
 
     def status(self, now: float) -> dict[str, object]:
-        """Returns what operators see of this gateway's budgets, as JSON."""
+        """Return this gateway's budgets for operators, as JSON."""
         return {
             "life": self.incarnation,
             "term": self.term,
--- a/api_gateway/budgets/lock.py
+++ b/api_gateway/budgets/lock.py
@@ -1,4 +1,4 @@
-"""A right that one process of a machine has at a time."""
+"""A lock that at most one process of a machine holds at a time."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class FileLock:
-    """An exclusive lock of a file.
+    """An exclusive lock on a file.
 
-    The kernel releases it when the process has ended, and not before: a process that is paused has it still.
+    The kernel releases the lock when the process exits. A paused process still holds it.
     """
 
     def __init__(self, path: Path) -> None:
-        """Takes nothing yet; `path` is made when the lock is first acquired."""
+        """Create the lock without acquiring it; `path` is created at the first `acquire`."""
         self.path = path
         self.file: IO[str] | None = None
 
     def acquire(self) -> bool:
-        """Returns whether this process has the lock now; does not wait.
+        """Try to acquire the lock without blocking; return whether this process holds it now.
 
         Raises:
-            OSError: The file cannot be made.
+            OSError: The file cannot be created.
         """
         if self.file is not None:
             return True
-        file = open(self.path, "a")  # noqa: SIM115 - it stays open as long as the lock is held
+        file = open(self.path, "a")  # noqa: SIM115 - the file stays open as long as the lock is held
         try:
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
@@ -36,7 +36,7 @@
         return True
 
     def close(self) -> None:
-        """Releases the lock, if this process has it."""
+        """Release the lock if this process holds it."""
         if self.file is not None:
             self.file.close()
             self.file = None
--- a/api_gateway/budgets/records.py
+++ b/api_gateway/budgets/records.py
@@ -1,4 +1,4 @@
-"""What the grantor knows: of each budget, of each incarnation of a gateway, and of each of its grants."""
+"""The grantor's records of budgets, of gateway incarnations and of their grants."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from api_gateway.budgets.terms import Budget, GrantResponse
+from api_gateway.budgets.settings import Budget, GrantResponse
 
 
 class GrantKey(NamedTuple):
-    """Names one grant: by gateway, incarnation and budget."""
+    """Identifies one grant by gateway, incarnation and budget."""
 
     gateway: str
     incarnation: int
@@ -18,14 +18,15 @@
 
 
 class StoredGrant(NamedTuple):
-    """What the log says of one grant.
+    """One grant as it is stored in the log.
 
-    Attributes:
-        amount: Units, or units a second, that may be in use.
-        lifetime: Seconds for which they may be, from whenever the log is read.
-        release_delay: Seconds for which its units may be in use beyond that.
+    Durations are stored with each grant because a later incarnation of the grantor may be configured with
+    shorter ones.
 
-    A later incarnation of the grantor may have shorter terms of its own, so these stand with each grant.
+    Attributes:
+        amount: Units, or units per second, that may be in use.
+        lifetime: Seconds for which the amount may be in use, counted from the moment the log is read.
+        release_delay: Seconds for which units may remain in use after the lifetime.
     """
 
     amount: float
@@ -38,17 +39,18 @@
 
 @dataclass(slots=True)
 class BudgetGrant:
-    """One budget of one incarnation.
+    """The grant of one budget to one incarnation of a gateway.
 
     Attributes:
-        covered: The most that it may be using.
-        demand: What it needs beyond its share of the reserve, smoothed.
-        target: What the last division gave it.
-        stored_amount: What the log has at least: nothing above it may be covered by a response.
-        release_delay: Seconds by the terms of an earlier incarnation of the grantor, where these were longer.
+        outstanding_amount: Upper bound on what the incarnation may be using.
+        demand: Smoothed demand that exceeds the incarnation's share of the reserve.
+        target: Amount assigned by the last division.
+        stored_amount: Amount that the log holds at least. A response may be sent only if it grants no more.
+        release_delay: Release delay in seconds that an earlier incarnation of the grantor stored with the
+            grant; it applies where it is longer than the one in force.
     """
 
-    covered: float = 0.0
+    outstanding_amount: float = 0.0
     demand: float = 0.0
     target: float = 0.0
     stored_amount: float = 0.0
@@ -61,15 +63,15 @@
 
     Attributes:
         name: The gateway's name.
-        incarnation: The number of this process among those of its name.
-        zone: Its zone, by the last exchange.
-        index: Its index, by the last exchange.
-        sequence: That of the last exchange.
-        last_exchange_at: When that came; -inf before the first.
-        granted_until: When all that it was granted has ended by any clock.
+        incarnation: The number of this process; each restart of the gateway has a larger one.
+        zone: The zone that the last exchange reported.
+        index: The index that the last exchange reported.
+        sequence: The sequence number of the last exchange.
+        last_exchange_at: When the last exchange arrived; -inf before the first.
+        granted_until: When all its grants have expired, whatever the drift of the gateway's clock.
         uses_reserve: Whether it uses its share of the reserve.
-        grants: Its grants, by budget.
-        last_response: The response to its last exchange, which a repeat of that gets again.
+        grants: Its grants, by budget name.
+        last_response: The response to its last exchange, sent again if that exchange is repeated.
     """
 
     name: str
@@ -84,13 +86,18 @@
     last_response: GrantResponse | None = None
 
     def key(self, budget: str) -> GrantKey:
-        """Returns the key of its grant of that budget."""
+        """Return the key of this incarnation's grant of a budget."""
         return GrantKey(self.name, self.incarnation, budget)
 
 
 @dataclass(slots=True)
 class PendingGrowth:
-    """A rate that is to become larger once the grants of before have ended."""
+    """An increase of a rate that takes effect once the grants made before it have expired.
+
+    Attributes:
+        due_at: When the increase takes effect.
+        divisible: The amount divided among the gateways from then on.
+    """
 
     due_at: float
     divisible: float
@@ -98,20 +105,21 @@
 
 @dataclass(slots=True)
 class BudgetPool:
-    """One budget over all gateways.
+    """The state of one budget across all gateways.
 
     Attributes:
-        budget: Its terms.
-        divisible: What all grants together may come to.
-        reserve_share: The part of the reserve that each gateway has.
-        burst_ratio: Of a rate, what may be saved up for each unit a second that is granted.
-        largest_total: The largest total that it had: gateways may not have heard of a smaller one.
-        covered: The sum of what all grants cover.
-        fair_level: What a gateway of weight 1 gets at most, by the last division.
-        is_short: Whether some gateway's grant is below its target.
-        divided_at: When it was divided last.
-        needs_division: Whether something has changed since then.
-        pending_growth: A larger amount that comes later.
+        budget: The budget's settings.
+        divisible: Upper bound on the sum of all grants.
+        reserve_share: Units of the reserve that each gateway may use without a grant.
+        burst_ratio: For a rate, the tokens that a gateway may accumulate per granted unit per second.
+        largest_total: The largest total since the start. Reports are checked against it because gateways may
+            not have received a smaller one yet.
+        outstanding_amount: The sum of the outstanding amounts of all grants.
+        fair_level: The most that a gateway of weight 1 gets under the last division.
+        is_short: Whether the amount that is free cannot raise all grants to their targets.
+        divided_at: When the budget was last divided.
+        needs_division: Whether anything has changed since the last division.
+        pending_growth: An increase of `divisible` that takes effect later.
     """
 
     budget: Budget
@@ -119,7 +127,7 @@
     reserve_share: float
     burst_ratio: float
     largest_total: float
-    covered: float = 0.0
+    outstanding_amount: float = 0.0
     fair_level: float = math.inf
     is_short: bool = False
     divided_at: float = -math.inf
--- a/api_gateway/budgets/store.py
+++ b/api_gateway/budgets/store.py
@@ -1,10 +1,10 @@
-"""The grant log: what was granted, on disk before it is sent.
+"""The grant log, which stores grants on disk before they are sent.
 
-It is a file of SQLite, for its atomic commits and its recovery.
+It is an SQLite database, for its atomic commits and its crash recovery.
 
-A corrupt file is recognized by its form and put aside; then nothing is known of earlier grants, as with a
-file that says that it does not hold all of them. Full disks and failing writes raise GrantLogError, and the
-next write is complete, in one transaction, whatever the file holds by then.
+A corrupt file fails SQLite's integrity check or does not decode, and is renamed. Earlier grants are then
+unknown, as with a file that is marked as incomplete. Full disks and failing writes raise GrantLogError. The
+next write then replaces all rows in one transaction, whatever the file contains by then.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from api_gateway.budgets.errors import GrantLogError
 from api_gateway.budgets.lock import FileLock
 from api_gateway.budgets.records import GrantKey, StoredGrant
-from api_gateway.budgets.terms import Terms
+from api_gateway.budgets.settings import BudgetSettings
 
-BUSY_TIMEOUT_S = 0.2  # that SQLite waits for another process's transaction
-CORRUPT_SUFFIX = ".torn"
+BUSY_TIMEOUT_S = 0.2  # time that SQLite waits for another process's transaction
+CORRUPT_SUFFIX = ".torn"  # appended to the name of a corrupt file
 
-# The names of tables and columns are those of stored files.
+# Existing files use these names of tables and columns.
 TABLES = """
 CREATE TABLE IF NOT EXISTS held (name TEXT, life INTEGER, budget TEXT, cover REAL, hold REAL, linger REAL,
                                  PRIMARY KEY (name, life, budget)) WITHOUT ROWID;
@@ -34,26 +34,26 @@
 
 
 class LogState(msgspec.Struct, frozen=True):
-    """What the log says of all rows together, stored as JSON.
+    """The state of the log as a whole, stored as JSON.
 
     Attributes:
         term: The newest term of the grantor.
-        is_complete: Whether the rows are all that is granted.
-        longest_lifetime: Seconds after which nothing is in use any more of what was granted, whether or not
-            it stands here.
-        fixed_terms: What gateways that hear nothing go by, and no restart can change.
+        is_complete: Whether the rows are all grants that may be in use.
+        longest_lifetime: Seconds after which no granted unit is in use any more, including grants that the
+            log does not contain.
+        fixed_settings: The settings that a restart must not change, because gateways are not notified.
     """
 
     term: int = 0
     is_complete: bool = msgspec.field(default=False, name="whole")
     longest_lifetime: float = msgspec.field(default=0.0, name="longest")
-    fixed_terms: dict[str, float | str] = msgspec.field(default_factory=dict, name="fixed")
+    fixed_settings: dict[str, float | str] = msgspec.field(default_factory=dict, name="fixed")
 
 
-def fixed_terms_of(terms: Terms) -> dict[str, float | str]:
-    """Returns the terms that no restart can change, by the names that the log holds them under."""
-    fixed: dict[str, float | str] = {"most": float(terms.max_gateways), "drift": terms.clock_drift}
-    for budget in terms.budgets:
+def fixed_settings_of(settings: BudgetSettings) -> dict[str, float | str]:
+    """Return the settings that a restart must not change, by their names in the log."""
+    fixed: dict[str, float | str] = {"most": float(settings.max_gateways), "drift": settings.clock_drift}
+    for budget in settings.budgets:
         fixed[f"kind of {budget.name}"] = budget.kind
         fixed[f"reserve of {budget.name}"] = budget.reserve
     return fixed
@@ -61,12 +61,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLog:
-    """What was read.
+    """The contents of the log.
 
     Attributes:
-        state: Of all rows together.
+        state: The state of the log as a whole.
         rows: The grants.
-        was_corrupt: Whether there was a file that is of no use, which is now put aside.
+        was_corrupt: Whether the file was corrupt and has been renamed.
     """
 
     state: LogState
@@ -74,28 +74,28 @@
     was_corrupt: bool = False
 
     def complete_rows(self) -> dict[GrantKey, StoredGrant] | None:
-        """Returns the grants, or None where the log does not hold all of them."""
+        """Return the grants, or None if the log does not contain all of them."""
         return self.rows if self.state.is_complete else None
 
 
 class GrantStore:
-    """The log's file, used by one thread at a time.
+    """The file of the grant log. It is used by one thread at a time.
 
-    While its process lives no other has the log, also where this one cannot write: its grants are renewed as
-    long as it runs.
+    No other process can open the log while this one runs, even if this one cannot write to it, because this
+    process goes on renewing its grants.
     """
 
     def __init__(self, path: Path) -> None:
-        """Opens nothing yet."""
+        """Create the store without opening the file."""
         self.path = path
         self.lock = FileLock(Path(f"{path}.lock"))
         self.connection: sqlite3.Connection | None = None
 
     def open(self) -> GrantLog:
-        """Locks the log and reads it; a corrupt file is put aside.
+        """Lock the log and read it; rename a corrupt file and start a new one.
 
         Raises:
-            GrantLogError: Another process has it, or the disk does not give or take it.
+            GrantLogError: Another process holds the lock, or the file cannot be read or written.
         """
         try:
             if not self.lock.acquire():
@@ -105,24 +105,24 @@
             except sqlite3.OperationalError:
                 raise
             except (sqlite3.DatabaseError, TypeError, ValueError):
-                self.put_aside()
+                self.quarantine()
                 return self.load(was_corrupt=True)
         except (sqlite3.Error, OSError) as err:
             self.disconnect()
             raise GrantLogError(self.path, err) from err
 
-    def put_aside(self) -> None:
-        """Renames the file and its journal."""
+    def quarantine(self) -> None:
+        """Rename the corrupt file and its journal."""
         self.disconnect()
         for path in (self.path, Path(f"{self.path}-journal")):
             if path.exists():
                 os.replace(path, f"{path}{CORRUPT_SUFFIX}")
 
     def load(self, *, was_corrupt: bool = False) -> GrantLog:
-        """Connects, makes the tables where there are none, and reads them.
+        """Connect, create the tables if they are missing, and read them.
 
         Raises:
-            sqlite3.Error: The file is no database, is corrupt, or cannot be read.
+            sqlite3.Error: The file is not a database, is corrupt, or cannot be read.
         """
         connection = self.connect()
         connection.execute("BEGIN EXCLUSIVE")
@@ -144,7 +144,7 @@
         return GrantLog(state, rows, was_corrupt)
 
     def connect(self) -> sqlite3.Connection:
-        """Returns a connection that has the file to itself and syncs each commit."""
+        """Open a connection that locks the file exclusively and syncs each commit to disk."""
         connection = sqlite3.connect(
             self.path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
         )
@@ -156,15 +156,15 @@
         return connection
 
     def write(self, rows: Mapping[GrantKey, StoredGrant], state: LogState, *, complete: bool) -> None:
-        """Writes rows and state in one transaction, which is on disk when this returns.
+        """Write rows and state in one transaction, which is on disk when this returns.
 
         Args:
-            rows: Grants that have changed; an amount of 0 deletes one.
-            state: Of all rows together.
-            complete: Whether the rows are all there are: others are deleted.
+            rows: Grants that have changed; an amount of 0 deletes the row.
+            state: The state of the log as a whole.
+            complete: Whether to delete all other rows first.
 
         Raises:
-            GrantLogError: The disk did not take it.
+            GrantLogError: The file could not be opened or written.
         """
         try:
             if self.connection is None:
@@ -186,17 +186,17 @@
             connection.execute("INSERT OR REPLACE INTO state VALUES (0, ?)", (document,))
             connection.execute("COMMIT")
         except (sqlite3.Error, OSError) as err:
-            self.disconnect()  # what the connection holds in memory may not be what is on disk
+            self.disconnect()  # its cached pages may differ from the file
             raise GrantLogError(self.path, err) from err
 
     def disconnect(self) -> None:
-        """Closes the connection; the lock stays."""
+        """Close the connection without releasing the lock."""
         if self.connection is not None:
             connection = self.connection
             self.connection = None
             connection.close()
 
     def close(self) -> None:
-        """Closes the connection and releases the lock."""
+        """Close the connection and release the lock."""
         self.disconnect()
         self.lock.close()
--- a/api_gateway/experiments/budgets/__main__.py
+++ b/api_gateway/experiments/budgets/__main__.py
@@ -20,7 +20,7 @@
 
 from api_gateway.budgets.client import BudgetClient
 from api_gateway.budgets.config import ConfigFile
-from api_gateway.budgets.terms import LEVEL, Budget, Terms
+from api_gateway.budgets.settings import LEVEL, Budget, BudgetSettings
 from api_gateway.experiments.budgets.world import IDLE, WORK, Gateway, World
 from api_gateway.experiments.connection_load import cpu
 from api_gateway.supervisor.ports import free_port
@@ -28,7 +28,7 @@
 
 GATEWAYS, MOST = 20, 24
 EVEN = 10.0  # units of the level for each of the gateways that are there, and a second of the rate
-TERMS = Terms(
+TERMS = BudgetSettings(
     max_gateways=MOST,
     grant_duration=3.0,
     exchange_interval=0.5,
@@ -155,7 +155,7 @@
 
 async def cost(gateways: int, budgets: int, seconds: float) -> dict[str, float]:
     """CPU of the service, over sockets, with a log, at needs that change."""
-    terms = Terms(
+    terms = BudgetSettings(
         max_gateways=gateways,
         exchange_interval=1.0,
         grant_duration=5.0,
--- a/api_gateway/experiments/budgets/holder.py
+++ b/api_gateway/experiments/budgets/holder.py
@@ -19,7 +19,7 @@
 from api_gateway.budgets.client import BudgetClient
 from api_gateway.budgets.clock import boot_clock
 from api_gateway.budgets.config import ConfigFile
-from api_gateway.budgets.terms import LEVEL, Terms
+from api_gateway.budgets.settings import LEVEL, BudgetSettings
 from api_gateway.emulators.service import StandIn, run
 
 LOOK = 0.05  # s between looks at what is wanted
@@ -35,7 +35,9 @@
 
 
 class LabHolder(StandIn):
-    def __init__(self, terms: Terms, meter: tuple[str, int], client: BudgetClient, seed: int) -> None:
+    def __init__(
+        self, terms: BudgetSettings, meter: tuple[str, int], client: BudgetClient, seed: int
+    ) -> None:
         super().__init__(seed)
         self.terms, self.meter, self.client = terms, meter, client
         self.units: dict[str, list[Unit]] = {b.name: [] for b in terms.budgets if b.kind == LEVEL}
--- a/api_gateway/experiments/budgets/meter.py
+++ b/api_gateway/experiments/budgets/meter.py
@@ -21,7 +21,7 @@
 import uvloop
 
 from api_gateway.budgets.config import ConfigFile
-from api_gateway.budgets.terms import LEVEL, Terms
+from api_gateway.budgets.settings import LEVEL, BudgetSettings
 from api_gateway.emulators.service import Served, run
 from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
 
@@ -31,7 +31,7 @@
 
 
 class Meter(Served):
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: BudgetSettings) -> None:
         super().__init__()
         self.began = monotonic()
         self.levels = {b.name: LevelReferee(b.total) for b in terms.budgets if b.kind == LEVEL}
--- a/api_gateway/experiments/budgets/world.py
+++ b/api_gateway/experiments/budgets/world.py
@@ -17,7 +17,7 @@
 from api_gateway.budgets.grantor import Grantor
 from api_gateway.budgets.holder import BudgetHolder
 from api_gateway.budgets.records import GrantKey, StoredGrant
-from api_gateway.budgets.terms import LEVEL, Budget, ExchangeRequest, GrantResponse, Terms
+from api_gateway.budgets.settings import LEVEL, Budget, BudgetSettings, ExchangeRequest, GrantResponse
 from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
 
 ACT = 0.05  # s, by its own clock, between two looks of a gateway at what it wants
@@ -26,7 +26,7 @@
 WORK = 0.3  # s that a request takes at most, in which its connection is not let go
 IDLE = 0.4  # s after which a host closes a connection without a sign of life
 
-TERMS = Terms(
+TERMS = BudgetSettings(
     max_gateways=8,
     grant_duration=3.0,
     exchange_interval=0.5,
@@ -175,7 +175,7 @@
     def __init__(
         self,
         seed: int,
-        terms: Terms = TERMS,
+        terms: BudgetSettings = TERMS,
         gateways: int = 8,
         log: bool = True,
         loss: float = 0.0,
--- a/api_gateway/experiments/scale/arithmetic.py
+++ b/api_gateway/experiments/scale/arithmetic.py
@@ -510,7 +510,7 @@
     )
     name("grantor_kb_s", book["grantor_bytes_out_s"] / unit("bytes_a_kb"), "KB/s")
     name("exchanges_s", of("gateways") / of("exchange_s"), "exchanges/s")
-    name("budgets_over_most", of("budgets") / book.code("budgets.terms", "MAX_BUDGETS"), "times")
+    name("budgets_over_most", of("budgets") / book.code("budgets.settings", "MAX_BUDGETS"), "times")
     name(
         "configuration_cores",
         book["distribution_cpu_ms_a_change"] * book["configurations_s"] / unit("ms_a_s"),
--- a/api_gateway/experiments/scale/beside.py
+++ b/api_gateway/experiments/scale/beside.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from api_gateway.budgets.config import ConfigFile
-from api_gateway.budgets.terms import LEVEL, Budget, Terms
+from api_gateway.budgets.settings import LEVEL, Budget, BudgetSettings
 from api_gateway.experiments.scale import machine
 from api_gateway.experiments.scale.rig import Rig, Wire
 from api_gateway.experiments.scale.runs import Off, off
@@ -139,7 +139,7 @@
 
 async def holders(count: int, seconds: float) -> dict[str, float]:
     """Of the grantor; bytes are those of one holder's exchanges times all of them."""
-    terms = Terms(
+    terms = BudgetSettings(
         max_gateways=count,
         budgets=[
             Budget(f"b{n}", LEVEL, 20 * count, reserve=count, minimum=1, release_delay=1.0)
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -365,7 +365,7 @@
     Asked(
         "budgets at one grantor",
         "budgets",
-        "budgets.terms.MAX_BUDGETS",
+        "budgets.settings.MAX_BUDGETS",
         "budgets",
         "a bound; no gateway uses budgets yet, and they are not divided over grantors",
     ),
--- a/api_gateway/experiments/scale/parts.py
+++ b/api_gateway/experiments/scale/parts.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from api_gateway.budgets.client import BudgetClient
-from api_gateway.budgets.terms import Terms
+from api_gateway.budgets.settings import BudgetSettings
 from api_gateway.experiments.scale.crowds import stand
 from api_gateway.membership.outbox import OutgoingDatagram
 from api_gateway.membership.service import MembershipService, read_membership_config
@@ -53,7 +53,7 @@
 class Holder:
     """The gateway's own client of the grantor."""
 
-    def __init__(self, terms: Terms, grantor: str, number: int, folder: Path) -> None:
+    def __init__(self, terms: BudgetSettings, grantor: str, number: int, folder: Path) -> None:
         self.client = BudgetClient(terms, grantor, f"hollow-{number}", "a", number, folder)
 
     async def start(self) -> None:
@@ -75,7 +75,7 @@
     if told["kind"] == "members":
         await stand([Counted(number, told["seeds"]) for number in numbers])
     else:
-        terms = msgspec.convert(told["terms"], Terms)
+        terms = msgspec.convert(told["terms"], BudgetSettings)
         await stand([Holder(terms, told["grantor"], number, folder) for number in numbers])
 
 
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -29,16 +29,16 @@
 from api_gateway.budgets.holder import BudgetHolder
 from api_gateway.budgets.records import GrantKey, StoredGrant
 from api_gateway.budgets.service import GrantorService
-from api_gateway.budgets.store import GrantLog, GrantStore, LogState, fixed_terms_of
-from api_gateway.budgets.terms import (
+from api_gateway.budgets.settings import (
     Budget,
     BudgetReport,
+    BudgetSettings,
     ExchangeRequest,
-    Terms,
-    TermsError,
+    SettingsError,
     decode_exchange,
-    validate_terms,
+    validate_settings,
 )
+from api_gateway.budgets.store import GrantLog, GrantStore, LogState, fixed_settings_of
 from api_gateway.experiments.budgets.world import TERMS, World, play
 
 TERMS_BY_NAME = {budget.name: budget for budget in TERMS.budgets}
@@ -141,7 +141,7 @@
 def part_freed_before_it_is_confirmed(old):
     def grant(self, now, incarnation, name, report):
         amount = old(self, now, incarnation, name, report)
-        self.set_covered(incarnation, name, incarnation.grants[name], amount)
+        self.set_outstanding_amount(incarnation, name, incarnation.grants[name], amount)
         return amount
 
     return grant
@@ -206,10 +206,10 @@
     "freed before it is confirmed": Patched(World, Grantor, "grant", part_freed_before_it_is_confirmed),
     "the part of an older life freed": Patched(World, Grantor, "incarnation_of", old_life_freed),
     "reserve not set aside": Patched(
-        World, Terms, "divisible_amount", lambda old: lambda self, b: float(b.total)
+        World, BudgetSettings, "divisible_amount", lambda old: lambda self, b: float(b.total)
     ),
     "grants held too short": Patched(
-        World, Terms, "grant_lifetime", lambda old: lambda self: 0.7 * self.grant_duration
+        World, BudgetSettings, "grant_lifetime", lambda old: lambda self: 0.7 * self.grant_duration
     ),
     "freed on a hint": Patched(FreesOnAHint),
     "no wait without a log": Patched(WaitsForNothing),
@@ -274,13 +274,13 @@
 class Pair:
     """Gateways of one grantor, on one clock without faults."""
 
-    def __init__(self, terms=TERMS, **more):
-        self.terms, self.now = terms, 0.0
-        self.grantor, self.holders = Grantor(terms, 1, 0.0, {}, False, **more), {}
+    def __init__(self, settings=TERMS, **more):
+        self.settings, self.now = settings, 0.0
+        self.grantor, self.holders = Grantor(settings, 1, 0.0, {}, False, **more), {}
 
     def come(self, name, index=None, life=1, zone="z"):
         index = len(self.holders) if index is None else index
-        self.holders[name] = BudgetHolder(self.terms, name, zone, index, life, True, self.now)
+        self.holders[name] = BudgetHolder(self.settings, name, zone, index, life, True, self.now)
         return self.holders[name]
 
     def exchange(self, name, **needs):
@@ -334,7 +334,7 @@
         told = pair.rounds(1, **{name: {"connects": rng.uniform(2.8, 3.2)} for name in "abcdef"})
         seen.append(tuple(parts["connects"] for parts in told.values()))
     changes = sum(a != b for a, b in zip(seen[20:], seen[21:], strict=False))
-    assert changes <= 4 and sum(seen[-1]) <= pair.terms.divisible_amount(TERMS.budgets[1]) + 1e-6
+    assert changes <= 4 and sum(seen[-1]) <= pair.settings.divisible_amount(TERMS.budgets[1]) + 1e-6
 
 
 def test_weights_by_zone_and_by_name():
@@ -452,7 +452,9 @@
     pair.rounds(1, a={"connections": 40}, b={"connections": 40})
     for _ in range(40):
         pair.rounds(1, a={"connections": 40}, b={"connections": 40})
-        covers = sum(life.grants["connections"].covered for life in pair.grantor.incarnations.values())
+        covers = sum(
+            life.grants["connections"].outstanding_amount for life in pair.grantor.incarnations.values()
+        )
         both = sum(
             h.allowances["connections"].used
             + max(
@@ -480,7 +482,7 @@
     for name in "abcd":
         pair.come(name)
     pair.rounds(10, **{name: {"connections": 40} for name in "abcd"})
-    pair.grantor.change_terms(pair.now, changed(total=20.0), {})
+    pair.grantor.change_settings(pair.now, changed(total=20.0), {})
     assert describe_grantor(pair.grantor, pair.now)["budgets"]["connections"]["over"] == 20.0
     pair.rounds(8, **{name: {"connections": 40} for name in "abcd"})
     told = describe_grantor(pair.grantor, pair.now)["budgets"]["connections"]
@@ -500,15 +502,15 @@
 def test_changes_that_hold_nowhere_at_once_are_refused_whole(terms, why):
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
     with pytest.raises(InvalidExchangeError, match=why):
-        grantor.change_terms(1.0, terms, {})
-    assert grantor.terms is TERMS
+        grantor.change_settings(1.0, terms, {})
+    assert grantor.settings is TERMS
 
 
 def test_a_larger_rate_waits_until_older_grants_have_ended():
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
     rate = msgspec.structs.replace(TERMS.budgets[1], total=40.0)
     terms = msgspec.structs.replace(TERMS, budgets=[TERMS.budgets[0], rate])
-    grantor.change_terms(1.0, terms, {})
+    grantor.change_settings(1.0, terms, {})
     grantor.release_ended(1.0 + 0.9 * terms.grant_lifetime())
     assert grantor.pools["connects"].divisible == TERMS.divisible_amount(TERMS.budgets[1])
     grantor.release_ended(1.1 + terms.grant_lifetime())
@@ -533,8 +535,8 @@
     ],
 )
 def test_terms_that_cannot_hold_are_refused(change, why):
-    with pytest.raises(TermsError, match=why):
-        validate_terms(msgspec.structs.replace(TERMS, **change))
+    with pytest.raises(SettingsError, match=why):
+        validate_settings(msgspec.structs.replace(TERMS, **change))
 
 
 # On disk
@@ -618,9 +620,9 @@
     assert rows.keys() == KEYS.keys() and all(held.lifetime > 6 for held in rows.values())
     long.on_stored(rows)
     assert not long.unstored_amounts(told) and not long.unstored and long.longest_lifetime(101.0) > 6.7
-    terms = long.terms
+    terms = long.settings
     level = msgspec.structs.replace(terms.budgets[0], release_delay=9.0)
-    long.change_terms(101.0, msgspec.structs.replace(terms, budgets=[level, terms.budgets[1]]), {})
+    long.change_settings(101.0, msgspec.structs.replace(terms, budgets=[level, terms.budgets[1]]), {})
     assert long.unstored_amounts(told) and long.longest_lifetime(101.0) > 15
     assert Grantor(short, 1, 0.0, None, True, longest_lifetime=15.0).learned_at == 15.0
 
@@ -652,7 +654,8 @@
     port = await service.start()
     service.grantor.learned_at = 0.0  # nobody was granted anything before
     clients = [
-        BudgetClient(service.config.terms, f"127.0.0.1:{port}", f"g{n}", "z", n, tmp_path) for n in range(3)
+        BudgetClient(service.config.settings, f"127.0.0.1:{port}", f"g{n}", "z", n, tmp_path)
+        for n in range(3)
     ]
     for client in clients:
         client.start()
@@ -661,17 +664,17 @@
         return client.holder.granted_amount(client.clock(), client.holder.allowances["connections"])
 
     await wait_until(lambda: all(granted(client) >= 1 for client in clients))
-    twin = BudgetClient(service.config.terms, f"127.0.0.1:{port}", "g0", "z", 0, tmp_path)
+    twin = BudgetClient(service.config.settings, f"127.0.0.1:{port}", "g0", "z", 0, tmp_path)
     assert not twin.holder.uses_reserve and twin.holder.allowed_amount(twin.clock(), "connections") == 0
     await wait_until(lambda: service.stored_as_complete)
     await service.close()
     await wait_until(lambda: all(client.failures for client in clients))
-    service = GrantorService(Config(("127.0.0.1", port), service.config.terms, service.config.log, {}))
+    service = GrantorService(Config(("127.0.0.1", port), service.config.settings, service.config.log, {}))
     await service.start()
     assert describe_grantor(service.grantor, service.clock())["learning"] == 0
     await wait_until(lambda: all(not client.failures for client in clients))
     service.store.write = lambda *_, **__: (_ for _ in ()).throw(GrantLogError(tmp_path, "full"))
-    late = BudgetClient(service.config.terms, f"127.0.0.1:{port}", "late", "z", 5, tmp_path)
+    late = BudgetClient(service.config.settings, f"127.0.0.1:{port}", "late", "z", 5, tmp_path)
     late.start()
     await wait_until(lambda: not service.grantor.is_log_writable and late.holder.was_answered)
     assert granted(late) == 0 and all(granted(client) >= 1 for client in clients)
@@ -765,7 +768,7 @@
 def test_a_start_that_takes_shares_away_from_who_hears_nothing_is_refused(tmp_path):
     log = str(tmp_path / "budgets.db")
     store = GrantStore(tmp_path / "budgets.db")
-    store.write({}, LogState(1, True, 4.0, fixed_terms_of(TERMS)), complete=True)
+    store.write({}, LogState(1, True, 4.0, fixed_settings_of(TERMS)), complete=True)
     store.close()
     terms = {**FILE["terms"], "most": 4}
     process = started(tmp_path, {**FILE, "terms": terms, "log": log})
--- a/tests/experiments/test_faults.py
+++ b/tests/experiments/test_faults.py
@@ -284,8 +284,8 @@
 
 
 SETS_NOTHING_ASIDE = """
-import api_gateway.budgets.terms as terms
-terms.Terms.divisible_amount = lambda self, budget: float(budget.total)
+import api_gateway.budgets.settings as settings
+settings.BudgetSettings.divisible_amount = lambda self, budget: float(budget.total)
 """
 
 
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -595,13 +595,13 @@
     many = other_target(tmp_path / "many.toml", {"tenants": 10_000_000, "budgets": 101})
     _, book = page.page(many, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
-    assert order.index("membership.member_table.MAX_MEMBERS") < order.index("budgets.terms.MAX_BUDGETS")
-    assert order.index("budgets.terms.MAX_BUDGETS") < order.index("downstream.rate_limits.MAX_SOURCES")
+    assert order.index("membership.member_table.MAX_MEMBERS") < order.index("budgets.settings.MAX_BUDGETS")
+    assert order.index("budgets.settings.MAX_BUDGETS") < order.index("downstream.rate_limits.MAX_SOURCES")
     ratios = {row.limit.expr: ratio.value for _, row, ratio in page.over_limit(book)}
-    assert ratios["downstream.rate_limits.MAX_SOURCES"] > 1000 > ratios["budgets.terms.MAX_BUDGETS"]
+    assert ratios["downstream.rate_limits.MAX_SOURCES"] > 1000 > ratios["budgets.settings.MAX_BUDGETS"]
     _, book = page.page(TARGET, folder)
     order = [row.limit.expr for _, row, _ in page.over_limit(book) if row.limit.kind == cells.CODE]
-    assert order.index("budgets.terms.MAX_BUDGETS") < order.index("membership.member_table.MAX_MEMBERS")
+    assert order.index("budgets.settings.MAX_BUDGETS") < order.index("membership.member_table.MAX_MEMBERS")
 
 
 def test_the_first_of_the_shortfalls_is_told_in_short(folder):
--- a/tests/golden/test_golden_budgets.py
+++ b/tests/golden/test_golden_budgets.py
@@ -25,8 +25,8 @@
 @asynccontextmanager
 async def gateway_side(config, port, folder):
     """A gateway's side, started: `g-0` in `zone-a`, number 1. Gives what it tells operators."""
-    terms = config_module.read_config({"BUDGETS_CONFIG": str(config)}).terms
-    client = BudgetClient(terms, f"127.0.0.1:{port}", "g-0", "zone-a", 1, folder)
+    settings = config_module.read_config({"BUDGETS_CONFIG": str(config)}).settings
+    client = BudgetClient(settings, f"127.0.0.1:{port}", "g-0", "zone-a", 1, folder)
     client.start()
     try:
         yield client.status
