--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -1,5 +1,5 @@
-"""Budgets: the division, the cores under faults in virtual time, what was granted on disk, and the
-service."""
+"""Tests of the budgets: the division, grantor and holders under faults in virtual time, the grant log and
+the service."""
 
 import json
 import math
@@ -47,9 +47,9 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_parts_are_max_min_fair_and_sum_to_the_room_at_most(seed):
+def test_parts_are_max_min_fair_and_sum_to_at_most_the_amount(seed):
     rng = random.Random(seed)
-    room = rng.choice((0.0, 1.0, 50.0, 1000.0))
+    amount = rng.choice((0.0, 1.0, 50.0, 1000.0))
     claims = [
         Claim(
             rng.choice((0, 0.1, 3, rng.uniform(0, 200), 1e9)),
@@ -58,98 +58,110 @@
         )
         for _ in range(rng.randint(1, 40))
     ]
-    parts, level = divide_fairly(room, claims)
+    parts, level = divide_fairly(amount, claims)
     wanted = sum(claim.wanted_amount for claim in claims)
-    assert sum(parts) == pytest.approx(min(room, wanted), abs=1e-6)
+    assert sum(parts) == pytest.approx(min(amount, wanted), abs=1e-6)
     assert all(0 <= part <= claim.wanted_amount + 1e-9 for part, claim in zip(parts, claims, strict=True))
-    if sum(claim.minimum for claim in claims) <= room:
+    if sum(claim.minimum for claim in claims) <= amount:
         assert all(part >= claim.minimum - 1e-9 for part, claim in zip(parts, claims, strict=True))
-        for part, claim in zip(parts, claims, strict=True):  # who goes short has no less than any other
+        for part, claim in zip(parts, claims, strict=True):  # a reduced claim gets no less than any other
             if part < claim.wanted_amount - 1e-6:
                 assert part == pytest.approx(max(claim.minimum, level * claim.weight), rel=1e-6)
     assert math.fsum(distribute_spare(10.0, parts, claims)) == pytest.approx(sum(parts) + 10.0)
-    wholes = [round_to_integers(parts, turn) for turn in range(30)]
-    for made in wholes:
-        assert sum(made) == math.floor(sum(parts) + 1e-9) and all(part == int(part) for part in made)
-        assert all(abs(whole - part) < 1 for whole, part in zip(made, parts, strict=True))
+    rounded_divisions = [round_to_integers(parts, turn) for turn in range(30)]
+    for rounded in rounded_divisions:
+        assert sum(rounded) == math.floor(sum(parts) + 1e-9) and all(part == int(part) for part in rounded)
+        assert all(abs(rounded_part - part) < 1 for rounded_part, part in zip(rounded, parts, strict=True))
 
 
-def test_units_that_cannot_be_shared_evenly_go_round():
-    held = [round_to_integers([0.3] * 10, turn) for turn in range(10)]
-    assert all(sum(made) == 3 for made in held) and all(sum(one) == 3 for one in zip(*held, strict=True))
+def test_indivisible_units_rotate_among_the_claims():
+    divisions = [round_to_integers([0.3] * 10, turn) for turn in range(10)]
+    assert all(sum(division) == 3 for division in divisions) and all(
+        sum(amounts) == 3 for amounts in zip(*divisions, strict=True)
+    )
 
 
 # Faults in virtual time
 
 
-@pytest.mark.parametrize("first", range(0, 90, 10))
-def test_the_sum_is_kept_under_any_faults(first):
-    for seed in range(first, first + 10):
+@pytest.mark.parametrize("first_seed", range(0, 90, 10))
+def test_no_budget_is_exceeded_under_random_faults(first_seed):
+    for seed in range(first_seed, first_seed + 10):
         world = play(seed)
         assert not world.breaches(), seed
 
 
-def test_after_the_faults_all_of_it_is_of_use_again():
+def test_the_full_budget_is_usable_again_after_the_faults():
+    """Guards against units that a lost grant or a crashed gateway blocks forever."""
     world = play(4, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
     world.calm()
     world.run(15.0)
-    spent, at = world.referees["connects"].spent, world.now
+    spent_before, measured_from = world.referees["connects"].spent, world.now
     world.run(20.0)
     reserves = sum(gateway.holder.uses_reserve for gateway in world.gateways)
     assert world.referees["connections"].held >= 32 + reserves and not world.breaches()
-    assert (world.referees["connects"].spent - spent) / (world.now - at) > 0.9 * (15.5 + 0.48 * reserves)
+    assert (world.referees["connects"].spent - spent_before) / (world.now - measured_from) > 0.9 * (
+        15.5 + 0.48 * reserves
+    )
 
 
-class Patched:
-    """A planted bug: methods that are otherwise while it lasts, or a world of its own."""
+class PlantedBug:
+    """A bug planted on purpose: a replaced method, or a subclass of World that misbehaves."""
 
-    def __init__(self, kind=World, where=None, name="", value=None):
-        self.kind, self.where, self.name, self.value = kind, where, name, value
+    def __init__(self, world_class=World, target=None, method_name="", make_method=None):
+        self.world_class, self.target, self.method_name, self.make_method = (
+            world_class,
+            target,
+            method_name,
+            make_method,
+        )
 
-    def put(self, monkeypatch):
-        if self.where is not None:
-            monkeypatch.setattr(self.where, self.name, self.value(getattr(self.where, self.name)))
+    def apply(self, monkeypatch):
+        if self.target is not None:
+            monkeypatch.setattr(
+                self.target, self.method_name, self.make_method(getattr(self.target, self.method_name))
+            )
 
 
-def ends_counted_from_the_answer(old):
+def expiry_counted_from_the_response(original):
     def on_response(self, now, response):
         self.sent_at = now
-        return old(self, now, response)
+        return original(self, now, response)
 
     return on_response
 
 
-def any_answer_taken(old):
+def any_response_accepted(original):
     def on_response(self, now, response):
         if response.incarnation == self.incarnation:
             self.sequence = response.sequence
             self.awaits_response = True
-        return old(self, now, response)
+        return original(self, now, response)
 
     return on_response
 
 
-def tokens_from_the_start(old):
+def tokens_at_the_start(original):
     def init(self, *args):
-        old(self, *args)
+        original(self, *args)
         for allowance in self.allowances.values():
             allowance.tokens = 1.0
 
     return init
 
 
-def part_freed_before_it_is_confirmed(old):
+def amount_freed_before_it_is_confirmed(original):
     def grant(self, now, incarnation, name, report):
-        amount = old(self, now, incarnation, name, report)
+        amount = original(self, now, incarnation, name, report)
         self.set_outstanding_amount(incarnation, name, incarnation.grants[name], amount)
         return amount
 
     return grant
 
 
-def old_life_freed(old):
+def older_incarnation_freed(original):
     def incarnation_of(self, request):
-        current = old(self, request)
+        current = original(self, request)
         for other in list(self.incarnations.values()):
             if other.name == current.name and other is not current:
                 for name, grant in list(other.grants.items()):
@@ -159,41 +171,53 @@
     return incarnation_of
 
 
-class FreesOnAHint(World):
-    def suspect(self, gateway, act):
-        lives = list(self.grantor.incarnations.values()) if self.grantor and act[:2] in ("pa", "cu") else []
-        for life in lives:
-            if life.name == gateway.name:
-                for name, hold in list(life.grants.items()):
-                    self.grantor.release(life, name, hold)
+class FreesOnASuspicion(World):
+    """Releases a gateway's grants when it is paused or cut off, before they have expired."""
+
+    def suspect(self, gateway, action):
+        incarnations = (
+            list(self.grantor.incarnations.values()) if self.grantor and action[:2] in ("pa", "cu") else []
+        )
+        for incarnation in incarnations:
+            if incarnation.name == gateway.name:
+                for name, grant in list(incarnation.grants.items()):
+                    self.grantor.release(incarnation, name, grant)
 
 
-def forgets_how_long(old):
+def stored_lifetime_ignored(original):
     def restore(self, now, key, stored):
-        return old(self, now, key, stored._replace(lifetime=0.0))
+        return original(self, now, key, stored._replace(lifetime=0.0))
 
     return restore
 
 
-class WaitsForNothing(World):
+class SkipsTheRecoveryWait(World):
+    """Grants at once after a start, although earlier grants are unknown."""
+
     def start_grantor(self, disk):
         super().start_grantor(disk)
         self.grantor.learned_at = -math.inf
 
 
-class SkipsTheLog(World):
+class SkipsLogWrites(World):
+    """Marks grants as stored without storing them."""
+
     def write(self, grantor):
         self.disk_whole = True
         grantor.on_stored(grantor.rows_to_store(self.grantor_clock(self.now), False))
 
 
 class TrustsALogOfHalf(World):
+    """Marks a log as complete although not all earlier grants are known."""
+
     def write(self, grantor):
         super().write(grantor)
         self.disk_whole = True
 
 
-class SharesTheReserveTwice(World):
+class GivesTheReserveShareTwice(World):
+    """Lets each incarnation use the share of the reserve, also while an earlier one still runs."""
+
     def start(self, index):
         gateway = super().start(index)
         gateway.holder.start_using_reserve(gateway.now())
@@ -201,164 +225,173 @@
 
 
 BUGS = {
-    "end counted from the answer": Patched(World, BudgetHolder, "on_response", ends_counted_from_the_answer),
-    "older answers taken": Patched(World, BudgetHolder, "on_response", any_answer_taken),
-    "freed before it is confirmed": Patched(World, Grantor, "grant", part_freed_before_it_is_confirmed),
-    "the part of an older life freed": Patched(World, Grantor, "incarnation_of", old_life_freed),
-    "reserve not set aside": Patched(
-        World, BudgetSettings, "divisible_amount", lambda old: lambda self, b: float(b.total)
+    "end counted from the answer": PlantedBug(
+        World, BudgetHolder, "on_response", expiry_counted_from_the_response
+    ),
+    "older answers taken": PlantedBug(World, BudgetHolder, "on_response", any_response_accepted),
+    "freed before it is confirmed": PlantedBug(World, Grantor, "grant", amount_freed_before_it_is_confirmed),
+    "the part of an older life freed": PlantedBug(World, Grantor, "incarnation_of", older_incarnation_freed),
+    "reserve not set aside": PlantedBug(
+        World, BudgetSettings, "divisible_amount", lambda original: lambda self, budget: float(budget.total)
     ),
-    "grants held too short": Patched(
-        World, BudgetSettings, "grant_lifetime", lambda old: lambda self: 0.7 * self.grant_duration
+    "grants held too short": PlantedBug(
+        World, BudgetSettings, "grant_lifetime", lambda original: lambda self: 0.7 * self.grant_duration
     ),
-    "freed on a hint": Patched(FreesOnAHint),
-    "no wait without a log": Patched(WaitsForNothing),
-    "log skipped": Patched(SkipsTheLog),
-    "reserve shared by two lives": Patched(SharesTheReserveTwice),
+    "freed on a hint": PlantedBug(FreesOnASuspicion),
+    "no wait without a log": PlantedBug(SkipsTheRecoveryWait),
+    "log skipped": PlantedBug(SkipsLogWrites),
+    "reserve shared by two lives": PlantedBug(GivesTheReserveShareTwice),
 }
 
 
 @pytest.mark.parametrize("name", BUGS)
 def test_planted_bugs_are_caught(name, monkeypatch):
     bug = BUGS[name]
-    bug.put(monkeypatch)
-    seeds = sorted(range(160), key=lambda seed: -(seed % 3))  # those first in which all want all at once
-    assert any(play(seed, kind=bug.kind).breaches() for seed in seeds), name
-
-
-@pytest.mark.parametrize("forgets", [False, True])
-def test_a_restart_with_shorter_grants_holds_those_of_the_life_before(forgets, monkeypatch):
-    if forgets:  # planted
-        monkeypatch.setattr(Grantor, "restore", forgets_how_long(Grantor.restore))
-    breaches, long = 0, msgspec.structs.replace(TERMS, grant_duration=6.0)
+    bug.apply(monkeypatch)
+    # First the seeds in which all gateways demand everything at the same time.
+    seeds = sorted(range(160), key=lambda seed: -(seed % 3))
+    assert any(play(seed, kind=bug.world_class).breaches() for seed in seeds), name
+
+
+@pytest.mark.parametrize("ignores_lifetimes", [False, True])
+def test_a_restart_with_shorter_grants_honours_the_stored_lifetimes(ignores_lifetimes, monkeypatch):
+    """A grantor restarted with a shorter grant duration must not free longer grants of its predecessor."""
+    if ignores_lifetimes:  # planted
+        monkeypatch.setattr(Grantor, "restore", stored_lifetime_ignored(Grantor.restore))
+    breaches, long_settings = 0, msgspec.structs.replace(TERMS, grant_duration=6.0)
     for seed in range(6):
-        world = World(seed, long, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
+        world = World(seed, long_settings, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
         world.run(12.0)
-        world.cut_to = {f"g{n}" for n in range(4)}
+        world.cut_to = {f"g{index}" for index in range(4)}
         world.length = 1.5
         world.restart_grantor(True)
         world.run(8.0)
         breaches += world.breaches()
-    assert bool(breaches) == forgets
+    assert bool(breaches) == ignores_lifetimes
 
 
-@pytest.mark.parametrize("minted", [False, True])
-def test_restarts_in_a_row_bring_no_more_than_the_whole(minted, monkeypatch):
-    if minted:  # planted
-        monkeypatch.setattr(BudgetHolder, "__init__", tokens_from_the_start(BudgetHolder.__init__))
+@pytest.mark.parametrize("starts_with_tokens", [False, True])
+def test_repeated_restarts_do_not_exceed_the_total(starts_with_tokens, monkeypatch):
+    """Tokens available at the start of a process would allow one more unit with each restart."""
+    if starts_with_tokens:  # planted
+        monkeypatch.setattr(BudgetHolder, "__init__", tokens_at_the_start(BudgetHolder.__init__))
     world = World(1, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
     world.run(8.0)
     world.crash(0, 100)
     world.run(15.0)
-    assert bool(world.breaches()) == minted
+    assert bool(world.breaches()) == starts_with_tokens
 
 
-@pytest.mark.parametrize("kind, kept", [(World, True), (TrustsALogOfHalf, False)])
-def test_a_log_of_what_was_learned_in_part_is_not_taken_for_all(kind, kept):
+@pytest.mark.parametrize("world_class, is_safe", [(World, True), (TrustsALogOfHalf, False)])
+def test_an_incomplete_log_is_not_taken_for_a_complete_one(world_class, is_safe):
+    """A grantor that lost its log and is restarted soon after leaves a log that lacks some valid grants."""
     breaches = 0
     for seed in range(30):
-        world = kind(seed, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
+        world = world_class(seed, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
         world.run(8.0)
-        world.cut_to.add("g0")  # the second life does not hear of its grant, which goes on
+        world.cut_to.add("g0")  # the second grantor gets no report of its grant, which is still valid
         for disk in (False, True):
             world.restart_grantor(disk)
             world.run(1.3)
         world.run(3.0)
         breaches += world.breaches()
-    assert (breaches == 0) == kept
+    assert (breaches == 0) == is_safe
 
 
 # The grantor and a holder by themselves
 
 
-class Pair:
-    """Gateways of one grantor, on one clock without faults."""
+class Fleet:
+    """The holders of one grantor, all on the same clock and without faults."""
 
-    def __init__(self, settings=TERMS, **more):
+    def __init__(self, settings=TERMS, **grantor_options):
         self.settings, self.now = settings, 0.0
-        self.grantor, self.holders = Grantor(settings, 1, 0.0, {}, False, **more), {}
+        self.grantor, self.holders = Grantor(settings, 1, 0.0, {}, False, **grantor_options), {}
 
-    def come(self, name, index=None, life=1, zone="z"):
+    def add_holder(self, name, index=None, incarnation=1, zone="z"):
         index = len(self.holders) if index is None else index
-        self.holders[name] = BudgetHolder(self.settings, name, zone, index, life, True, self.now)
+        self.holders[name] = BudgetHolder(self.settings, name, zone, index, incarnation, True, self.now)
         return self.holders[name]
 
-    def exchange(self, name, **needs):
-        """One exchange; the granted parts."""
+    def exchange(self, name, **demands):
+        """Perform one exchange; return the granted amounts."""
         holder = self.holders[name]
-        for budget, need in needs.items():
+        for budget, demand in demands.items():
             if budget == "connects":
-                holder.allowances[budget].requested += need * 0.5
+                holder.allowances[budget].requested += demand * 0.5
             else:
-                holder.allowances[budget].peak = max(need, holder.allowances[budget].peak)
-        told = holder.make_exchange(self.now)
+                holder.allowances[budget].peak = max(demand, holder.allowances[budget].peak)
+        request = holder.make_exchange(self.now)
         self.now += 0.001
-        holder.on_response(self.now, self.grantor.handle_exchange(self.now, told))
+        holder.on_response(self.now, self.grantor.handle_exchange(self.now, request))
         return {
-            part: round(holder.granted_amount(self.now, holder.allowances[part]), 3)
-            for part in holder.allowances
+            budget_name: round(holder.granted_amount(self.now, holder.allowances[budget_name]), 3)
+            for budget_name in holder.allowances
         }
 
-    def rounds(self, count, **needs):
+    def run_rounds(self, count, **demands):
         for _ in range(count):
             self.now += 0.5
             self.grantor.release_ended(self.now)
-            told = {name: self.exchange(name, **needs.get(name, {})) for name in list(self.holders)}
-        return told
+            grants = {name: self.exchange(name, **demands.get(name, {})) for name in list(self.holders)}
+        return grants
 
 
-def test_who_shouts_gets_a_fair_part_and_a_newcomer_has_one_in_one_exchange():
-    pair = Pair()
+def test_high_demand_gets_a_fair_part_and_a_newcomer_is_served_in_one_exchange():
+    fleet = Fleet()
     for name in "abc":
-        pair.come(name)
-    told = pair.rounds(20, a={"connections": 40}, b={"connections": 40}, c={"connections": 3})
-    assert told["c"]["connections"] >= 2 and told["a"] == told["b"] and told["a"]["connections"] >= 14
-    quiet = Pair()
+        fleet.add_holder(name)
+    grants = fleet.run_rounds(20, a={"connections": 40}, b={"connections": 40}, c={"connections": 3})
+    assert grants["c"]["connections"] >= 2 and grants["a"] == grants["b"] and grants["a"]["connections"] >= 14
+    low_demand_fleet = Fleet()
     for name in "abc":
-        quiet.come(name)
-    quiet.rounds(20, a={"connections": 5}, b={"connections": 5}, c={"connections": 5})
-    quiet.come("new")
-    assert quiet.exchange("new", connections=3)["connections"] >= 2  # from the pool, at once
-    pair.come("new")
-    pair.exchange("new", connections=40)
-    told = pair.rounds(4, a={"connections": 40}, b={"connections": 40}, new={"connections": 40})
-    assert told["new"]["connections"] >= 9  # as soon as others confirmed
-
-
-def test_parts_do_not_flap_at_steady_need():
-    pair, rng = Pair(), random.Random(1)
+        low_demand_fleet.add_holder(name)
+    low_demand_fleet.run_rounds(20, a={"connections": 5}, b={"connections": 5}, c={"connections": 5})
+    low_demand_fleet.add_holder("new")
+    # The newcomer is served from the unassigned fraction at once.
+    assert low_demand_fleet.exchange("new", connections=3)["connections"] >= 2
+    fleet.add_holder("new")
+    fleet.exchange("new", connections=40)
+    grants = fleet.run_rounds(4, a={"connections": 40}, b={"connections": 40}, new={"connections": 40})
+    assert grants["new"]["connections"] >= 9  # as soon as the others have confirmed
+
+
+def test_grants_do_not_flap_at_steady_demand():
+    fleet, rng = Fleet(), random.Random(1)
     for name in "abcdef":
-        pair.come(name)
-    seen = []
+        fleet.add_holder(name)
+    history = []
     for _ in range(100):
-        told = pair.rounds(1, **{name: {"connects": rng.uniform(2.8, 3.2)} for name in "abcdef"})
-        seen.append(tuple(parts["connects"] for parts in told.values()))
-    changes = sum(a != b for a, b in zip(seen[20:], seen[21:], strict=False))
-    assert changes <= 4 and sum(seen[-1]) <= pair.settings.divisible_amount(TERMS.budgets[1]) + 1e-6
+        grants = fleet.run_rounds(1, **{name: {"connects": rng.uniform(2.8, 3.2)} for name in "abcdef"})
+        history.append(tuple(amounts["connects"] for amounts in grants.values()))
+    changes = sum(before != after for before, after in zip(history[20:], history[21:], strict=False))
+    assert changes <= 4 and sum(history[-1]) <= fleet.settings.divisible_amount(TERMS.budgets[1]) + 1e-6
 
 
 def test_weights_by_zone_and_by_name():
-    pair = Pair(weights={"far": 0.5, "big": 2.0})
+    fleet = Fleet(weights={"far": 0.5, "big": 2.0})
     for name, zone in (("a", "z"), ("big", "z"), ("c", "far")):
-        pair.come(name, zone=zone)
-    told = pair.rounds(20, **{name: {"connections": 40} for name in ("a", "big", "c")})
-    parts = [told[name]["connections"] + 1 for name in ("big", "a", "c")]  # with the share of the reserve
+        fleet.add_holder(name, zone=zone)
+    grants = fleet.run_rounds(20, **{name: {"connections": 40} for name in ("a", "big", "c")})
+    parts = [grants[name]["connections"] + 1 for name in ("big", "a", "c")]  # with the share of the reserve
     assert parts[0] > 1.6 * parts[1] and parts[1] > 1.6 * parts[2]
 
 
-def odd(**kw):
+def exchange_body(**changes):
     report = {"need": 1.0, "have": 0.0, "reserve": 0.0}
-    report |= {key: value for key, value in kw.items() if key in report}
-    told = {
+    report |= {key: value for key, value in changes.items() if key in report}
+    request = {
         "name": "a",
         "zone": "z",
         "index": 0,
         "life": 1,
         "seq": 1,
         "term": 0,
-        "budgets": {kw.pop("budget", "connections"): report},
+        "budgets": {changes.pop("budget", "connections"): report},
     }
-    return json.dumps(told | {k: v for k, v in kw.items() if k in told}).encode()
+    return json.dumps(
+        request | {field: change for field, change in changes.items() if field in request}
+    ).encode()
 
 
 @pytest.mark.parametrize(
@@ -367,65 +400,68 @@
         b"",
         b"[]",
         b"{",
-        odd(need=float("nan")),
-        odd(need=-1),
-        odd(need=41),
-        odd(have=41),
-        odd(reserve=2),
-        odd(need="1"),
-        odd(budget="none"),
-        odd(index=-1),
-        odd(seq=-1),
-        odd(name=""),
-        odd(name="x" * 200),
-        odd(index=8, reserve=1),
+        exchange_body(need=float("nan")),
+        exchange_body(need=-1),
+        exchange_body(need=41),
+        exchange_body(have=41),
+        exchange_body(reserve=2),
+        exchange_body(need="1"),
+        exchange_body(budget="none"),
+        exchange_body(index=-1),
+        exchange_body(seq=-1),
+        exchange_body(name=""),
+        exchange_body(name="x" * 200),
+        exchange_body(index=8, reserve=1),
     ],
 )
-def test_what_cannot_be_true_is_refused_and_changes_nothing(data):
+def test_an_invalid_exchange_is_rejected_and_changes_nothing(data):
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
     with pytest.raises(ValueError):
         grantor.handle_exchange(1.0, decode_exchange(data))
     assert not grantor.incarnations and not grantor.newest_incarnations
 
 
-def test_repeats_older_messages_and_older_lives_change_nothing():
-    pair = Pair()
-    holder = pair.come("a", life=5)
+def test_repeated_and_older_exchanges_and_older_incarnations_change_nothing():
+    fleet = Fleet()
+    holder = fleet.add_holder("a", incarnation=5)
     first, second = holder.make_exchange(0.0), holder.make_exchange(0.1)
-    answer = pair.grantor.handle_exchange(0.2, second)
-    assert pair.grantor.handle_exchange(0.3, second) is answer  # a copy of it is answered alike
+    response = fleet.grantor.handle_exchange(0.2, second)
+    assert fleet.grantor.handle_exchange(0.3, second) is response  # a copy gets the same response
     with pytest.raises(SupersededExchangeError):
-        pair.grantor.handle_exchange(0.3, first)
-    old = BudgetHolder(TERMS, "a", "z", 0, 4, True, 0.0)
+        fleet.grantor.handle_exchange(0.3, first)
+    older_holder = BudgetHolder(TERMS, "a", "z", 0, 4, True, 0.0)
     with pytest.raises(StaleIncarnationError) as err:
-        pair.grantor.handle_exchange(0.3, old.make_exchange(0.3))
-    assert holder.on_response(0.4, answer) and not holder.on_response(0.4, answer)
-    old.on_stale_incarnation(err.value.newest_incarnation)  # it starts on a clock that was set back
-    assert old.incarnation == 6 and not old.is_superseded
-    pair.grantor.handle_exchange(0.5, old.make_exchange(0.5))
+        fleet.grantor.handle_exchange(0.3, older_holder.make_exchange(0.3))
+    assert holder.on_response(0.4, response) and not holder.on_response(0.4, response)
+    # It was never answered, so it takes itself for a process started after the clock was set back.
+    older_holder.on_stale_incarnation(err.value.newest_incarnation)
+    assert older_holder.incarnation == 6 and not older_holder.is_superseded
+    fleet.grantor.handle_exchange(0.5, older_holder.make_exchange(0.5))
     holder.on_stale_incarnation(6)
     assert holder.is_superseded
-    assert holder.on_response(0.6, pair.grantor.handle_exchange(0.6, old.make_exchange(0.6))) is False
-    newer = pair.grantor.handle_exchange(0.7, old.make_exchange(0.7))
-    old.term = newer.term + 1
-    assert old.on_response(0.8, newer) is False and old.counts["old terms"] == 1
+    assert (
+        holder.on_response(0.6, fleet.grantor.handle_exchange(0.6, older_holder.make_exchange(0.6))) is False
+    )
+    newer_response = fleet.grantor.handle_exchange(0.7, older_holder.make_exchange(0.7))
+    older_holder.term = newer_response.term + 1
+    assert older_holder.on_response(0.8, newer_response) is False and older_holder.counts["old terms"] == 1
 
 
-def test_more_gateways_than_stated_and_two_with_one_index_are_told():
-    pair = Pair()
+def test_status_reports_surplus_gateways_and_shared_indexes():
+    fleet = Fleet()
     for number in range(9):
-        pair.come(f"g{number}", index=min(number, 8))
-    pair.come("twin", index=3)
-    pair.rounds(10)
-    told = describe_grantor(pair.grantor, pair.now)
-    assert told["surplus"] == ["g8"] and told["clashes"] == [["g3", "twin"]]
+        fleet.add_holder(f"g{number}", index=min(number, 8))
+    fleet.add_holder("twin", index=3)
+    fleet.run_rounds(10)
+    status = describe_grantor(fleet.grantor, fleet.now)
+    assert status["surplus"] == ["g8"] and status["clashes"] == [["g3", "twin"]]
     assert (
-        pair.holders["g8"].allowed_amount(pair.now, "connections") >= 1
-        and not pair.holders["g8"].uses_reserve
+        fleet.holders["g8"].allowed_amount(fleet.now, "connections") >= 1
+        and not fleet.holders["g8"].uses_reserve
     )
 
 
-def test_without_a_grantor_a_share_of_the_reserve_and_no_more():
+def test_without_a_grantor_only_the_share_of_the_reserve_may_be_used():
     holder, now = BudgetHolder(TERMS, "a", "z", 0, 1, True, 0.0), 0.0
     assert [holder.acquire(0.0, "connections") for _ in range(3)] == [True, False, False]
     spent = 0
@@ -440,53 +476,56 @@
     assert not surplus.acquire(50.0, "connections") and surplus.spend(50.0, "connects") == math.inf
 
 
-def test_a_level_above_a_smaller_part_is_worked_off_and_counts_until_then():
-    pair = Pair()
-    pair.come("a")
-    pair.rounds(5, a={"connections": 40})
-    holder = pair.holders["a"]
-    while holder.acquire(pair.now, "connections"):
+def test_excess_units_of_a_level_count_until_they_are_released():
+    fleet = Fleet()
+    fleet.add_holder("a")
+    fleet.run_rounds(5, a={"connections": 40})
+    holder = fleet.holders["a"]
+    while holder.acquire(fleet.now, "connections"):
         pass
-    used = holder.allowances["connections"].used
-    pair.come("b")
-    pair.rounds(1, a={"connections": 40}, b={"connections": 40})
+    used_before = holder.allowances["connections"].used
+    fleet.add_holder("b")
+    fleet.run_rounds(1, a={"connections": 40}, b={"connections": 40})
     for _ in range(40):
-        pair.rounds(1, a={"connections": 40}, b={"connections": 40})
-        covers = sum(
-            life.grants["connections"].outstanding_amount for life in pair.grantor.incarnations.values()
+        fleet.run_rounds(1, a={"connections": 40}, b={"connections": 40})
+        outstanding = sum(
+            incarnation.grants["connections"].outstanding_amount
+            for incarnation in fleet.grantor.incarnations.values()
         )
-        both = sum(
-            h.allowances["connections"].used
+        total_in_use = sum(
+            each_holder.allowances["connections"].used
             + max(
-                0, h.update_holding(pair.now, h.allowances["connections"]) - h.allowances["connections"].used
+                0,
+                each_holder.update_holding(fleet.now, each_holder.allowances["connections"])
+                - each_holder.allowances["connections"].used,
             )
-            for h in pair.holders.values()
+            for each_holder in fleet.holders.values()
         )
-        assert covers <= 32 and both <= 40
-        if holder.excess_units(pair.now, "connections"):
+        assert outstanding <= 32 and total_in_use <= 40
+        if holder.excess_units(fleet.now, "connections"):
             holder.release("connections")
-        pair.holders["b"].acquire(pair.now, "connections")
+        fleet.holders["b"].acquire(fleet.now, "connections")
     assert (
-        holder.allowances["connections"].used < used - 10
-        and pair.holders["b"].allowances["connections"].used > 10
+        holder.allowances["connections"].used < used_before - 10
+        and fleet.holders["b"].allowances["connections"].used > 10
     )
 
 
-def changed(**kw):
-    level = msgspec.structs.replace(TERMS.budgets[0], **kw)
+def settings_with_level(**changes):
+    level = msgspec.structs.replace(TERMS.budgets[0], **changes)
     return msgspec.structs.replace(TERMS, budgets=[level, TERMS.budgets[1]])
 
 
-def test_a_smaller_whole_takes_effect_as_grants_end():
-    pair = Pair()
+def test_a_smaller_total_takes_effect_as_grants_expire():
+    fleet = Fleet()
     for name in "abcd":
-        pair.come(name)
-    pair.rounds(10, **{name: {"connections": 40} for name in "abcd"})
-    pair.grantor.change_settings(pair.now, changed(total=20.0), {})
-    assert describe_grantor(pair.grantor, pair.now)["budgets"]["connections"]["over"] == 20.0
-    pair.rounds(8, **{name: {"connections": 40} for name in "abcd"})
-    told = describe_grantor(pair.grantor, pair.now)["budgets"]["connections"]
-    assert told["over"] == 0 and told["granted"] <= 12
+        fleet.add_holder(name)
+    fleet.run_rounds(10, **{name: {"connections": 40} for name in "abcd"})
+    fleet.grantor.change_settings(fleet.now, settings_with_level(total=20.0), {})
+    assert describe_grantor(fleet.grantor, fleet.now)["budgets"]["connections"]["over"] == 20.0
+    fleet.run_rounds(8, **{name: {"connections": 40} for name in "abcd"})
+    status = describe_grantor(fleet.grantor, fleet.now)["budgets"]["connections"]
+    assert status["over"] == 0 and status["granted"] <= 12
 
 
 @pytest.mark.parametrize(
@@ -495,29 +534,29 @@
         (msgspec.structs.replace(TERMS, max_gateways=9), "most"),
         (msgspec.structs.replace(TERMS, grant_duration=9.0), "length"),
         (msgspec.structs.replace(TERMS, budgets=TERMS.budgets[:1]), "connects"),
-        (changed(reserve=16.0), "reserve"),
-        (changed(release_delay=0.1), "linger"),
+        (settings_with_level(reserve=16.0), "reserve"),
+        (settings_with_level(release_delay=0.1), "linger"),
     ],
 )
-def test_changes_that_hold_nowhere_at_once_are_refused_whole(terms, why):
+def test_changes_that_need_a_restart_are_rejected_completely(terms, why):
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
     with pytest.raises(InvalidExchangeError, match=why):
         grantor.change_settings(1.0, terms, {})
     assert grantor.settings is TERMS
 
 
-def test_a_larger_rate_waits_until_older_grants_have_ended():
+def test_a_larger_rate_waits_until_older_grants_have_expired():
     grantor = Grantor(TERMS, 1, 0.0, {}, False)
     rate = msgspec.structs.replace(TERMS.budgets[1], total=40.0)
-    terms = msgspec.structs.replace(TERMS, budgets=[TERMS.budgets[0], rate])
-    grantor.change_settings(1.0, terms, {})
-    grantor.release_ended(1.0 + 0.9 * terms.grant_lifetime())
+    larger_settings = msgspec.structs.replace(TERMS, budgets=[TERMS.budgets[0], rate])
+    grantor.change_settings(1.0, larger_settings, {})
+    grantor.release_ended(1.0 + 0.9 * larger_settings.grant_lifetime())
     assert grantor.pools["connects"].divisible == TERMS.divisible_amount(TERMS.budgets[1])
-    grantor.release_ended(1.1 + terms.grant_lifetime())
-    assert grantor.pools["connects"].divisible == terms.divisible_amount(rate)
+    grantor.release_ended(1.1 + larger_settings.grant_lifetime())
+    assert grantor.pools["connects"].divisible == larger_settings.divisible_amount(rate)
 
 
-# Terms
+# Settings
 
 
 @pytest.mark.parametrize(
@@ -534,30 +573,31 @@
         ({"budgets": [Budget("a", "rate", 50, burst=9, release_delay=1)]}, "linger"),
     ],
 )
-def test_terms_that_cannot_hold_are_refused(change, why):
+def test_inconsistent_settings_are_rejected(change, why):
     with pytest.raises(SettingsError, match=why):
         validate_settings(msgspec.structs.replace(TERMS, **change))
 
 
 # On disk
 
-KEYS = {
+STORED_GRANTS = {
     GrantKey("a", 1, "connections"): StoredGrant(4.0, 3.1, 0.7),
     GrantKey("b", 2, "connects"): StoredGrant(1.5, 3.1, 0.0),
 }
 
 
-def test_what_was_written_is_there_again_with_its_term(tmp_path):
+def test_written_grants_are_read_again_with_their_term(tmp_path):
     store = GrantStore(tmp_path / "x.db")
-    found = store.open()
-    assert found == GrantLog(LogState()) and found.complete_rows() is None
-    store.write(KEYS, LogState(7, False, 4.0), complete=True)
+    log = store.open()
+    assert log == GrantLog(LogState()) and log.complete_rows() is None
+    store.write(STORED_GRANTS, LogState(7, False, 4.0), complete=True)
     other = GrantStore(tmp_path / "x.db")
-    with pytest.raises(GrantLogError, match="another"):  # one grantor has it
+    with pytest.raises(GrantLogError, match="another"):  # another grantor holds its lock
         other.open()
     store.close()
-    found = other.open()
-    assert found.state == LogState(7, False, 4.0) and found.complete_rows() is None  # it did not know all
+    log = other.open()
+    # The grantor that wrote the log did not know all grants.
+    assert log.state == LogState(7, False, 4.0) and log.complete_rows() is None
     other.close()
     new = ("c", 3, "connects"), StoredGrant(2.0, 1.0, 0.0)
     store.write(
@@ -566,74 +606,84 @@
         complete=False,
     )
     store.close()
-    assert GrantStore(tmp_path / "x.db").open().complete_rows() == dict([*list(KEYS.items())[1:], new])
+    assert GrantStore(tmp_path / "x.db").open().complete_rows() == dict(
+        [*list(STORED_GRANTS.items())[1:], new]
+    )
 
 
-def test_a_log_torn_at_any_byte_is_known_whole_or_not_at_all(tmp_path):
+def test_a_truncated_log_is_read_completely_or_not_at_all(tmp_path):
     path = tmp_path / "x.db"
     store = GrantStore(path)
     store.open()
-    rows = {(f"g{n}", n, "connections"): StoredGrant(1.0 + n, 3.0, 1.0) for n in range(30)}
+    rows = {(f"g{index}", index, "connections"): StoredGrant(1.0 + index, 3.0, 1.0) for index in range(30)}
     store.write(rows, LogState(5, True), complete=True)
     store.close()
-    data, torn = path.read_bytes(), 0
+    data, corrupt_count = path.read_bytes(), 0
     for size in range(0, len(data), 7):
         path.write_bytes(data[:size])
-        again = GrantStore(path)
-        found = again.open()
-        assert found.complete_rows() is None and found.state.term == 0, size
-        torn += found.was_corrupt
-        again.write(KEYS, LogState(6, True), complete=True)
-        again.close()
-        assert again.open().complete_rows() == KEYS
-        again.close()
-    assert torn > 0.9 * len(data) / 7
+        reopened = GrantStore(path)
+        log = reopened.open()
+        assert log.complete_rows() is None and log.state.term == 0, size
+        corrupt_count += log.was_corrupt
+        reopened.write(STORED_GRANTS, LogState(6, True), complete=True)
+        reopened.close()
+        assert reopened.open().complete_rows() == STORED_GRANTS
+        reopened.close()
+    assert corrupt_count > 0.9 * len(data) / 7
     path.write_bytes(data)
     assert len(GrantStore(path).open().complete_rows()) == 30
 
 
-def test_a_disk_that_takes_nothing_is_told_and_used_again(tmp_path):
+def test_a_failing_disk_raises_an_error_and_is_used_again(tmp_path):
     store = GrantStore(tmp_path / "none" / "x.db")
-    for act in (store.open, lambda: store.write(KEYS, LogState(1, True), complete=True)):
+    for operation in (store.open, lambda: store.write(STORED_GRANTS, LogState(1, True), complete=True)):
         with pytest.raises(GrantLogError):
-            act()
+            operation()
     (tmp_path / "none").mkdir()
-    store.write(KEYS, LogState(2, True), complete=True)
+    store.write(STORED_GRANTS, LogState(2, True), complete=True)
     store.close()
-    assert store.open() == GrantLog(LogState(2, True), KEYS)
+    assert store.open() == GrantLog(LogState(2, True), STORED_GRANTS)
+
+
+def test_stored_lifetimes_outlast_shorter_settings_and_are_rewritten_for_longer_ones():
+    short_settings = msgspec.structs.replace(settings_with_level(release_delay=0.2), grant_duration=1.5)
+    grantor = Grantor(short_settings, 1, 100.0, STORED_GRANTS, True)
+    # First the grant of the rate expires, then the units of the level are released.
+    for elapsed, rows_left in ((1.6, 2), (3.2, 1), (3.9, 0)):
+        grantor.release_ended(100.0 + elapsed)
+        assert len(grantor.rows_to_store(100.0 + elapsed, True)) == rows_left
+    long_grantor = Grantor(msgspec.structs.replace(TERMS, grant_duration=6.0), 1, 100.0, STORED_GRANTS, True)
+    request = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 4, 0)})
+    # The response must be stored before it is sent.
+    assert (
+        long_grantor.unstored_amounts(request) == {}
+        and long_grantor.handle_exchange(100.1, request).amounts
+        and long_grantor.unstored_amounts(request)
+    )
+    rows = long_grantor.rows_to_store(100.2, False)
+    assert rows.keys() == STORED_GRANTS.keys() and all(stored.lifetime > 6 for stored in rows.values())
+    long_grantor.on_stored(rows)
+    assert (
+        not long_grantor.unstored_amounts(request)
+        and not long_grantor.unstored
+        and long_grantor.longest_lifetime(101.0) > 6.7
+    )
+    long_settings = long_grantor.settings
+    level = msgspec.structs.replace(long_settings.budgets[0], release_delay=9.0)
+    long_grantor.change_settings(
+        101.0, msgspec.structs.replace(long_settings, budgets=[level, long_settings.budgets[1]]), {}
+    )
+    assert long_grantor.unstored_amounts(request) and long_grantor.longest_lifetime(101.0) > 15
+    assert Grantor(short_settings, 1, 0.0, None, True, longest_lifetime=15.0).learned_at == 15.0
 
 
-def test_what_the_log_says_outlasts_shorter_terms_and_is_written_anew_for_longer_ones():
-    short = msgspec.structs.replace(changed(release_delay=0.2), grant_duration=1.5)
-    grantor = Grantor(short, 1, 100.0, KEYS, True)
-    for late, left in ((1.6, 2), (3.2, 1), (3.9, 0)):  # the rate's grant ends, then units of the level go
-        grantor.release_ended(100.0 + late)
-        assert len(grantor.rows_to_store(100.0 + late, True)) == left
-    long = Grantor(msgspec.structs.replace(TERMS, grant_duration=6.0), 1, 100.0, KEYS, True)
-    told = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 4, 0)})
-    assert (
-        long.unstored_amounts(told) == {}
-        and long.handle_exchange(100.1, told).amounts
-        and long.unstored_amounts(told)
-    )  # stored first
-    rows = long.rows_to_store(100.2, False)
-    assert rows.keys() == KEYS.keys() and all(held.lifetime > 6 for held in rows.values())
-    long.on_stored(rows)
-    assert not long.unstored_amounts(told) and not long.unstored and long.longest_lifetime(101.0) > 6.7
-    terms = long.settings
-    level = msgspec.structs.replace(terms.budgets[0], release_delay=9.0)
-    long.change_settings(101.0, msgspec.structs.replace(terms, budgets=[level, terms.budgets[1]]), {})
-    assert long.unstored_amounts(told) and long.longest_lifetime(101.0) > 15
-    assert Grantor(short, 1, 0.0, None, True, longest_lifetime=15.0).learned_at == 15.0
-
-
-def test_an_answer_whose_grant_ended_while_the_disk_hung_is_none():
+def test_a_response_whose_grant_expired_while_the_disk_hung_is_dropped():
     grantor = Grantor(TERMS, 1, 0.0, {}, True)
-    told = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 0, 0)})
-    answer = grantor.handle_exchange(0.0, told)
+    request = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 0, 0)})
+    response = grantor.handle_exchange(0.0, request)
     grantor.release_ended(30.0)
     with pytest.raises(SupersededExchangeError):
-        grantor.reduce_to_stored(told, answer)
+        grantor.reduce_to_stored(request, response)
 
 
 # The service
@@ -649,13 +699,13 @@
 
 
 @on_loop
-async def test_gateways_have_their_parts_over_restarts_and_a_disk_that_fails(tmp_path):
+async def test_gateways_keep_their_grants_over_restarts_and_disk_failures(tmp_path):
     service = GrantorService(config(tmp_path))
     port = await service.start()
-    service.grantor.learned_at = 0.0  # nobody was granted anything before
+    service.grantor.learned_at = 0.0  # there are no earlier grants
     clients = [
-        BudgetClient(service.config.settings, f"127.0.0.1:{port}", f"g{n}", "z", n, tmp_path)
-        for n in range(3)
+        BudgetClient(service.config.settings, f"127.0.0.1:{port}", f"g{index}", "z", index, tmp_path)
+        for index in range(3)
     ]
     for client in clients:
         client.start()
@@ -674,41 +724,40 @@
     assert describe_grantor(service.grantor, service.clock())["learning"] == 0
     await wait_until(lambda: all(not client.failures for client in clients))
     service.store.write = lambda *_, **__: (_ for _ in ()).throw(GrantLogError(tmp_path, "full"))
-    late = BudgetClient(service.config.settings, f"127.0.0.1:{port}", "late", "z", 5, tmp_path)
-    late.start()
-    await wait_until(lambda: not service.grantor.is_log_writable and late.holder.was_answered)
-    assert granted(late) == 0 and all(granted(client) >= 1 for client in clients)
+    late_client = BudgetClient(service.config.settings, f"127.0.0.1:{port}", "late", "z", 5, tmp_path)
+    late_client.start()
+    await wait_until(lambda: not service.grantor.is_log_writable and late_client.holder.was_answered)
+    assert granted(late_client) == 0 and all(granted(client) >= 1 for client in clients)
     del service.store.write
-    await wait_until(lambda: granted(late) >= 1 and service.grantor.is_log_writable)
-    clients[0].holder.incarnation -= 1  # it is told that a newer one is there
+    await wait_until(lambda: granted(late_client) >= 1 and service.grantor.is_log_writable)
+    clients[0].holder.incarnation -= 1  # the grantor then reports a newer incarnation
     await wait_until(lambda: clients[0].holder.is_superseded)
     async with aiohttp.ClientSession() as session:
-        base = f"http://127.0.0.1:{port}"
-        for method, path, data, status in (
+        base_url = f"http://127.0.0.1:{port}"
+        for method, path, body, status in (
             ("GET", "/v1/exchange", b"", 404),
             ("POST", "/v1/exchange", b"{", 400),
             ("POST", "/v1/exchange", b"x" * 70_000, 413),
             ("GET", "/status", b"", 200),
         ):
-            async with session.request(method, base + path, data=data) as answer:
-                assert answer.status == status
-    for client in (*clients, late):
+            async with session.request(method, base_url + path, data=body) as response:
+                assert response.status == status
+    for client in (*clients, late_client):
         await client.close()
     twin.reserve_lock.close()
     await service.close()
 
 
 @on_loop
-async def test_a_second_grantor_on_one_log_waits_until_what_the_first_granted_has_ended(tmp_path):
+async def test_a_second_grantor_on_one_log_waits_until_the_grants_of_the_first_have_expired(tmp_path):
     first, second = GrantorService(config(tmp_path)), GrantorService(config(tmp_path))
     await first.start()
     await wait_until(lambda: first.writes)
     await second.start()
-    second.grantor.learned_at = 0.0  # it has waited long enough by its own start
+    second.grantor.learned_at = 0.0  # the wait after its own start is over
     await wait_until(lambda: not second.log_waiters)
-    assert (
-        not second.grantor.is_log_writable and not second.is_log_read
-    )  # a paused one has the log still, too
+    # The lock also protects the log of a first grantor that is only paused.
+    assert not second.grantor.is_log_writable and not second.is_log_read
     await first.close()
     await wait_until(lambda: second.is_log_read and second.grantor.is_log_writable)
     assert second.grantor.term > first.grantor.term
@@ -716,20 +765,20 @@
     await second.close()
 
 
-def test_the_share_of_the_reserve_goes_with_its_process(tmp_path):
-    one, other = ReserveLock(tmp_path, "g"), ReserveLock(tmp_path, "g")
-    assert one.acquire() and one.acquire() and not other.acquire()
-    one.close()
-    assert other.acquire()
+def test_one_process_at_a_time_holds_the_reserve_lock(tmp_path):
+    first, second = ReserveLock(tmp_path, "g"), ReserveLock(tmp_path, "g")
+    assert first.acquire() and first.acquire() and not second.acquire()
+    first.close()
+    assert second.acquire()
     assert not ReserveLock(tmp_path / "none", "g").acquire()
-    other.close()
+    second.close()
 
 
-FILE = {"listen": "127.0.0.1:0", "terms": msgspec.to_builtins(TERMS)}
+CONFIG = {"listen": "127.0.0.1:0", "terms": msgspec.to_builtins(TERMS)}
 
 
-def started(tmp_path, tree):
-    (tmp_path / "budgets.json").write_text(json.dumps(tree))
+def start_grantor_process(tmp_path, config_tree):
+    (tmp_path / "budgets.json").write_text(json.dumps(config_tree))
     env = {**os.environ, "BUDGETS_CONFIG": str(tmp_path / "budgets.json")}
     return subprocess.Popen(
         [sys.executable, "-m", "api_gateway.budgets"], env=env, text=True, cwd=ROOT, stderr=subprocess.PIPE
@@ -740,37 +789,40 @@
     "tree, why",
     [
         ({}, "listen"),
-        ({**FILE, "more": 1}, "more"),
-        ({**FILE, "listen": "x"}, "HOST:PORT"),
-        ({**FILE, "terms": {**FILE["terms"], "length": 0.1}}, "length"),
-        ({**FILE, "weights": {"a": 0}}, "weights"),
+        ({**CONFIG, "more": 1}, "more"),
+        ({**CONFIG, "listen": "x"}, "HOST:PORT"),
+        ({**CONFIG, "terms": {**CONFIG["terms"], "length": 0.1}}, "length"),
+        ({**CONFIG, "weights": {"a": 0}}, "weights"),
     ],
 )
-def test_a_bad_configuration_ends_the_start_in_one_line(tree, why, tmp_path):
-    process = started(tmp_path, tree)
+def test_an_invalid_configuration_is_reported_in_one_line(tree, why, tmp_path):
+    process = start_grantor_process(tmp_path, tree)
     _, err = process.communicate(timeout=60)
     assert process.returncode == 2 and err.count("\n") == 1 and why in err
 
 
-def test_a_changed_file_is_taken_whole_or_not_at_all(tmp_path):
-    process = started(tmp_path, FILE)
+def test_a_changed_file_is_applied_completely_or_not_at_all(tmp_path):
+    process = start_grantor_process(tmp_path, CONFIG)
     lines = iter(process.stderr.readline, "")
     assert any("budgets are granted at" in line for line in lines)
-    for terms, word in (({**FILE["terms"], "most": 9}, "nothing changes"), (FILE["terms"], "budgets=2")):
-        (tmp_path / "budgets.json").write_text(json.dumps({**FILE, "terms": terms}))
+    for terms, expected in (
+        ({**CONFIG["terms"], "most": 9}, "nothing changes"),
+        (CONFIG["terms"], "budgets=2"),
+    ):
+        (tmp_path / "budgets.json").write_text(json.dumps({**CONFIG, "terms": terms}))
         process.send_signal(signal.SIGHUP)
-        assert word in next(lines)
+        assert expected in next(lines)
     process.terminate()
     assert process.wait(timeout=30) == 0
     process.stderr.close()
 
 
-def test_a_start_that_takes_shares_away_from_who_hears_nothing_is_refused(tmp_path):
+def test_a_restart_that_changes_fixed_settings_is_rejected(tmp_path):
     log = str(tmp_path / "budgets.db")
     store = GrantStore(tmp_path / "budgets.db")
     store.write({}, LogState(1, True, 4.0, fixed_settings_of(TERMS)), complete=True)
     store.close()
-    terms = {**FILE["terms"], "most": 4}
-    process = started(tmp_path, {**FILE, "terms": terms, "log": log})
+    terms = {**CONFIG["terms"], "most": 4}
+    process = start_grantor_process(tmp_path, {**CONFIG, "terms": terms, "log": log})
     _, err = process.communicate(timeout=60)
     assert process.returncode == 2 and err.count("\n") == 1 and "most is 4.0, and was 8.0" in err
