--- a/api_gateway/budgets/client.py
+++ b/api_gateway/budgets/client.py
@@ -1,4 +1,7 @@
-"""The gateway's client of the grantor. It sends exchanges on schedule and passes the grants to the holder."""
+"""The gateway's client of the grantor.
+
+It sends exchanges on schedule and passes the grants to the holder, which makes all decisions.
+"""
 
 from __future__ import annotations
 
--- a/api_gateway/budgets/grantor.py
+++ b/api_gateway/budgets/grantor.py
@@ -44,7 +44,7 @@
 
 DEMAND_RISE_EXCHANGES = 0.5  # time constant, in exchange intervals, for smoothing a rising demand
 DEMAND_FALL_EXCHANGES = 2.0  # time constant, in exchange intervals, for smoothing a falling demand
-HYSTERESIS_FRACTION = 0.1  # deviation from its target up to which a grant stays, if no gateway goes short
+HYSTERESIS_FRACTION = 0.1  # change of a grant that is too small to make while no gateway goes short
 MIN_DIVISION_INTERVAL_S = 0.2  # minimum time between two divisions of a budget
 ROTATION_INTERVAL_S = 10.0  # time after which indivisible units of a level move to other gateways
 MAX_GATEWAY_NAMES = 4096  # gateways recorded at the same time; exchanges of further ones are rejected
@@ -569,5 +569,5 @@
 
 
 def fixed_while_running(settings: BudgetSettings) -> tuple[int, float, float, float]:
-    """Return the settings that must not change, because gateways are not notified of changes."""
+    """Return the settings that gateways apply without being notified of a change."""
     return (settings.max_gateways, settings.grant_duration, settings.exchange_interval, settings.clock_drift)
--- a/api_gateway/budgets/holder.py
+++ b/api_gateway/budgets/holder.py
@@ -110,9 +110,7 @@
         self.term = 0
         self.was_answered = False
         self.confirm_soon = False
-        self.was_confirming = (
-            False  # whether the last exchange was sent early; two early ones never follow each other
-        )
+        self.was_confirming = False  # whether the last exchange was an early one: never two in a row
         self.is_superseded = False
         self.counts: Counter[str] = Counter()
 
--- a/api_gateway/budgets/service.py
+++ b/api_gateway/budgets/service.py
@@ -57,9 +57,7 @@
         self.server = web.Server(self.handle_call, access_log=None)
         self.listener: AcceptingServer | None = None
         self.writer = ThreadPoolExecutor(1)
-        self.log_waiters: list[
-            asyncio.Future[bool]
-        ] = []  # one per response that must be stored before it is sent
+        self.log_waiters: list[asyncio.Future[bool]] = []  # one per response waiting to be stored
         self.write_requested = asyncio.Event()
         self.tasks: list[asyncio.Task[None]] = []
         self.stored_as_complete = False  # whether the log is marked as containing all grants
@@ -304,9 +302,7 @@
         return error_response(410, "a newer exchange was answered")
     if isinstance(err, TimeoutError):
         return error_response(408, f"no whole body within {BODY_TIMEOUT_S:.0f} s")
-    return error_response(
-        400, " ".join(str(err).split())
-    )  # InvalidExchangeError, or a decoding error of msgspec
+    return error_response(400, " ".join(str(err).split()))  # InvalidExchangeError, or a msgspec error
 
 
 def error_response(status: int, reason: str, **details: Any) -> web.Response:
