--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -87,7 +87,7 @@
             book["kept_mb_by_plans_of_tenants"],
             "a plan for each tenant",
             None,
-            "`policy.customer_accounts.PlanUse`",
+            "`policy.customer_accounts.PlanGrants`",
         ),
         Row(
             "messages in: requests",
--- a/api_gateway/policy/cluster_clock.py
+++ b/api_gateway/policy/cluster_clock.py
@@ -29,7 +29,7 @@
 BEACON_LIFETIME_S = 4.0
 
 # Seconds; a beacon holds its time modulo this, so that it has tenths of a second in its seven digits.
-CYCLE_S = 90_000.0
+TIME_MODULUS_S = 90_000.0
 
 # Seconds in which a beacon counts its time.
 RESOLUTION_S = 0.1
@@ -53,16 +53,16 @@
 WATCH_TIMEOUT_S = 2 * BEACON_LIFETIME_S + 1.0
 
 # Gateways up to which one contradiction is enough to yield: of more, a single one may be wrong.
-SMALL_FLEET = 4
+SMALL_CLUSTER_GATEWAY_COUNT = 4
 
 # Seconds for each gateway, over which their verifications are spread.
 VERIFY_SPREAD_S = 0.1
 
 # Gateways of a fleet, on average, that verify: of more, one read is enough for the rest.
-VERIFIERS = 40
+MEAN_VERIFIER_COUNT = 40
 
 # Own beacons in a row between which a gateway finds no other: then its time is the fleet's.
-CONFIRMING_BEACONS = 8
+CONFIRMING_BEACON_COUNT = 8
 
 
 class Step(Enum):
@@ -71,24 +71,24 @@
     READ = auto()  # whether there is a beacon, and whether it agrees
     CREATE = auto()  # a beacon of this gateway's own
     WITHDRAW = auto()  # takes back what was added to another's beacon
-    VERIFY_ALIVE = auto()  # just before the beacon's end by this gateway's clock
-    VERIFY_GONE = auto()  # just after it
+    VERIFY_PRESENT = auto()  # just before the beacon's end by this gateway's clock
+    VERIFY_EXPIRED = auto()  # just after it
     WATCH = auto()  # for the end of a beacon that contradicts
 
 
-def is_time(total: float) -> bool:
+def is_single_stamp(total: float) -> bool:
     """Return whether a beacon's total is one stamp, and not a sum or a difference of several."""
-    return STAMP_BASE - 0.5 < total < STAMP_BASE + CYCLE_S + 0.5
+    return STAMP_BASE - 0.5 < total < STAMP_BASE + TIME_MODULUS_S + 0.5
 
 
-def is_same(total: float, stamp: float) -> bool:
+def is_same_stamp(total: float, stamp: float) -> bool:
     """Return whether a beacon's total is this stamp, rounding aside."""
     return abs(total - stamp) < RESOLUTION_S / 2
 
 
-def wrapped(seconds: float) -> float:
-    """Return the same difference of two times modulo CYCLE_S, nearest to 0."""
-    return (seconds + CYCLE_S / 2) % CYCLE_S - CYCLE_S / 2
+def wrap_difference(seconds: float) -> float:
+    """Return the same difference of two times modulo TIME_MODULUS_S, nearest to 0."""
+    return (seconds + TIME_MODULUS_S / 2) % TIME_MODULUS_S - TIME_MODULUS_S / 2
 
 
 class ClusterClock:
@@ -113,23 +113,23 @@
         self._step = Step.READ
         self._is_call_in_flight = False
         # What the call in flight adds.
-        self._stamp = 0.0
+        self._sent_stamp = 0.0
         # The beacon that this gateway made last; 0: none.
-        self._own_beacon = 0.0
+        self._created_stamp = 0.0
         # Beacons that it made without reading another's.
-        self._beacons_in_a_row = 0
+        self._consecutive_beacons = 0
         # The beacon that is verified or watched, 0 for none, and when it was last there.
-        self._observed = 0.0
+        self._observed_stamp = 0.0
         self._observed_at = 0.0
         self._watch_deadline = 0.0
-        self._contradictions = 0
+        self._contradiction_count = 0
         # Whether the counter did not answer: no call is made until it answers others.
         self._is_stalled = False
 
     def start(self, now: float) -> None:
         """Read the beacon at once. A single gateway has nothing to agree on."""
         if self.gateway_count > 1:
-            self._plan(Step.READ, now)
+            self._schedule(Step.READ, now)
 
     def begin_call(self, now: float) -> float:
         """Return the amount to add to the beacon now; its answer goes to `counted`."""
@@ -137,10 +137,10 @@
         self._is_call_in_flight = True
         match self._step:
             case Step.CREATE:
-                self._stamp = self._time_stamp(now)
-                return self._stamp
+                self._sent_stamp = self._time_stamp(now)
+                return self._sent_stamp
             case Step.WITHDRAW:
-                return -self._stamp
+                return -self._sent_stamp
         return 0.0
 
     def on_total(self, now: float, ok: bool, total: float) -> None:
@@ -152,74 +152,74 @@
             self._on_failure(now)
             return
         is_read = self._step not in (Step.CREATE, Step.WITHDRAW)
-        if (is_read and total >= EMPTY_TOTAL_MAX and not is_time(total)) or total < -EMPTY_TOTAL_MAX:
+        if (is_read and total >= EMPTY_TOTAL_MAX and not is_single_stamp(total)) or total < -EMPTY_TOTAL_MAX:
             self._on_corrupt_beacon(now)
             return
         match self._step:
             case Step.READ:
-                self._on_read(now, total)
+                self._on_read_total(now, total)
             case Step.CREATE:
-                self._on_created(now, total)
+                self._on_create_total(now, total)
             case Step.WITHDRAW:
-                self._plan(Step.READ, now + self.rng.uniform(0.0, BEACON_LIFETIME_S / 2))
-            case Step.VERIFY_ALIVE:
-                self._on_verified_alive(now, total)
-            case Step.VERIFY_GONE:
-                self._on_verified_gone(now, total)
+                self._schedule(Step.READ, now + self.rng.uniform(0.0, BEACON_LIFETIME_S / 2))
+            case Step.VERIFY_PRESENT:
+                self._on_verify_present_total(now, total)
+            case Step.VERIFY_EXPIRED:
+                self._on_verify_expired_total(now, total)
             case Step.WATCH:
-                self._on_watched(now, total)
+                self._on_watch_total(now, total)
 
     def on_counter_answer(self, now: float) -> None:
         """Plan what failed again, since the counter has answered another call."""
         if self._is_stalled and not self._is_call_in_flight:
             self._is_stalled = False
-            self._plan(self._step, now + self.rng.uniform(0.0, RETRY_SPREAD_S * self.gateway_count))
+            self._schedule(self._step, now + self.rng.uniform(0.0, RETRY_SPREAD_S * self.gateway_count))
 
-    def _plan(self, step: Step, at: float) -> None:
+    def _schedule(self, step: Step, at: float) -> None:
         self._step = step
         self.next_call_at = at
 
-    def _plan_seldom(self, step: Step, now: float) -> None:
+    def _schedule_at_low_rate(self, step: Step, now: float) -> None:
         """Plan the next call at a rate that doesn't grow with the fleet."""
-        self._plan(step, now + BEACON_LIFETIME_S * self.gateway_count * self.rng.uniform(0.75, 1.25))
+        self._schedule(step, now + BEACON_LIFETIME_S * self.gateway_count * self.rng.uniform(0.75, 1.25))
 
     def _time_stamp(self, now: float) -> float:
         """Return the fleet's time as a beacon holds it."""
-        return STAMP_BASE + round((now + self.offset) % CYCLE_S / RESOLUTION_S) * RESOLUTION_S
+        return STAMP_BASE + round((now + self.offset) % TIME_MODULUS_S / RESOLUTION_S) * RESOLUTION_S
 
     def _age(self, now: float, stamp: float) -> float:
         """Return the seconds since a beacon was made, by the time that this gateway takes for the fleet's."""
-        return wrapped(now + self.offset + STAMP_BASE - stamp)
+        return wrap_difference(now + self.offset + STAMP_BASE - stamp)
 
     def _on_failure(self, now: float) -> None:
         """Go on after a call without answer: a beacon that was watched may have ended meanwhile."""
         if self._step is Step.WATCH and now < self._watch_deadline:
-            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
+            self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
             return
         self.is_synchronizing = False
         self._is_stalled = True
         if self._step is not Step.WITHDRAW:
             self._step = Step.READ
-        self._plan_seldom(self._step, now)
+        self._schedule_at_low_rate(self._step, now)
 
     def _on_corrupt_beacon(self, now: float) -> None:
         """Go on after a beacon that holds what calls without answers have added: it says nothing."""
         if self._step is Step.WATCH and now < self._watch_deadline:
-            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
+            self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
             return
         self.is_synchronizing = False
-        self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * BEACON_LIFETIME_S)
+        self._schedule(Step.READ, now + self.rng.uniform(0.5, 1.0) * BEACON_LIFETIME_S)
 
-    def _on_read(self, now: float, total: float) -> None:
+    def _on_read_total(self, now: float, total: float) -> None:
         if total < EMPTY_TOTAL_MAX:
-            self._plan(Step.CREATE, now)
-        elif is_same(total, self._own_beacon):
-            self._plan(Step.READ, now + self.rng.uniform(0.5, 1.0) * BEACON_LIFETIME_S)
+            self._schedule(Step.CREATE, now)
+        elif is_same_stamp(total, self._created_stamp):
+            self._schedule(Step.READ, now + self.rng.uniform(0.5, 1.0) * BEACON_LIFETIME_S)
         elif -TOLERANCE_S <= self._age(now, total) <= BEACON_LIFETIME_S + TOLERANCE_S:
-            self._beacons_in_a_row = 0
+            self._consecutive_beacons = 0
             self._on_agreement(now, total)
         else:
-            self._beacons_in_a_row = 0
+            self._consecutive_beacons = 0
             self._on_contradiction(now, total)
 
     def _on_agreement(self, now: float, total: float) -> None:
@@ -227,100 +227,104 @@
 
         A confirmed gateway needs no other; of the rest some verify.
         """
-        is_first = self._observed == 0.0
+        is_first = self._observed_stamp == 0.0
         if not self.is_confirmed and is_first:
-            self.is_confirmed = self.rng.random() * self.gateway_count >= VERIFIERS
+            self.is_confirmed = self.rng.random() * self.gateway_count >= MEAN_VERIFIER_COUNT
         if self.is_confirmed:
-            self._plan_seldom(Step.READ, now)
+            self._schedule_at_low_rate(Step.READ, now)
             return
-        self._observed = total
-        if self.gateway_count > SMALL_FLEET and is_first:  # later, each at a moment of its own
-            self._plan(Step.READ, now + self.rng.uniform(0.0, VERIFY_SPREAD_S * self.gateway_count))
+        self._observed_stamp = total
+        if (
+            self.gateway_count > SMALL_CLUSTER_GATEWAY_COUNT and is_first
+        ):  # later, each at a moment of its own
+            self._schedule(Step.READ, now + self.rng.uniform(0.0, VERIFY_SPREAD_S * self.gateway_count))
             return
         end = now - self._age(now, total) + BEACON_LIFETIME_S
-        self._plan(Step.VERIFY_ALIVE, max(now, end - TOLERANCE_S))
+        self._schedule(Step.VERIFY_PRESENT, max(now, end - TOLERANCE_S))
 
-    def _on_verified_alive(self, now: float, total: float) -> None:
-        if not is_same(total, self._observed):
+    def _on_verify_present_total(self, now: float, total: float) -> None:
+        if not is_same_stamp(total, self._observed_stamp):
             self._on_contradiction(now, total)
             return
         self._observed_at = now
         end = now - self._age(now, total) + BEACON_LIFETIME_S
-        self._plan(Step.VERIFY_GONE, max(now, end + TOLERANCE_S))
+        self._schedule(Step.VERIFY_EXPIRED, max(now, end + TOLERANCE_S))
 
-    def _on_verified_gone(self, now: float, total: float) -> None:
-        if is_same(total, self._observed):
+    def _on_verify_expired_total(self, now: float, total: float) -> None:
+        if is_same_stamp(total, self._observed_stamp):
             self._on_contradiction(now, total)
             return
         self.is_confirmed = True
-        self._contradictions = 0
-        self._succeed_beacon(now, total)
+        self._contradiction_count = 0
+        self._replace_expired_beacon(now, total)
 
     def _on_contradiction(self, now: float, total: float) -> None:
         """Go on where this gateway has another time than the fleet, or the beacon's maker has."""
-        self._contradictions += 1
+        self._contradiction_count += 1
         if self.is_confirmed:
-            self._watch_for_end(now, total)
+            self._watch_for_expiry(now, total)
         elif total < EMPTY_TOTAL_MAX:
-            self._plan(Step.CREATE, now)
-        elif self._contradictions < (1 if self.gateway_count <= SMALL_FLEET else 2):
-            self._plan(Step.READ, now + BEACON_LIFETIME_S * self.rng.uniform(1.0, 1.5))
+            self._schedule(Step.CREATE, now)
+        elif self._contradiction_count < (1 if self.gateway_count <= SMALL_CLUSTER_GATEWAY_COUNT else 2):
+            self._schedule(Step.READ, now + BEACON_LIFETIME_S * self.rng.uniform(1.0, 1.5))
         else:
             self.is_synchronizing = True
-            self._watch_for_end(now, total)
+            self._watch_for_expiry(now, total)
 
-    def _watch_for_end(self, now: float, total: float) -> None:
+    def _watch_for_expiry(self, now: float, total: float) -> None:
         self._watch_deadline = now + WATCH_TIMEOUT_S
-        self._observe(now, total)
+        self._record_presence(now, total)
 
-    def _observe(self, now: float, total: float) -> None:
+    def _record_presence(self, now: float, total: float) -> None:
         """Note a beacon as there, and check it again soon."""
-        self._observed = total
+        self._observed_stamp = total
         self._observed_at = now
-        self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
+        self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
 
-    def _on_watched(self, now: float, total: float) -> None:
-        if is_same(total, self._observed) and now < self._watch_deadline:
+    def _on_watch_total(self, now: float, total: float) -> None:
+        if is_same_stamp(total, self._observed_stamp) and now < self._watch_deadline:
             self._observed_at = now
-            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
-        elif is_same(total, self._observed):
+            self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
+        elif is_same_stamp(total, self._observed_stamp):
             self.is_synchronizing = False
-            self._plan_seldom(Step.READ, now)
+            self._schedule_at_low_rate(Step.READ, now)
         elif self.is_confirmed:  # its own time is the fleet's: the next beacon holds it
-            self._succeed_beacon(now, total)
+            self._replace_expired_beacon(now, total)
         elif now - self._observed_at <= 2 * TOLERANCE_S:
-            self._take_time_of_end(now)
+            self._adopt_time_of_expiry(now)
         elif total < EMPTY_TOTAL_MAX:  # the end was somewhere in a time without answers
-            self._plan(Step.WATCH, now + WATCH_INTERVAL_S)
+            self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
         else:
-            self._observe(now, total)
+            self._record_presence(now, total)
 
-    def _take_time_of_end(self, now: float) -> None:
+    def _adopt_time_of_expiry(self, now: float) -> None:
         """Take the fleet's time from the end of the watched beacon, which lay between two answers."""
         ended = (now + self._observed_at) / 2
-        self.offset += wrapped(self._observed - STAMP_BASE + BEACON_LIFETIME_S - (ended + self.offset))
+        self.offset += wrap_difference(
+            self._observed_stamp - STAMP_BASE + BEACON_LIFETIME_S - (ended + self.offset)
+        )
         self.is_synchronizing = False
-        self._contradictions = 0
-        self._observed = 0.0
+        self._contradiction_count = 0
+        self._observed_stamp = 0.0
         # The next beacon confirms it, or contradicts.
-        self._plan(Step.READ, now + self.rng.uniform(0.3, 0.8))
+        self._schedule(Step.READ, now + self.rng.uniform(0.3, 0.8))
 
-    def _succeed_beacon(self, now: float, total: float) -> None:
+    def _replace_expired_beacon(self, now: float, total: float) -> None:
         """Make the next beacon after the end of one, unless another has made it already."""
-        self._observed = 0.0
+        self._observed_stamp = 0.0
         if total < EMPTY_TOTAL_MAX:
-            self._plan(Step.CREATE, now)
+            self._schedule(Step.CREATE, now)
         else:
-            self._plan_seldom(Step.READ, now)
+            self._schedule_at_low_rate(Step.READ, now)
 
-    def _on_created(self, now: float, total: float) -> None:
-        if not is_same(total, self._stamp):
-            self._plan(Step.WITHDRAW, now)  # another was first
+    def _on_create_total(self, now: float, total: float) -> None:
+        if not is_same_stamp(total, self._sent_stamp):
+            self._schedule(Step.WITHDRAW, now)  # another was first
             return
-        self._own_beacon = self._stamp
-        self._beacons_in_a_row += 1
-        self.is_confirmed = self.is_confirmed or self._beacons_in_a_row >= CONFIRMING_BEACONS
+        self._created_stamp = self._sent_stamp
+        self._consecutive_beacons += 1
+        self.is_confirmed = self.is_confirmed or self._consecutive_beacons >= CONFIRMING_BEACON_COUNT
         if self.is_confirmed:
-            self._plan(Step.CREATE, now + BEACON_LIFETIME_S + RESOLUTION_S / 2)
+            self._schedule(Step.CREATE, now + BEACON_LIFETIME_S + RESOLUTION_S / 2)
         else:
-            self._plan(Step.READ, now + BEACON_LIFETIME_S + self.rng.uniform(0.2, 1.0))
+            self._schedule(Step.READ, now + BEACON_LIFETIME_S + self.rng.uniform(0.2, 1.0))
--- a/api_gateway/policy/counter_calls.py
+++ b/api_gateway/policy/counter_calls.py
@@ -16,7 +16,7 @@
 CONGESTION_PRICE_SLOPE = 4.0  # price of a call, in attempts, for each further part of the time-out
 HALF_CONGESTION_GATEWAY_COUNT = 20.0  # gateways at which half the congestion is expected before any answer
 MAX_BACKOFF_S = 1.0  # from a silent counter
-SILENT_FAILURE_COUNT = 2  # failures in a row after which the counter is taken for silent
+BACKOFF_FAILURE_COUNT = 2  # failures in a row after which the counter is taken for silent
 CORRECTION_CALL_VALUE = 0.15  # of a call that only corrects a count, or checks a limit seldom reached
 
 # Counts
@@ -77,7 +77,7 @@
 
     def is_usable(self, now: float) -> bool:
         """Say whether a call may be made now."""
-        is_backing_off = now < self.retry_at and self.failure_count >= SILENT_FAILURE_COUNT
+        is_backing_off = now < self.retry_at and self.failure_count >= BACKOFF_FAILURE_COUNT
         return self.is_enabled and not self.is_clock_wrong and not is_backing_off
 
     def call_probability(self, gain: float) -> float:
@@ -134,7 +134,7 @@
         call = CounterCall(account, epoch) if state is None else OpenAttemptCall(account, epoch, state)
         self.add(stable_hash("open", account.name, epoch), amount, 2 * OPEN_COUNT_EPOCH_S, call)
 
-    def take(self, name: int) -> CounterCall | None:
+    def pop_oldest(self, name: int) -> CounterCall | None:
         """Remove and return the oldest call to a count; None if none is out."""
         if name not in self.pending:
             return None
--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -21,11 +21,13 @@
 # Uncharged use
 UNCHARGED_ALLOWANCE_FRACTION = 0.5  # of this gateway's even part of what is left: may be admitted uncharged
 CHARGE_THRESHOLD_FRACTION = 0.5  # of that allowance: so much uncharged use starts a call that charges it
-FRACTIONAL_SHARE_REFILL = 0.5  # part of the refill counted where the even part of a burst is under a unit,
+FRACTIONAL_QUOTA_REFILL_FRACTION = (
+    0.5  # part of the refill counted where the even part of a burst is under a unit,
+)
 # since there the overdraft of the last window is seldom brought along
 
 # Leases
-MIN_STRANDING_CHANCE = 0.05  # least chance that an unspent leased unit is missed at another gateway
+MIN_STRANDING_PROBABILITY = 0.05  # least chance that an unspent leased unit is missed at another gateway
 
 # Use of plans
 GRANT_RATE_WINDOW_S = 10.0  # over which a plan's granted rate is averaged
@@ -74,35 +76,39 @@
         self.set_plan(plan)
         self.rng = rng
         self.last_request_at = now
-        self.open_attempts_here = 0  # within this gateway's own part of the limit
-        self.waiting_requests: list[str] = []  # ids of those that wait for the pending call
+        self.local_open_attempts = 0  # within this gateway's own part of the limit
+        self.waiting_request_ids: list[str] = []  # ids of those that wait for the pending call
         self.pending_call: LeaseCall | None = None
         self.previous_accounts: list[Account] = []  # in other windows, while these or their attempts last
 
         self.clock_offset = clock_offset
         self.window_length = plan.burst / plan.rate if plan.rate else 1.0
         self.window_phase = stable_hash(self.name, "phase") % 4096 / 4096 * self.window_length
-        self.window_number = self.window_at(now)
+        self.window_number = self.window_number_at(now)
         self.window_started_at = self.window_start(self.window_number)
         self.exhausted_until = 0.0
         self.rounding_draw = rng.random()  # rounds what is less than a request, once a window
 
-        self.lease = 0.0  # leased and not spent
+        self.leased_units = 0.0  # leased and not spent
         self.uncharged_units = 0.0  # admitted and not charged at the counter
         self.uncharged_since = now
         self.unconfirmed_units = 0.0  # charged by calls that got no answer
-        self.unconfirmed_level = 0.0  # admitted, not confirmed as charged nor made good by an even refill
-        self.unconfirmed_level_at = now
-        self.counted_units = 0.0  # in the counter's total from this gateway alone
+        self.unconfirmed_bucket_level = (
+            0.0  # admitted, not confirmed as charged nor made good by an even refill
+        )
+        self.unconfirmed_bucket_updated_at = now
+        self.contributed_units = 0.0  # in the counter's total from this gateway alone
         self.counter_total = 0.0  # as last known, with what was charged since
         self.overdraft = 0.0  # of the window before, which counts in this one
-        self.unseen_overdraft = 0.0  # the same, while this gateway has not brought it along
-        self.lost_units = 0.0  # added to the count of this window by calls that were lost, if they were added
+        self.uncontributed_overdraft = 0.0  # the same, while this gateway has not brought it along
+        self.timed_out_units = (
+            0.0  # added to the count of this window by calls that were lost, if they were added
+        )
         self.carried_units = 0.0  # owed here from earlier windows
         self.others_carried_units = 0.0  # owed by the other gateways from windows of another length
         self.used_units = 0.0  # in this window, here
         self.previous_used_units = 0.0  # in the window before
-        self.lifetime_units = 0.0  # ever
+        self.lifetime_used_units = 0.0  # ever
 
         # An even part of the ceiling is enforced here alone, so that no failure can exceed it. It is empty
         # at the start, since what the gateway's last incarnation used is unknown.
@@ -113,14 +119,14 @@
     def set_plan(self, plan: api.Plan) -> None:
         """Go on under another plan whose windows are of the same length."""
         self.plan = plan
-        self.has_fractional_share = 0 < plan.burst < self.gateway_spread  # an even part is under a unit
+        self.has_fractional_quota = 0 < plan.burst < self.gateway_spread  # an even part is under a unit
 
-    def has_windows_of(self, other: Account) -> bool:
+    def has_same_windows_as(self, other: Account) -> bool:
         """Say whether both have the same windows, by length and by time."""
         is_same_length = math.isclose(self.window_length, other.window_length)
         return is_same_length and self.clock_offset == other.clock_offset
 
-    def window_at(self, now: float) -> int:
+    def window_number_at(self, now: float) -> int:
         """Return the number of the window that `now` lies in."""
         return math.floor((now + self.clock_offset - self.window_phase) / self.window_length)
 
@@ -134,12 +140,12 @@
         What the count holds beyond the burst is an overdraft, which one gateway brings along for all. What
         this gateway admitted and no answer confirmed as charged is known here alone, so it stays owed here.
         """
-        number = self.window_at(now)
+        number = self.window_number_at(now)
         if number == self.window_number:
             return
         refilled = self.plan.burst * (number - self.window_number)
         started_at = self.window_start(number)
-        if self.has_fractional_share:  # a unit admitted here stands for one at each gateway
+        if self.has_fractional_quota:  # a unit admitted here stands for one at each gateway
             carried = 0.0
             overdraft = max(0.0, self.counter_total + self.uncharged_units * self.gateway_spread - refilled)
         else:
@@ -148,19 +154,19 @@
         self.previous_used_units = self.used_units if number == self.window_number + 1 else 0.0
         self.window_number = number
         self.window_started_at = started_at
-        self.lease = 0.0
+        self.leased_units = 0.0
         self.uncharged_units = carried
         self.uncharged_since = started_at
         self.unconfirmed_units = 0.0
-        self.unconfirmed_level = carried
-        self.unconfirmed_level_at = started_at
-        self.counted_units = 0.0
+        self.unconfirmed_bucket_level = carried
+        self.unconfirmed_bucket_updated_at = started_at
+        self.contributed_units = 0.0
         self.used_units = 0.0
         self.exhausted_until = 0.0
         self.counter_total = overdraft
         self.overdraft = overdraft
-        self.unseen_overdraft = 0.0 if self.has_fractional_share else overdraft
-        self.lost_units = 0.0
+        self.uncontributed_overdraft = 0.0 if self.has_fractional_quota else overdraft
+        self.timed_out_units = 0.0
         self.rounding_draw = self.rng.random()
         self.carried_units = carried
         self.others_carried_units = 0.0
@@ -185,30 +191,30 @@
         """
         admitted = self.uncharged_units + self.unanswered_charge()
         spare = max(0.0, refilled - self.confirmed_total())
-        return max(0.0, min(admitted, max(admitted - spare, self.unconfirmed_level_until(end))))
+        return max(0.0, min(admitted, max(admitted - spare, self.unconfirmed_bucket_level_at(end))))
 
-    def unconfirmed_level_until(self, now: float) -> float:
+    def unconfirmed_bucket_level_at(self, now: float) -> float:
         """Return what this gateway's even part of the refill has not made good of its unconfirmed units."""
-        refill = self.plan.rate / self.gateway_spread * (now - self.unconfirmed_level_at)
-        return max(0.0, self.unconfirmed_level - refill)
+        refill = self.plan.rate / self.gateway_spread * (now - self.unconfirmed_bucket_updated_at)
+        return max(0.0, self.unconfirmed_bucket_level - refill)
 
     def confirm_charges(self) -> None:
         """Note that the count holds all that was charged; what was admitted since is not charged yet."""
         self.unconfirmed_units = 0.0
-        self.unconfirmed_level = min(self.unconfirmed_level, self.uncharged_units)
+        self.unconfirmed_bucket_level = min(self.unconfirmed_bucket_level, self.uncharged_units)
 
     def record_use(self, units: float) -> None:
         """Note that units were admitted here."""
         self.used_units += units
-        self.lifetime_units += units
+        self.lifetime_used_units += units
 
     def admit_uncharged(self, now: float, units: float) -> None:
         """Note that units were admitted that no call has charged yet."""
         if not self.uncharged_units:
             self.uncharged_since = now
         self.uncharged_units += units
-        self.unconfirmed_level = self.unconfirmed_level_until(now) + units
-        self.unconfirmed_level_at = now
+        self.unconfirmed_bucket_level = self.unconfirmed_bucket_level_at(now) + units
+        self.unconfirmed_bucket_updated_at = now
 
     def unrefilled_units(self, now: float) -> float:
         """Return what of the uncharged units the refill has not made good, however full the window was."""
@@ -226,7 +232,7 @@
         missing = max(old.unrefilled_units(now), used)
         self.uncharged_units = min(old.carried_units + old.used_units, missing)
         self.carried_units = self.uncharged_units
-        self.unconfirmed_level = self.uncharged_units
+        self.unconfirmed_bucket_level = self.uncharged_units
         self.overdraft = self.window_quota(now) - self.plan.burst + max(0.0, old.overdraft - refill)
         self.others_carried_units = missing - self.carried_units
         self.counter_total = self.overdraft + self.others_carried_units
@@ -236,7 +242,7 @@
 
     def window_quota(self, now: float) -> float:
         """Return the units that all gateways may have used in this window by `now`."""
-        part = FRACTIONAL_SHARE_REFILL if self.has_fractional_share else 1.0
+        part = FRACTIONAL_QUOTA_REFILL_FRACTION if self.has_fractional_quota else 1.0
         return self.plan.burst + part * self.plan.rate * (now - self.window_started_at)
 
     def remaining_units(self, now: float) -> float:
@@ -253,11 +259,11 @@
         left = self.window_quota(now) - self.confirmed_total()
         part = max(0.0, min(self.plan.burst, left)) / self.gateway_spread
         allowed = part if is_counter_failing else part * UNCHARGED_ALLOWANCE_FRACTION
-        return allowed - self.unanswered_charge() + self.refilled_carry(now)
+        return allowed - self.unanswered_charge() + self.refilled_carried_units(now)
 
-    def refilled_carry(self, now: float) -> float:
+    def refilled_carried_units(self, now: float) -> float:
         """Return the carried units that are not in the count and that this gateway's refill has made good."""
-        if self.counted_units:
+        if self.contributed_units:
             return 0.0
         refill = self.plan.rate / self.gateway_spread * (now - self.window_started_at)
         return min(self.carried_units, refill)
@@ -269,7 +275,7 @@
             call_cost: Of one call to the counter, in the value of a usual request.
         """
         used_fraction = min(1.0, self.counter_total / self.plan.burst)
-        stranding_chance = max(MIN_STRANDING_CHANCE, used_fraction * used_fraction)
+        stranding_chance = max(MIN_STRANDING_PROBABILITY, used_fraction * used_fraction)
         size = math.sqrt(call_cost * max(self.previous_used_units, self.used_units) / stranding_chance)
         return max(1, int(min(size, self.plan.burst, max(self.previous_used_units, self.used_units, 1.0))))
 
@@ -284,7 +290,7 @@
         return self.ceiling_units
 
 
-class PlanUse:
+class PlanGrants:
     """What the counter granted to a plan's customers here.
 
     These share their even parts, so while the counter is silent or congested about as much is admitted as
@@ -329,7 +335,7 @@
         self.credit_units = min(limit, self.credit_units + rate * (now - self.credit_updated_at))
         self.credit_updated_at = now
 
-    def unasked_error_cost(self, plan: api.Plan) -> float:
+    def unchecked_admission_cost(self, plan: api.Plan) -> float:
         """Return the expected cost of admitting a unit without asking, in the value of a unit."""
         return (1 - self.granted_fraction) * max(
             MIN_OVER_QUOTA_COST, plan.over_quota_cost - plan.over_quota_weight
@@ -356,18 +362,18 @@
         """
         account = self.accounts.pop(request.customer, None)
         if account is None or account.plan != plan or account.clock_offset != clock_offset:
-            account = self.renewed(
+            account = self.migrate_account(
                 now, account, Account(request, plan, self.started_at, now, self.rng, clock_offset)
             )
         self.accounts[request.customer] = account
         account.last_request_at = now
         oldest = next(iter(self.accounts.values()))
         is_idle = now - oldest.last_request_at > MAX_ACCOUNT_IDLE_S
-        if is_idle and not (oldest.pending_call or oldest.open_attempts_here):
+        if is_idle and not (oldest.pending_call or oldest.local_open_attempts):
             del self.accounts[oldest.name]
         return account
 
-    def renewed(self, now: float, old: Account | None, fresh: Account) -> Account:
+    def migrate_account(self, now: float, old: Account | None, fresh: Account) -> Account:
         """Return the account to go on with: `fresh`, or one whose windows go on under the new plan.
 
         Args:
@@ -378,26 +384,28 @@
         if old is None:
             return fresh
         old.advance_window(now)
-        if old.has_windows_of(fresh):
+        if old.has_same_windows_as(fresh):
             old.set_plan(fresh.plan)
             return old
         previous = [
             account
             for account in (*old.previous_accounts, old)
-            if account.open_attempts_here
+            if account.local_open_attempts
             or account.pending_call
-            or account.window_at(now) == account.window_number
+            or account.window_number_at(now) == account.window_number
         ]
         for account in previous:
-            if account.has_windows_of(fresh) and account.window_at(now) == account.window_number:
+            if account.has_same_windows_as(fresh) and account.window_number_at(now) == account.window_number:
                 account.set_plan(fresh.plan)
-                missed = old.lifetime_units - account.lifetime_units  # its count has not heard of these
+                missed = (
+                    old.lifetime_used_units - account.lifetime_used_units
+                )  # its count has not heard of these
                 account.admit_uncharged(now, missed)
                 account.record_use(missed)
                 fresh = account
                 break
         else:
             fresh.carry_over_from(old, now)
-        fresh.lifetime_units = old.lifetime_units
+        fresh.lifetime_used_units = old.lifetime_used_units
         fresh.previous_accounts = [account for account in previous if account is not fresh]
         return fresh
--- a/api_gateway/policy/open_attempt_limit.py
+++ b/api_gateway/policy/open_attempt_limit.py
@@ -61,9 +61,9 @@
         own_part, shared_part = divmod(plan.max_concurrent, account.gateway_spread)
         excess_chance = self.excess_probability(now, state)
         cost = max(0.0, plan.over_quota_cost - plan.over_quota_weight)
-        if own_part and sum(a.open_attempts_here for a in (account, *account.previous_accounts)) < own_part:
+        if own_part and sum(a.local_open_attempts for a in (account, *account.previous_accounts)) < own_part:
             state.open_attempt_epoch = OWN_PART
-            account.open_attempts_here += 1
+            account.local_open_attempts += 1
         elif shared_part and can_ask and self.is_call_worthwhile(now, excess_chance, cost):
             epoch = int((now + self.cluster_clock.offset) / OPEN_COUNT_EPOCH_S) + 1
             self.counter_calls.count_open_attempt(account, epoch, 1, state)
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -25,7 +25,7 @@
     CHARGE_THRESHOLD_FRACTION,
     MEAN_GAIN,
     Account,
-    PlanUse,
+    PlanGrants,
     stable_hash,
 )
 from api_gateway.policy.endpoint_load import TIMER_RESOLUTION_S
@@ -67,7 +67,9 @@
         self.requests = requests
         self.load_shedder = load_shedder
         self.open_attempts = open_attempts
-        self.plan_usage: dict[tuple[str, int], PlanUse] = {}  # by plan, for first requests and for repeats
+        self.plan_grants: dict[
+            tuple[str, int], PlanGrants
+        ] = {}  # by plan, for first requests and for repeats
         self.timed_out_calls: dict[int, LeaseCall] = {}  # the last one of each count, by its name
         self.mean_priority = 0.0  # a running mean over requests
         self.is_draining = False  # clients are sent away: units leased ahead would lapse unused
@@ -75,9 +77,9 @@
 
     def apply_settings(self, now: float, settings: api.Settings) -> None:
         """Take over the plans of new settings; what is known of the use of earlier plans stays."""
-        for plan, is_repeat in itertools.product(settings.plans, (0, 1)):
-            if (plan, is_repeat) not in self.plan_usage:
-                self.plan_usage[plan, is_repeat] = PlanUse(now, INITIAL_GRANTED_FRACTION[is_repeat])
+        for plan, is_retry in itertools.product(settings.plans, (0, 1)):
+            if (plan, is_retry) not in self.plan_grants:
+                self.plan_grants[plan, is_retry] = PlanGrants(now, INITIAL_GRANTED_FRACTION[is_retry])
         self.max_priority_weight = max(c.priority_weight for c in settings.classes.values())
 
     def record_priority(self, priority: float) -> None:
@@ -96,16 +98,16 @@
         """Return what is left over all gateways after a request's units and those kept from it."""
         return state.account.remaining_units(now) - self.reserved_units(state) - state.request.units
 
-    def take_units(self, now: float, state: RequestState) -> bool:
+    def try_admit_without_call(self, now: float, state: RequestState) -> bool:
         """Admit a request by lease or by allowance; say whether it was admitted."""
         account = state.account
         units = state.request.units
-        if self.spare_units(now, state) + account.lease < 0:
+        if self.spare_units(now, state) + account.leased_units < 0:
             return False
         is_failing = self.counter.failure_count > 0
         allowed = account.uncharged_allowance(now, is_counter_failing=is_failing) - account.uncharged_units
-        if account.lease >= units:
-            account.lease -= units
+        if account.leased_units >= units:
+            account.leased_units -= units
         # What is less than a request is rounded at random, once a window: over all gateways it comes out.
         elif account.remaining_units(now) >= units and allowed >= units * (1 - account.rounding_draw):
             account.admit_uncharged(now, units)
@@ -118,51 +120,51 @@
     def request_units(self, now: float, state: RequestState) -> None:
         """Decide on the units of a new request, and lease more for its customer if that is due."""
         state.account.advance_window(now)
-        use = self.plan_usage[state.plan.name, state.request.is_retry]
+        use = self.plan_grants[state.plan.name, state.request.is_retry]
         relative_priority = state.priority / max(self.mean_priority, 1e-9)
-        gain = relative_priority * min(use.granted_fraction, use.unasked_error_cost(state.plan))
+        gain = relative_priority * min(use.granted_fraction, use.unchecked_admission_cost(state.plan))
         chance = self.counter.call_probability(gain)
-        self.decide_units(now, state, can_ask=self.rng.random() < chance)
+        self.decide_units(now, state, can_wait_for_counter=self.rng.random() < chance)
         self.renew_lease(now, state.account, 1 / max(chance, 1 / MAX_SAMPLE_WEIGHT))
 
-    def decide_units(self, now: float, state: RequestState, *, can_ask: bool) -> None:
+    def decide_units(self, now: float, state: RequestState, *, can_wait_for_counter: bool) -> None:
         """Admit a request, handle it as over quota, or have it wait for a call to the counter.
 
         Args:
             now: The time, s.
             state: The request.
-            can_ask: Whether it may wait for a call.
+            can_wait_for_counter: Whether it may wait for a call.
         """
         account = state.account
         remaining = account.remaining_units(now)
-        if self.take_units(now, state):
+        if self.try_admit_without_call(now, state):
             return
         if now < account.exhausted_until or self.spare_units(now, state) < 0:
             retry_after = (state.request.units - remaining) / account.plan.rate
             self.load_shedder.handle_over_quota(now, state, retry_after)
-        elif can_ask and self.counter.is_usable(now):
-            account.waiting_requests.append(state.request.request_id)
+        elif can_wait_for_counter and self.counter.is_usable(now):
+            account.waiting_request_ids.append(state.request.request_id)
             self.requests.schedule_check(now + 2 * self.counter.timeout + TIMER_RESOLUTION_S, state)
         else:
             self.decide_without_counter(now, state)
 
     def decide_without_counter(self, now: float, state: RequestState) -> None:
         """Decide without the counter: admit a light customer as far as its plan's customers usually are."""
-        use = self.plan_usage[state.plan.name, state.request.is_retry]
+        use = self.plan_grants[state.plan.name, state.request.is_retry]
         units = state.request.units
         use.refill_credit(now)
-        is_likely_granted = use.granted_fraction > use.unasked_error_cost(state.plan)
-        if state.account.has_fractional_share and use.credit_units >= units and is_likely_granted:
+        is_likely_granted = use.granted_fraction > use.unchecked_admission_cost(state.plan)
+        if state.account.has_fractional_quota and use.credit_units >= units and is_likely_granted:
             use.credit_units -= units
             state.account.record_use(units)
             self.open_attempts.request_place(now, state)
         else:
             self.load_shedder.handle_over_quota(now, state, 0.0)
 
-    def waiting(self, account: Account) -> list[RequestState]:
+    def waiting_requests(self, account: Account) -> list[RequestState]:
         """Return the requests that still wait for the account's call."""
         requests = self.requests.requests
-        return [requests[name] for name in account.waiting_requests if name in requests]
+        return [requests[name] for name in account.waiting_request_ids if name in requests]
 
     def renew_lease(self, now: float, account: Account, sample_weight: float = 1.0) -> None:
         """Call the counter if requests wait for it, a charge is due or the lease runs low.
@@ -175,15 +177,15 @@
         if account.pending_call is not None or not self.counter.is_usable(now):
             return
         needed = 0.0
-        if account.waiting_requests:
-            needed = sum(state.request.units for state in self.waiting(account))
+        if account.waiting_request_ids:
+            needed = sum(state.request.units for state in self.waiting_requests(account))
         lease_size = 0
         if not self.is_draining:
             time_cost = CALL_TIME_COST * self.counter.latency_fraction**2
             lease_size = account.lease_size(self.counter.price + time_cost)
         remaining = account.remaining_units(now)
         is_lease_low = (
-            account.lease < lease_size / 2
+            account.leased_units < lease_size / 2
             and remaining > lease_size * account.gateway_spread
             and now >= account.exhausted_until
         )
@@ -191,12 +193,12 @@
         if account.uncharged_units > MIN_CHARGE_UNITS:
             allowance = account.uncharged_allowance(now, is_counter_failing=False)
             is_charge_due = account.uncharged_units > CHARGE_THRESHOLD_FRACTION * allowance
-        if not (needed or is_charge_due or (account.counted_units and is_lease_low)):
+        if not (needed or is_charge_due or (account.contributed_units and is_lease_low)):
             return
-        wanted = max(needed, lease_size) - account.lease if needed else lease_size * is_lease_low
+        wanted = max(needed, lease_size) - account.leased_units if needed else lease_size * is_lease_low
         requested = max(0, int(min(math.ceil(wanted), max(remaining, 0.0))))
         if requested + account.uncharged_units <= 0:
-            self.settle_waiting_requests(now, account)
+            self.decide_waiting_requests(now, account)
             return
         sampled = needed * (min(MAX_SAMPLED_REQUESTS, sample_weight) - 1)
         self.send_lease_call(now, account, requested, sampled, sample_weight)
@@ -229,7 +231,7 @@
         if event.result == "late":
             self.on_late_counter_reply(now, event)
             return
-        call = self.counter_calls.take(event.name)
+        call = self.counter_calls.pop_oldest(event.name)
         if call is None:
             return
         is_ok = event.result == "ok"
@@ -253,12 +255,12 @@
                 account.uncharged_units += call.charged_units  # surely not added: the charge is still owed
                 account.counter_total -= call.charged_units
             else:
-                account.lost_units += call.added_units
+                account.timed_out_units += call.added_units
                 account.unconfirmed_units += call.charged_units  # else silent calls would renew the allowance
                 self.timed_out_calls[event.name] = call
                 while len(self.timed_out_calls) > MAX_TIMED_OUT_CALLS:
                     del self.timed_out_calls[next(iter(self.timed_out_calls))]
-        self.settle_waiting_requests(now, account)
+        self.decide_waiting_requests(now, account)
 
     def on_late_counter_reply(self, now: float, event: api.CounterReply) -> None:
         """Take over a lease whose call had timed out: it is in the count, so it is spent here."""
@@ -279,21 +281,21 @@
         """
         added = call.added_units
         correction = self.missing_units(account, total, added)
-        if not account.counted_units and correction:
-            account.unseen_overdraft = 0.0  # it is brought along here
-        carried = max(account.others_carried_units, account.unseen_overdraft)
-        total = max(total, carried + account.counted_units + added)
+        if not account.contributed_units and correction:
+            account.uncontributed_overdraft = 0.0  # it is brought along here
+        carried = max(account.others_carried_units, account.uncontributed_overdraft)
+        total = max(total, carried + account.contributed_units + added)
         quota = account.window_quota(now)
-        if not account.has_fractional_share:  # a window holds a burst at most: what ran over is gone
+        if not account.has_fractional_quota:  # a window holds a burst at most: what ran over is gone
             used = total + correction - call.requested_units - call.unrefilled_units
             correction += max(0, int(quota - account.plan.burst - used))
-        waiting = self.waiting(account)
+        waiting = self.waiting_requests(account)
         reserved = min((self.reserved_units(state) for state in waiting), default=0.0)
         excess = min(call.requested_units, max(0.0, math.ceil(total + correction + reserved - quota)))
-        account.counted_units += added + correction - excess
+        account.contributed_units += added + correction - excess
         account.counter_total = total + correction - excess
         account.confirm_charges()
-        account.lease += call.requested_units - excess
+        account.leased_units += call.requested_units - excess
         self.record_grant(now, account, waiting, call.sample_weight)
         if self.rng.random() < self.counter.call_probability(CORRECTION_CALL_VALUE):
             correction -= excess  # in congestion the excess stays counted
@@ -308,16 +310,16 @@
             total: The count after a call, in units.
             added: Units that the call added.
         """
-        if account.counted_units:  # less than what is ours alone: a count was lost
-            is_lost = total < account.counted_units + added - TOTAL_ROUNDING_UNITS
-            return account.counted_units if is_lost else 0.0
+        if account.contributed_units:  # less than what is ours alone: a count was lost
+            is_lost = total < account.contributed_units + added - TOTAL_ROUNDING_UNITS
+            return account.contributed_units if is_lost else 0.0
         if total <= added + TOTAL_ROUNDING_UNITS:  # whoever finds the count empty brings the overdraft along
             return account.overdraft
-        if not account.lost_units:
+        if not account.timed_out_units:
             return 0.0
         # A first call that was lost may have filled the count: then nobody finds it empty.
-        others = max(0.0, total - added - account.lost_units)
-        return max(0.0, account.unseen_overdraft - others)
+        others = max(0.0, total - added - account.timed_out_units)
+        return max(0.0, account.uncontributed_overdraft - others)
 
     def record_grant(
         self, now: float, account: Account, waiting: list[RequestState], sample_weight: float
@@ -325,22 +327,22 @@
         """Note in the use of a plan what the waiting requests need and what the lease covers."""
         needed = sum(state.request.units for state in waiting)
         if needed:
-            use = self.plan_usage[account.plan.name, waiting[0].request.is_retry]
-            use.record_grant(now, needed * sample_weight, min(needed, account.lease) * sample_weight)
+            use = self.plan_grants[account.plan.name, waiting[0].request.is_retry]
+            use.record_grant(now, needed * sample_weight, min(needed, account.leased_units) * sample_weight)
 
-    def settle_waiting_requests(self, now: float, account: Account) -> None:
+    def decide_waiting_requests(self, now: float, account: Account) -> None:
         """Decide on the requests that waited for a call, those with the most priority a unit first."""
-        waiting = self.waiting(account)
-        account.waiting_requests = []
+        waiting = self.waiting_requests(account)
+        account.waiting_request_ids = []
         waiting.sort(key=lambda state: -state.priority / max(state.request.units, 1e-9))
         for state in waiting:
             remaining = account.remaining_units(now)
-            if remaining + account.lease < state.request.units:
+            if remaining + account.leased_units < state.request.units:
                 if self.counter.latency_fraction > CONGESTED_LATENCY_FRACTION:
                     # Others wait for the same unit: no call until the window ends.
                     account.exhausted_until = account.window_started_at + account.window_length
                 else:
                     account.exhausted_until = now + max(0.0, 1 - remaining) / account.plan.rate
-            self.decide_units(now, state, can_ask=self.counter.failure_count == 0)
-        if account.waiting_requests:
+            self.decide_units(now, state, can_wait_for_counter=self.counter.failure_count == 0)
+        if account.waiting_request_ids:
             self.renew_lease(now, account)
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -127,4 +127,4 @@
         if state.open_attempt_epoch > 0:
             self.counter_calls.count_open_attempt(state.account, state.open_attempt_epoch, -1)
         elif state.open_attempt_epoch == OWN_PART:
-            state.account.open_attempts_here -= 1
+            state.account.local_open_attempts -= 1
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -79,7 +79,7 @@
         "hosts": n.upstream.max_connections,
         "bodies": n.clients.body_budget.capacity_bytes,
         "classes": dict(n.engine.endpoint_pool.mean_latency),
-        "plans": dict(n.engine.quota.plan_usage),
+        "plans": dict(n.engine.quota.plan_grants),
         "current": n.changes.current,
         "history": n.changes.history,
         "connections": set(n.upstream.connections) | set(n.clients.connections),
--- a/tests/policy/test_cluster_clock.py
+++ b/tests/policy/test_cluster_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from api_gateway.policy.cluster_clock import BEACON_LIFETIME_S, ClusterClock, wrapped
+from api_gateway.policy.cluster_clock import BEACON_LIFETIME_S, ClusterClock, wrap_difference
 
 HOUR = 3600.0
 TICK = 0.01  # s of virtual time
@@ -51,7 +51,7 @@
     def spread(self):
         """The largest difference of two gateways' times."""
         times = [self.now + clock + time.offset for time, clock, _ in self.members]
-        return max(abs(wrapped(a - times[0])) for a in times)
+        return max(abs(wrap_difference(a - times[0])) for a in times)
 
 
 def clocks_of(count, wrong, off, rng):
--- a/tests/policy/test_quota_leases.py
+++ b/tests/policy/test_quota_leases.py
@@ -2,7 +2,7 @@
 from helpers import EngineHarness, actions_of, plan, settings
 
 from api_gateway import interface as api
-from api_gateway.policy.customer_accounts import PlanUse
+from api_gateway.policy.customer_accounts import PlanGrants
 
 
 def served(w, tries, **kw):
@@ -67,7 +67,7 @@
     n = served(w, 60)
     assert n <= 8 / 2 + 2 * (w.now - start) + 4  # the even share, never a lease
     assert all(not j.stage == "units" for j in w.engine.requests_in_flight.values())
-    assert w.engine.accounts["c"].lease == 0
+    assert w.engine.accounts["c"].leased_units == 0
 
 
 def test_silent_counter_calls_back_off():
@@ -233,7 +233,7 @@
         acts = w.request()[1]
         calls, n = calls + actions_of(acts, api.AddToCounter), n + len(actions_of(acts, api.SendAttempt))
     acts = w.handle(api.CounterReply(calls[0].name, "timeout", 0, 0.05))
-    assert w.engine.accounts["c"].lease == 0 and n + len(actions_of(acts, api.SendAttempt)) <= 5
+    assert w.engine.accounts["c"].leased_units == 0 and n + len(actions_of(acts, api.SendAttempt)) <= 5
     assert len(actions_of(acts, api.RejectRequest)) >= 3
 
 
@@ -299,17 +299,17 @@
         calls = actions_of(w.request(units=4)[1], api.AddToCounter)
     w.now += 0.05
     w.handle(api.CounterReply(calls[0].name, "timeout", 0, 0.05))
-    assert w.engine.accounts["c"].lease == 0
+    assert w.engine.accounts["c"].leased_units == 0
     w.handle(api.CounterReply(calls[0].name, "late", calls[0].amount, 0.08))
-    assert w.engine.accounts["c"].lease > 0
+    assert w.engine.accounts["c"].leased_units > 0
     w.handle(
         api.CounterReply(calls[0].name, "late", calls[0].amount, 0.09)
     )  # no call is left that it could belong to
-    assert w.engine.accounts["c"].lease <= calls[0].amount
+    assert w.engine.accounts["c"].leased_units <= calls[0].amount
 
 
 def test_what_may_pass_unasked_follows_the_grants_within_seconds_of_a_start():
-    use = PlanUse(100.0, 0.7)  # the first request comes much later
+    use = PlanGrants(100.0, 0.7)  # the first request comes much later
     passed = {}
     for second in range(130, 170):
         use.record_grant(float(second), 2.0, 2.0)
@@ -327,19 +327,20 @@
     acct.overdraft = 3.4376251  # as a fractional burst leaves it
     for name in w.counts:
         w.counts[name] += acct.overdraft
-    acct.counted_units, acct.counter_total = (
-        acct.counted_units + acct.overdraft,
+    acct.contributed_units, acct.counter_total = (
+        acct.contributed_units + acct.overdraft,
         acct.counter_total + acct.overdraft,
     )
     before = {name: total - 4e-7 for name, total in w.counts.items()}  # seven digits of it
     w.counts = dict(before)
-    acct.lease = 0.0
+    acct.leased_units = 0.0
     w.request()
     assert (
-        acct.counted_units < 1.5 * max(before.values()) and max(w.counts.values()) - max(before.values()) <= 8
+        acct.contributed_units < 1.5 * max(before.values())
+        and max(w.counts.values()) - max(before.values()) <= 8
     )
     w.counts = {name: 0.0 for name in w.counts}  # one that is lost is added again
-    acct.lease, put = 0.0, acct.counted_units
+    acct.leased_units, put = 0.0, acct.contributed_units
     served(w, 4)
     assert max(w.counts.values()) >= put
 
--- a/tests/policy/test_request_handling.py
+++ b/tests/policy/test_request_handling.py
@@ -297,7 +297,7 @@
             for s in actions_of(w.request(spread=2)[1], api.SendAttempt):
                 w.end_attempt(s)
             w.now += 0.02
-            leased[on] = max(leased[on], w.engine.accounts["c"].lease)
+            leased[on] = max(leased[on], w.engine.accounts["c"].leased_units)
     assert leased[False] >= 2.0 and leased[True] == 0.0
     w.handle(api.DrainChanged(False))
     assert not w.engine.quota.is_draining
--- a/tests/policy/test_settings_change.py
+++ b/tests/policy/test_settings_change.py
@@ -62,12 +62,12 @@
 def test_back_in_the_window_that_was_left_its_count_hears_what_was_spent_meanwhile(seed):
     w = world(seed)
     spend(w, 4)
-    kept, left = w.engine.accounts["c"], w.engine.accounts["c"].lifetime_units
+    kept, left = w.engine.accounts["c"], w.engine.accounts["c"].lifetime_used_units
     change(w, FASTER)
     between = spend(w, 6)
     change(w, OLD)
     spend(w, 1)
-    assert w.engine.accounts["c"] is kept and between == 6 and kept.lifetime_units - left >= 6
+    assert w.engine.accounts["c"] is kept and between == 6 and kept.lifetime_used_units - left >= 6
     assert kept.counter_total + kept.uncharged_units >= left + between
 
 
@@ -96,14 +96,14 @@
     limited = plan(rate=2.0, burst=20.0, max_concurrent=4)
     w = EngineHarness(settings(plans=[limited]))
     out = [s for _ in range(2) for s in actions_of(w.request(spread=2)[1], api.SendAttempt)]
-    assert len(out) == 2 and w.engine.accounts["c"].open_attempts_here == 2
+    assert len(out) == 2 and w.engine.accounts["c"].local_open_attempts == 2
     change(w, plan(rate=3.0, burst=20.0, max_concurrent=4))
     assert actions_of(w.request(spread=2)[1], api.RejectRequest)
     acct = w.engine.accounts["c"]
-    assert acct.open_attempts_here == 0 and acct.previous_accounts[0].open_attempts_here == 2
+    assert acct.local_open_attempts == 0 and acct.previous_accounts[0].local_open_attempts == 2
     for s in out:
         w.end_attempt(s)
-    assert actions_of(w.request(spread=2)[1], api.SendAttempt) and acct.open_attempts_here == 1
+    assert actions_of(w.request(spread=2)[1], api.SendAttempt) and acct.local_open_attempts == 1
 
 
 def test_a_plan_that_went_and_came_back_goes_on_where_it_was():
