--- a/api_gateway/policy/cluster_clock.py
+++ b/api_gateway/policy/cluster_clock.py
@@ -1,17 +1,22 @@
-"""The time of a fleet of gateways, agreed by the counter service where their wall clocks differ.
-
-Windows of quotas are named by time, so gateways whose clocks differ would count one customer under two
-names. The counter is what all of them share, and it forgets a name a fixed time after the name was made: that
-moment is the same for all who watch it. The gateways keep one name there, the beacon, which holds the time
-that the fleet has agreed on. Whoever reads it knows it within LIFETIME; whoever reads it just before and just
-after the beacon is due to be forgotten knows it within TOLERANCE_S.
-
-- A gateway whose clock agrees is confirmed, and from then on yields to nobody: its clock is monotonic.
-- One that is not confirmed and finds another time watches for the beacon's end and takes the fleet's time.
-- A confirmed gateway that made the beacon makes the next one, so that those that start mostly find one.
-- A confirmed gateway that finds another time watches for that beacon's end, too, and makes the next one.
-
-The state machine has no I/O: `call` returns what to add to the beacon, `counted` takes what came of it.
+"""A common time for the gateways of a cluster, agreed through the shared counter.
+
+Quota windows are numbered by time, so gateways with different wall clocks would count one customer under two
+names. All gateways share the counter, and the counter deletes a name a fixed time after the name was created.
+Every gateway that watches a name sees this moment. The gateways keep one name at the counter, the beacon,
+whose value is a stamp of the time that the cluster has agreed on. A gateway that reads the beacon learns this
+time to within BEACON_LIFETIME_S. A gateway that reads it just before and just after its expected expiry
+learns the time to within TOLERANCE_S.
+
+- A gateway whose clock agrees with the beacon becomes confirmed. It never changes its time again, because its
+  clock is monotonic.
+- A gateway that is not confirmed and reads another time watches for the beacon's expiry and adopts the
+  cluster's time.
+- A confirmed gateway that created the beacon creates the next one, so that gateways that start mostly find
+  one.
+- A confirmed gateway that reads another time also watches for that beacon's expiry, and creates the next one.
+
+The state machine does no I/O: `begin_call` returns the amount to add to the beacon, and `on_total` receives
+the result.
 """
 
 from __future__ import annotations
@@ -22,89 +27,94 @@
 
 from api_gateway.policy.customer_accounts import stable_hash
 
-# Name of the number at the counter.
+# Name of the beacon at the counter.
 BEACON_NAME = stable_hash("fleet time")
 
-# Seconds after which the counter forgets a beacon.
+# Seconds after which the counter deletes a beacon.
 BEACON_LIFETIME_S = 4.0
 
-# Seconds; a beacon holds its time modulo this, so that it has tenths of a second in its seven digits.
+# Modulus of the time in a beacon, in seconds. With it, tenths of a second fit into the seven digits of the
+# counter's totals.
 TIME_MODULUS_S = 90_000.0
 
-# Seconds in which a beacon counts its time.
+# Seconds between two adjacent times that a beacon can hold.
 RESOLUTION_S = 0.1
 
-# Added to each time: two stamps in one beacon, or one taken off it, cannot pass for a time.
+# Offset of each stamp, so that the sum or the difference of two stamps is never taken for a time.
 STAMP_BASE = 100_000.0
 
-# A total below this is that of a name without a beacon, rounding aside; one below its negative is corrupt.
+# Totals below this are those of a name without a beacon; the margin allows for rounding. Totals below the
+# negative of this are corrupt.
 EMPTY_TOTAL_MAX = 0.5
 
-# Seconds by which gateways may differ.
+# Seconds by which the times of gateways may differ.
 TOLERANCE_S = 0.2
 
-# Seconds between two checks for the end of a beacon.
+# Seconds between two checks for the expiry of a beacon.
 WATCH_INTERVAL_S = 0.1
 
-# Seconds for each gateway, over which they call again once the counter answers again.
+# Seconds per gateway over which the gateways spread their calls once the counter answers again.
 RETRY_SPREAD_S = 0.02
 
-# Seconds for which a gateway watches for an end before it gives up.
+# Seconds after which a gateway stops watching for an expiry.
 WATCH_TIMEOUT_S = 2 * BEACON_LIFETIME_S + 1.0
 
-# Gateways up to which one contradiction is enough to yield: of more, a single one may be wrong.
+# Number of gateways up to which one contradiction makes a gateway yield. In larger clusters a single
+# contradicting beacon may be the one that is wrong.
 SMALL_CLUSTER_GATEWAY_COUNT = 4
 
-# Seconds for each gateway, over which their verifications are spread.
+# Seconds per gateway over which the gateways spread their verifications.
 VERIFY_SPREAD_S = 0.1
 
-# Gateways of a fleet, on average, that verify: of more, one read is enough for the rest.
+# Mean number of gateways of a cluster that verify the beacon. In larger clusters one read is enough for the
+# others.
 MEAN_VERIFIER_COUNT = 40
 
-# Own beacons in a row between which a gateway finds no other: then its time is the fleet's.
+# Number of consecutive beacons that a gateway creates without reading another's, after which its time is the
+# cluster's.
 CONFIRMING_BEACON_COUNT = 8
 
 
 class Step(Enum):
-    """What the call in flight, or the one that is due next, is for."""
+    """Purpose of the call that is in flight or due next."""
 
-    READ = auto()  # whether there is a beacon, and whether it agrees
-    CREATE = auto()  # a beacon of this gateway's own
-    WITHDRAW = auto()  # takes back what was added to another's beacon
-    VERIFY_PRESENT = auto()  # just before the beacon's end by this gateway's clock
-    VERIFY_EXPIRED = auto()  # just after it
-    WATCH = auto()  # for the end of a beacon that contradicts
+    READ = auto()  # check whether there is a beacon and whether it agrees
+    CREATE = auto()  # create a beacon
+    WITHDRAW = auto()  # subtract the stamp that was added to another gateway's beacon
+    VERIFY_PRESENT = auto()  # read just before the beacon's expected expiry
+    VERIFY_EXPIRED = auto()  # read just after the beacon's expected expiry
+    WATCH = auto()  # wait for the expiry of a contradicting beacon
 
 
 def is_single_stamp(total: float) -> bool:
-    """Return whether a beacon's total is one stamp, and not a sum or a difference of several."""
+    """Return whether a beacon's total is one stamp, rather than a sum or difference of several."""
     return STAMP_BASE - 0.5 < total < STAMP_BASE + TIME_MODULUS_S + 0.5
 
 
 def is_same_stamp(total: float, stamp: float) -> bool:
-    """Return whether a beacon's total is this stamp, rounding aside."""
+    """Return whether a beacon's total is this stamp, apart from rounding."""
     return abs(total - stamp) < RESOLUTION_S / 2
 
 
 def wrap_difference(seconds: float) -> float:
-    """Return the same difference of two times modulo TIME_MODULUS_S, nearest to 0."""
+    """Return a difference of two times modulo TIME_MODULUS_S, as the value nearest to 0."""
     return (seconds + TIME_MODULUS_S / 2) % TIME_MODULUS_S - TIME_MODULUS_S / 2
 
 
 class ClusterClock:
-    """The state machine of one gateway. Times are in seconds of the module's clock.
+    """The state machine of one gateway. Times are in seconds of the engine's clock.
 
     Attributes:
-        gateways: Gateways of the fleet; the engine sets it when settings change.
-        offset: Seconds by which the fleet's time is ahead of the module's clock.
-        due: When `call` is next.
-        synchronizing: Whether this gateway knows that it has another time than the fleet, and not yet which.
-        is_confirmed: Whether this gateway's time is the fleet's.
+        gateway_count: Number of gateways in the cluster; the engine updates it when settings change.
+        offset: Seconds by which the cluster's time is ahead of the engine's clock.
+        next_call_at: Time at which `begin_call` is due.
+        is_synchronizing: Whether this gateway's time differs from the cluster's, which it does not know yet.
+        is_confirmed: Whether this gateway's time is the cluster's.
     """
 
-    def __init__(self, gateways: int, rng: random.Random) -> None:
-        """Begin with no difference and nothing due. Draws come from `rng`, which stays the caller's."""
-        self.gateway_count = gateways
+    def __init__(self, gateway_count: int, rng: random.Random) -> None:
+        """Start with offset 0 and no call due. Random numbers are drawn from the caller's `rng`."""
+        self.gateway_count = gateway_count
         self.rng = rng
         self.offset = 0.0
         self.next_call_at = math.inf
@@ -112,27 +122,28 @@
         self.is_synchronizing = False
         self._step = Step.READ
         self._is_call_in_flight = False
-        # What the call in flight adds.
+        # Stamp that the latest CREATE call added.
         self._sent_stamp = 0.0
-        # The beacon that this gateway made last; 0: none.
+        # Stamp of the beacon that this gateway created last; 0: none.
         self._created_stamp = 0.0
-        # Beacons that it made without reading another's.
+        # Beacons that this gateway created without reading another gateway's in between.
         self._consecutive_beacons = 0
-        # The beacon that is verified or watched, 0 for none, and when it was last there.
+        # Stamp of the beacon that is verified or watched, 0 for none, and the last time that it was read.
         self._observed_stamp = 0.0
         self._observed_at = 0.0
         self._watch_deadline = 0.0
         self._contradiction_count = 0
-        # Whether the counter did not answer: no call is made until it answers others.
+        # Whether the counter did not answer. The next call then waits for an answer to another call, or for
+        # a time that grows with the number of gateways.
         self._is_stalled = False
 
     def start(self, now: float) -> None:
-        """Read the beacon at once. A single gateway has nothing to agree on."""
+        """Schedule a read of the beacon now. A single gateway needs no agreement and makes no call."""
         if self.gateway_count > 1:
             self._schedule(Step.READ, now)
 
     def begin_call(self, now: float) -> float:
-        """Return the amount to add to the beacon now; its answer goes to `counted`."""
+        """Return the amount to add to the beacon now; the result of the call goes to `on_total`."""
         self.next_call_at = math.inf
         self._is_call_in_flight = True
         match self._step:
@@ -144,9 +155,9 @@
         return 0.0
 
     def on_total(self, now: float, ok: bool, total: float) -> None:
-        """Take the beacon's total after the call in flight; `ok` is false if the counter did not answer."""
+        """Handle the beacon's total after the call in flight; `ok` is false if the counter did not answer."""
         if not self._is_call_in_flight:
-            return  # a late answer to a call that was given up
+            return  # a late answer to a call that has already ended
         self._is_call_in_flight = False
         if not ok:
             self._on_failure(now)
@@ -170,7 +181,7 @@
                 self._on_watch_total(now, total)
 
     def on_counter_answer(self, now: float) -> None:
-        """Plan what failed again, since the counter has answered another call."""
+        """Repeat the step that failed, because the counter has answered another call."""
         if self._is_stalled and not self._is_call_in_flight:
             self._is_stalled = False
             self._schedule(self._step, now + self.rng.uniform(0.0, RETRY_SPREAD_S * self.gateway_count))
@@ -180,19 +191,22 @@
         self.next_call_at = at
 
     def _schedule_at_low_rate(self, step: Step, now: float) -> None:
-        """Plan the next call at a rate that doesn't grow with the fleet."""
+        """Schedule the next call at a rate that, over all gateways, does not grow with their number."""
         self._schedule(step, now + BEACON_LIFETIME_S * self.gateway_count * self.rng.uniform(0.75, 1.25))
 
     def _time_stamp(self, now: float) -> float:
-        """Return the fleet's time as a beacon holds it."""
+        """Return the cluster's time as a stamp for a beacon."""
         return STAMP_BASE + round((now + self.offset) % TIME_MODULUS_S / RESOLUTION_S) * RESOLUTION_S
 
     def _age(self, now: float, stamp: float) -> float:
-        """Return the seconds since a beacon was made, by the time that this gateway takes for the fleet's."""
+        """Return the seconds since a beacon was created, by this gateway's view of the cluster's time."""
         return wrap_difference(now + self.offset + STAMP_BASE - stamp)
 
     def _on_failure(self, now: float) -> None:
-        """Go on after a call without answer: a beacon that was watched may have ended meanwhile."""
+        """Schedule the next call after one without an answer.
+
+        A watched beacon is checked again soon, because it may have expired meanwhile.
+        """
         if self._step is Step.WATCH and now < self._watch_deadline:
             self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
             return
@@ -203,7 +217,10 @@
         self._schedule_at_low_rate(self._step, now)
 
     def _on_corrupt_beacon(self, now: float) -> None:
-        """Go on after a beacon that holds what calls without answers have added: it says nothing."""
+        """Schedule the next call after a corrupt beacon, one with a sum of stamps from unanswered calls.
+
+        Such a beacon shows no time.
+        """
         if self._step is Step.WATCH and now < self._watch_deadline:
             self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
             return
@@ -223,9 +240,9 @@
             self._on_contradiction(now, total)
 
     def _on_agreement(self, now: float, total: float) -> None:
-        """Take a beacon that agrees as far as one read tells.
+        """Handle a beacon whose stamp agrees with this gateway's time, within the accuracy of one read.
 
-        A confirmed gateway needs no other; of the rest some verify.
+        For a confirmed gateway one read is enough. Some of the others verify the beacon's expiry.
         """
         is_first = self._observed_stamp == 0.0
         if not self.is_confirmed and is_first:
@@ -234,21 +251,19 @@
             self._schedule_at_low_rate(Step.READ, now)
             return
         self._observed_stamp = total
-        if (
-            self.gateway_count > SMALL_CLUSTER_GATEWAY_COUNT and is_first
-        ):  # later, each at a moment of its own
+        if self.gateway_count > SMALL_CLUSTER_GATEWAY_COUNT and is_first:  # verify later, at a random time
             self._schedule(Step.READ, now + self.rng.uniform(0.0, VERIFY_SPREAD_S * self.gateway_count))
             return
-        end = now - self._age(now, total) + BEACON_LIFETIME_S
-        self._schedule(Step.VERIFY_PRESENT, max(now, end - TOLERANCE_S))
+        expires_at = now - self._age(now, total) + BEACON_LIFETIME_S
+        self._schedule(Step.VERIFY_PRESENT, max(now, expires_at - TOLERANCE_S))
 
     def _on_verify_present_total(self, now: float, total: float) -> None:
         if not is_same_stamp(total, self._observed_stamp):
             self._on_contradiction(now, total)
             return
         self._observed_at = now
-        end = now - self._age(now, total) + BEACON_LIFETIME_S
-        self._schedule(Step.VERIFY_EXPIRED, max(now, end + TOLERANCE_S))
+        expires_at = now - self._age(now, total) + BEACON_LIFETIME_S
+        self._schedule(Step.VERIFY_EXPIRED, max(now, expires_at + TOLERANCE_S))
 
     def _on_verify_expired_total(self, now: float, total: float) -> None:
         if is_same_stamp(total, self._observed_stamp):
@@ -259,7 +274,7 @@
         self._replace_expired_beacon(now, total)
 
     def _on_contradiction(self, now: float, total: float) -> None:
-        """Go on where this gateway has another time than the fleet, or the beacon's maker has."""
+        """Handle a beacon that contradicts: this gateway's time or that of the beacon's creator is wrong."""
         self._contradiction_count += 1
         if self.is_confirmed:
             self._watch_for_expiry(now, total)
@@ -276,7 +291,7 @@
         self._record_presence(now, total)
 
     def _record_presence(self, now: float, total: float) -> None:
-        """Note a beacon as there, and check it again soon."""
+        """Record that a beacon is present, and check it again soon."""
         self._observed_stamp = total
         self._observed_at = now
         self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
@@ -288,29 +303,29 @@
         elif is_same_stamp(total, self._observed_stamp):
             self.is_synchronizing = False
             self._schedule_at_low_rate(Step.READ, now)
-        elif self.is_confirmed:  # its own time is the fleet's: the next beacon holds it
+        elif self.is_confirmed:  # this gateway's time is the cluster's, so the next beacon states it
             self._replace_expired_beacon(now, total)
         elif now - self._observed_at <= 2 * TOLERANCE_S:
             self._adopt_time_of_expiry(now)
-        elif total < EMPTY_TOTAL_MAX:  # the end was somewhere in a time without answers
+        elif total < EMPTY_TOTAL_MAX:  # expired at an unknown time without answers
             self._schedule(Step.WATCH, now + WATCH_INTERVAL_S)
         else:
             self._record_presence(now, total)
 
     def _adopt_time_of_expiry(self, now: float) -> None:
-        """Take the fleet's time from the end of the watched beacon, which lay between two answers."""
-        ended = (now + self._observed_at) / 2
+        """Adopt the cluster's time, given that the watched beacon expired between the last two answers."""
+        expired_at = (now + self._observed_at) / 2
         self.offset += wrap_difference(
-            self._observed_stamp - STAMP_BASE + BEACON_LIFETIME_S - (ended + self.offset)
+            self._observed_stamp - STAMP_BASE + BEACON_LIFETIME_S - (expired_at + self.offset)
         )
         self.is_synchronizing = False
         self._contradiction_count = 0
         self._observed_stamp = 0.0
-        # The next beacon confirms it, or contradicts.
+        # The next beacon confirms or contradicts this time.
         self._schedule(Step.READ, now + self.rng.uniform(0.3, 0.8))
 
     def _replace_expired_beacon(self, now: float, total: float) -> None:
-        """Make the next beacon after the end of one, unless another has made it already."""
+        """Create the next beacon after one has expired, unless another gateway has already created it."""
         self._observed_stamp = 0.0
         if total < EMPTY_TOTAL_MAX:
             self._schedule(Step.CREATE, now)
@@ -319,7 +334,7 @@
 
     def _on_create_total(self, now: float, total: float) -> None:
         if not is_same_stamp(total, self._sent_stamp):
-            self._schedule(Step.WITHDRAW, now)  # another was first
+            self._schedule(Step.WITHDRAW, now)  # another gateway created a beacon first
             return
         self._created_stamp = self._sent_stamp
         self._consecutive_beacons += 1
--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -1,7 +1,8 @@
-"""What this gateway knows of customers' quotas: windows, leases, ceilings and the use of plans.
+"""Quota accounting of one gateway: each customer's window, lease and ceiling, and the grants of each plan.
 
-A quota holds over all gateways. A shared counter adds up what they charge in each window; a gateway leases
-units from it ahead of need, or admits a small allowance uncharged and charges that later.
+A quota applies to all gateways together. A shared counter sums the units that they charge in each window. A
+gateway leases units from the counter ahead of need, or admits a small allowance uncharged and charges it
+with its next call.
 """
 
 from __future__ import annotations
@@ -16,40 +17,48 @@
 if TYPE_CHECKING:
     from api_gateway.policy.counter_calls import LeaseCall
 
-MAX_ACCOUNT_IDLE_S = 60.0  # life of an account without requests
+MAX_ACCOUNT_IDLE_S = 60.0  # an account without requests for this long is removed
 
-# Uncharged use
-UNCHARGED_ALLOWANCE_FRACTION = 0.5  # of this gateway's even part of what is left: may be admitted uncharged
-CHARGE_THRESHOLD_FRACTION = 0.5  # of that allowance: so much uncharged use starts a call that charges it
-FRACTIONAL_QUOTA_REFILL_FRACTION = (
-    0.5  # part of the refill counted where the even part of a burst is under a unit,
-)
-# since there the overdraft of the last window is seldom brought along
+# Uncharged admissions
+
+# Fraction of this gateway's even portion of the remaining quota that it may admit uncharged.
+UNCHARGED_ALLOWANCE_FRACTION = 0.5
+# Fraction of that allowance at which the uncharged units are charged by a call.
+CHARGE_THRESHOLD_FRACTION = 0.5
+# Fraction of the refill that is counted where a gateway's even portion of the burst is less than one unit.
+# There the previous window's overdraft is seldom carried over to the counter.
+FRACTIONAL_QUOTA_REFILL_FRACTION = 0.5
 
 # Leases
-MIN_STRANDING_PROBABILITY = 0.05  # least chance that an unspent leased unit is missed at another gateway
 
-# Use of plans
-GRANT_RATE_WINDOW_S = 10.0  # over which a plan's granted rate is averaged
-GRANT_CREDIT_LIMIT_S = 2.0  # of that rate: what may be admitted at once without asking
-MIN_OVER_QUOTA_COST = 0.2  # of a unit forwarded beyond quota, in its own value: it loads what all share
+# Lower bound of the probability that an unspent leased unit is needed at another gateway.
+MIN_STRANDING_PROBABILITY = 0.05
+
+# Grants of plans
+
+GRANT_RATE_WINDOW_S = 10.0  # time over which a plan's granted rate is averaged
+GRANT_CREDIT_LIMIT_S = 2.0  # seconds of the granted rate that may be admitted at once without a call
+# Lower bound of the cost of a unit forwarded over quota, as a fraction of the unit's value. Such a unit loads
+# endpoints that all customers use.
+MIN_OVER_QUOTA_COST = 0.2
 
 # Running means
+
 MEAN_GAIN = 0.05  # weight of a new value
-FAST_MEAN_GAIN = 0.15  # the same where a change must show within a few values
+FAST_MEAN_GAIN = 0.15  # weight of a new value where a change must show within a few values
 
 
 def stable_hash(*parts: object) -> int:
-    """Return a hash of the parts' texts that is the same in each process: 63 bits, not negative."""
+    """Return a non-negative 63-bit hash of the parts' texts that is the same in every process."""
     text = "\x1f".join(str(part) for part in parts).encode()
     return int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
 class Account:
-    """A customer's quota as this gateway sees it, in windows of one length.
+    """A customer's quota as this gateway sees it, in windows of one fixed length.
 
-    A window refills at the plan's rate and holds at most a burst. Units are the plan's; times are seconds
-    of the module's clock.
+    A window refills at the plan's rate and holds at most one burst. Amounts are in the plan's units. Times
+    are in seconds of the engine's clock, the one that `now` arguments come from.
     """
 
     def __init__(
@@ -61,25 +70,26 @@
         rng: random.Random,
         clock_offset: float = 0.0,
     ) -> None:
-        """Begin an account with an empty ceiling and nothing charged.
+        """Create an account with nothing charged and a ceiling that has filled since the gateway's start.
 
         Args:
-            request: The request that needs it.
+            request: The first request of the customer.
             plan: The customer's plan.
-            gateway_started_at: When this gateway began to decide; the ceiling fills up from then on.
+            gateway_started_at: When this gateway started to decide. Its portion of the ceiling is empty then.
             now: The time, s.
-            rng: The gateway's generator; one number is drawn here and one with each new window.
-            clock_offset: s by which the cluster's time, which names the windows, is ahead of `now`.
+            rng: The gateway's generator. One number is drawn here and one in each new window.
+            clock_offset: Seconds by which the cluster's time, which numbers the windows, is ahead of `now`.
         """
         self.name = request.customer
         self.gateway_spread = request.gateway_spread
         self.set_plan(plan)
         self.rng = rng
         self.last_request_at = now
-        self.local_open_attempts = 0  # within this gateway's own part of the limit
-        self.waiting_request_ids: list[str] = []  # ids of those that wait for the pending call
+        self.local_open_attempts = 0  # those admitted by this gateway's portion of the limit
+        self.waiting_request_ids: list[str] = []  # requests that wait for the pending call
         self.pending_call: LeaseCall | None = None
-        self.previous_accounts: list[Account] = []  # in other windows, while these or their attempts last
+        # Accounts of the same customer with other windows, until those windows and their attempts have ended
+        self.previous_accounts: list[Account] = []
 
         self.clock_offset = clock_offset
         self.window_length = plan.burst / plan.rate if plan.rate else 1.0
@@ -87,72 +97,74 @@
         self.window_number = self.window_number_at(now)
         self.window_started_at = self.window_start(self.window_number)
         self.exhausted_until = 0.0
-        self.rounding_draw = rng.random()  # rounds what is less than a request, once a window
+        self.rounding_draw = rng.random()  # rounds allowances smaller than a request, drawn once a window
 
         self.leased_units = 0.0  # leased and not spent
-        self.uncharged_units = 0.0  # admitted and not charged at the counter
+        self.uncharged_units = 0.0  # admitted here and not charged at the counter
         self.uncharged_since = now
-        self.unconfirmed_units = 0.0  # charged by calls that got no answer
-        self.unconfirmed_bucket_level = (
-            0.0  # admitted, not confirmed as charged nor made good by an even refill
-        )
+        self.unconfirmed_units = 0.0  # charged by calls that timed out
+        # Leaky bucket of units that were admitted here and are not confirmed as charged. It drains at this
+        # gateway's even portion of the refill.
+        self.unconfirmed_bucket_level = 0.0
         self.unconfirmed_bucket_updated_at = now
-        self.contributed_units = 0.0  # in the counter's total from this gateway alone
-        self.counter_total = 0.0  # as last known, with what was charged since
-        self.overdraft = 0.0  # of the window before, which counts in this one
-        self.uncontributed_overdraft = 0.0  # the same, while this gateway has not brought it along
-        self.timed_out_units = (
-            0.0  # added to the count of this window by calls that were lost, if they were added
+        self.contributed_units = 0.0  # part of the counter's total that this gateway added
+        self.counter_total = 0.0  # last known total of the window, plus what was charged since
+        self.overdraft = 0.0  # of the previous window, counted as used in this one
+        self.uncontributed_overdraft = (
+            0.0  # the overdraft, or 0 once this gateway has added it to the counter
         )
-        self.carried_units = 0.0  # owed here from earlier windows
+        self.timed_out_units = 0.0  # sent in this window by calls that timed out, so possibly counted
+        self.carried_units = 0.0  # owed by this gateway from earlier windows
         self.others_carried_units = 0.0  # owed by the other gateways from windows of another length
-        self.used_units = 0.0  # in this window, here
-        self.previous_used_units = 0.0  # in the window before
-        self.lifetime_used_units = 0.0  # ever
+        self.used_units = 0.0  # admitted here in this window
+        self.previous_used_units = 0.0  # admitted here in the previous window
+        self.lifetime_used_units = 0.0  # admitted here since the customer's first account was created
 
-        # An even part of the ceiling is enforced here alone, so that no failure can exceed it. It is empty
-        # at the start, since what the gateway's last incarnation used is unknown.
+        # This gateway enforces its even portion of the ceiling by itself, so that the ceiling holds whatever
+        # fails. The portion is empty when the gateway starts, because what the gateway's previous incarnation
+        # used is unknown.
         self.ceiling_updated_at = now
         filled = (now - gateway_started_at) * plan.ceiling_rate
         self.ceiling_units = min(plan.ceiling_burst, filled) / self.gateway_spread
 
     def set_plan(self, plan: api.Plan) -> None:
-        """Go on under another plan whose windows are of the same length."""
+        """Switch to a plan whose windows have the same length."""
         self.plan = plan
-        self.has_fractional_quota = 0 < plan.burst < self.gateway_spread  # an even part is under a unit
+        self.has_fractional_quota = 0 < plan.burst < self.gateway_spread  # the even portion is under a unit
 
     def has_same_windows_as(self, other: Account) -> bool:
-        """Say whether both have the same windows, by length and by time."""
+        """Return whether the windows of both accounts have the same length and the same clock offset."""
         is_same_length = math.isclose(self.window_length, other.window_length)
         return is_same_length and self.clock_offset == other.clock_offset
 
     def window_number_at(self, now: float) -> int:
-        """Return the number of the window that `now` lies in."""
+        """Return the number of the window that contains `now`."""
         return math.floor((now + self.clock_offset - self.window_phase) / self.window_length)
 
     def window_start(self, window_number: int) -> float:
-        """Return when a window begins, by the module's clock."""
+        """Return the start time of a window by the engine's clock."""
         return window_number * self.window_length + self.window_phase - self.clock_offset
 
     def advance_window(self, now: float) -> None:
-        """Turn to the window of `now`: leases lapse, and what is owed is carried into it.
+        """Switch to the window of `now`: leases lapse, and owed units are carried over.
 
-        What the count holds beyond the burst is an overdraft, which one gateway brings along for all. What
-        this gateway admitted and no answer confirmed as charged is known here alone, so it stays owed here.
+        Units that the counter holds above the refill are an overdraft, which one gateway adds to the new
+        window's count for all gateways. Units that this gateway admitted without a confirmed charge are known
+        only here, so this gateway keeps owing them.
         """
-        number = self.window_number_at(now)
-        if number == self.window_number:
+        window_number = self.window_number_at(now)
+        if window_number == self.window_number:
             return
-        refilled = self.plan.burst * (number - self.window_number)
-        started_at = self.window_start(number)
-        if self.has_fractional_quota:  # a unit admitted here stands for one at each gateway
+        refilled = self.plan.burst * (window_number - self.window_number)
+        started_at = self.window_start(window_number)
+        if self.has_fractional_quota:  # assume that each gateway admitted as many uncharged units as this one
             carried = 0.0
             overdraft = max(0.0, self.counter_total + self.uncharged_units * self.gateway_spread - refilled)
         else:
             carried = self.owed_units(started_at, refilled)
             overdraft = max(0.0, self.confirmed_total() - refilled)
-        self.previous_used_units = self.used_units if number == self.window_number + 1 else 0.0
-        self.window_number = number
+        self.previous_used_units = self.used_units if window_number == self.window_number + 1 else 0.0
+        self.window_number = window_number
         self.window_started_at = started_at
         self.leased_units = 0.0
         self.uncharged_units = carried
@@ -172,44 +184,44 @@
         self.others_carried_units = 0.0
 
     def unanswered_charge(self) -> float:
-        """Return the units charged in this window by calls that are out or were lost."""
+        """Return the units charged in this window by calls that are in flight or timed out."""
         call = self.pending_call
         if call is None or call.window_number != self.window_number:
             return self.unconfirmed_units
         return self.unconfirmed_units + call.charged_units
 
     def confirmed_total(self) -> float:
-        """Return the units that the count is known to hold."""
+        """Return the units that the counter is known to hold for this window."""
         return self.counter_total - self.unanswered_charge()
 
     def owed_units(self, end: float, refilled: float) -> float:
-        """Return the units admitted here that no answer confirmed as charged and no refill made good.
+        """Return the units admitted here that are neither confirmed as charged nor covered by the refill.
 
         Args:
-            end: When the window ends, s.
-            refilled: Units by which all windows until then refill the quota.
+            end: The time until which the refill counts, s.
+            refilled: Units by which the quota refills until then, over all windows.
         """
         admitted = self.uncharged_units + self.unanswered_charge()
         spare = max(0.0, refilled - self.confirmed_total())
         return max(0.0, min(admitted, max(admitted - spare, self.unconfirmed_bucket_level_at(end))))
 
     def unconfirmed_bucket_level_at(self, now: float) -> float:
-        """Return what this gateway's even part of the refill has not made good of its unconfirmed units."""
+        """Return the unconfirmed units that this gateway's even portion of the refill has not covered."""
         refill = self.plan.rate / self.gateway_spread * (now - self.unconfirmed_bucket_updated_at)
         return max(0.0, self.unconfirmed_bucket_level - refill)
 
     def confirm_charges(self) -> None:
-        """Note that the count holds all that was charged; what was admitted since is not charged yet."""
+        """Record that the counter holds all charged units; later admissions remain uncharged."""
         self.unconfirmed_units = 0.0
         self.unconfirmed_bucket_level = min(self.unconfirmed_bucket_level, self.uncharged_units)
 
     def record_use(self, units: float) -> None:
-        """Note that units were admitted here."""
+        """Record units that were admitted here."""
         self.used_units += units
         self.lifetime_used_units += units
 
     def admit_uncharged(self, now: float, units: float) -> None:
-        """Note that units were admitted that no call has charged yet."""
+        """Record units that were admitted before a call has charged them."""
         if not self.uncharged_units:
             self.uncharged_since = now
         self.uncharged_units += units
@@ -217,36 +229,40 @@
         self.unconfirmed_bucket_updated_at = now
 
     def unrefilled_units(self, now: float) -> float:
-        """Return what of the uncharged units the refill has not made good, however full the window was."""
+        """Return the uncharged units that the refill since their admission has not covered.
+
+        How full the window was before does not matter.
+        """
         return max(0.0, self.uncharged_units - self.plan.rate * (now - self.uncharged_since))
 
     def carry_over_from(self, old: Account, now: float) -> None:
-        """Take over the use of an account whose windows have another length or another time.
+        """Take over the used units of an account whose windows have another length or clock offset.
 
-        A count in new windows begins from nothing, so each gateway owes what it admitted itself, at most
-        what the refill has not made good, and relies on the others to do the same. This window has refilled
-        nothing so far. Harm: leases that are not spent lapse as at the end of a window.
+        The counter has no total for the new windows yet. Each gateway therefore owes the units that it
+        admitted itself, up to those that the refill has not covered, and relies on the others to do the same.
+        The new window counts as having refilled nothing so far. Unspent leases lapse as at the end of a
+        window, which is the cost of this rule.
         """
         refill = old.window_quota(now) - old.plan.burst
         used = old.counter_total + old.uncharged_units - max(refill, old.overdraft)
-        missing = max(old.unrefilled_units(now), used)
-        self.uncharged_units = min(old.carried_units + old.used_units, missing)
+        outstanding = max(old.unrefilled_units(now), used)
+        self.uncharged_units = min(old.carried_units + old.used_units, outstanding)
         self.carried_units = self.uncharged_units
         self.unconfirmed_bucket_level = self.uncharged_units
         self.overdraft = self.window_quota(now) - self.plan.burst + max(0.0, old.overdraft - refill)
-        self.others_carried_units = missing - self.carried_units
+        self.others_carried_units = outstanding - self.carried_units
         self.counter_total = self.overdraft + self.others_carried_units
         self.previous_used_units = max(old.used_units, old.previous_used_units)
         if old.plan.ceiling_rate:
             self.ceiling_units = min(self.ceiling_units, old.remaining_ceiling(now))
 
     def window_quota(self, now: float) -> float:
-        """Return the units that all gateways may have used in this window by `now`."""
-        part = FRACTIONAL_QUOTA_REFILL_FRACTION if self.has_fractional_quota else 1.0
-        return self.plan.burst + part * self.plan.rate * (now - self.window_started_at)
+        """Return the units that all gateways together may have used in this window by `now`."""
+        refill_fraction = FRACTIONAL_QUOTA_REFILL_FRACTION if self.has_fractional_quota else 1.0
+        return self.plan.burst + refill_fraction * self.plan.rate * (now - self.window_started_at)
 
     def remaining_units(self, now: float) -> float:
-        """Return the units left over all gateways, as far as is known here."""
+        """Return the units left over all gateways, by what this gateway knows."""
         return min(self.plan.burst, self.window_quota(now) - self.counter_total) - self.uncharged_units
 
     def uncharged_allowance(self, now: float, *, is_counter_failing: bool) -> float:
@@ -254,25 +270,29 @@
 
         Args:
             now: The time, s.
-            is_counter_failing: Then the whole even part of what is left may be.
+            is_counter_failing: Whether the counter fails. This gateway's whole even portion of the remaining
+                quota may then be admitted.
         """
-        left = self.window_quota(now) - self.confirmed_total()
-        part = max(0.0, min(self.plan.burst, left)) / self.gateway_spread
-        allowed = part if is_counter_failing else part * UNCHARGED_ALLOWANCE_FRACTION
+        remaining = self.window_quota(now) - self.confirmed_total()
+        even_portion = max(0.0, min(self.plan.burst, remaining)) / self.gateway_spread
+        allowed = even_portion if is_counter_failing else even_portion * UNCHARGED_ALLOWANCE_FRACTION
         return allowed - self.unanswered_charge() + self.refilled_carried_units(now)
 
     def refilled_carried_units(self, now: float) -> float:
-        """Return the carried units that are not in the count and that this gateway's refill has made good."""
+        """Return the carried units that are not in the counter and are covered by this gateway's refill."""
         if self.contributed_units:
             return 0.0
         refill = self.plan.rate / self.gateway_spread * (now - self.window_started_at)
         return min(self.carried_units, refill)
 
     def lease_size(self, call_cost: float) -> int:
-        """Return the units to lease at once: sqrt(call cost x use / chance that one is missed elsewhere).
+        """Return the units to lease with one call.
+
+        The size that balances the cost of calls against leased units that other gateways lack is
+        sqrt(call cost x used units / stranding probability).
 
         Args:
-            call_cost: Of one call to the counter, in the value of a usual request.
+            call_cost: Cost of one call to the counter, relative to the value of an average request.
         """
         used_fraction = min(1.0, self.counter_total / self.plan.burst)
         stranding_chance = max(MIN_STRANDING_PROBABILITY, used_fraction * used_fraction)
@@ -280,7 +300,7 @@
         return max(1, int(min(size, self.plan.burst, max(self.previous_used_units, self.used_units, 1.0))))
 
     def remaining_ceiling(self, now: float) -> float:
-        """Bring the ceiling up to `now` and return the units left under it here; infinite without one."""
+        """Refill the ceiling until `now` and return its units left here; infinite without a ceiling."""
         plan = self.plan
         if not plan.ceiling_rate:
             return math.inf
@@ -291,52 +311,56 @@
 
 
 class PlanGrants:
-    """What the counter granted to a plan's customers here.
+    """What the counter recently granted to the customers of a plan at this gateway.
 
-    These share their even parts, so while the counter is silent or congested about as much is admitted as
-    before. Harm: a flood of one customer takes the part of others of its plan.
+    The customers of a plan draw on one common credit, so that about as much is admitted while the counter is
+    silent or congested as before. The cost is that a flood of one customer uses up the credit of the others.
     """
 
     def __init__(self, now: float, granted_fraction: float) -> None:
-        """Begin without grants.
+        """Create the statistics without any grant.
 
         Args:
             now: The time, s.
-            granted_fraction: Part of the asked units that is taken to be granted until answers show more.
+            granted_fraction: Fraction of the requested units that is assumed to be granted until the first
+                answers.
         """
         self.granted_fraction = granted_fraction
-        self.answer_count = 2  # with those that the first fraction stands for
-        self.granted_rate = 0.0  # units a second, a fading mean
+        self.answer_count = 2  # the initial fraction counts as two answers
+        self.granted_rate = 0.0  # units a second, an exponentially decaying mean
         self.granted_rate_updated_at = now
-        self.credit_units = 0.0  # that may be admitted without asking
+        self.credit_units = 0.0  # may be admitted without a call to the counter
         self.credit_updated_at = now
         self.first_grant_at = math.inf
 
     def record_grant(self, now: float, requested: float, granted: float) -> None:
-        """Take an answer of the counter into account, in units."""
+        """Update the means by an answer of the counter; both amounts are in units."""
         self.refill_credit(now)
         self.answer_count += 1
         fraction = min(1.0, granted / requested)
         self.granted_fraction += max(MEAN_GAIN, 1 / self.answer_count) * (fraction - self.granted_fraction)
-        faded = self.granted_rate * math.exp((self.granted_rate_updated_at - now) / GRANT_RATE_WINDOW_S)
-        self.granted_rate = faded + granted / GRANT_RATE_WINDOW_S
+        decayed_rate = self.granted_rate * math.exp(
+            (self.granted_rate_updated_at - now) / GRANT_RATE_WINDOW_S
+        )
+        self.granted_rate = decayed_rate + granted / GRANT_RATE_WINDOW_S
         self.granted_rate_updated_at = now
         self.first_grant_at = min(self.first_grant_at, now)
 
     def refill_credit(self, now: float) -> None:
-        """Add what the plan's usual rate grants until `now`.
+        """Add the units that the plan's mean granted rate yields until `now`.
 
-        The mean is taken from the first grant on: over its whole window it would be too low for long at each
-        start. Harm: a start with more traffic than usual admits more for a while.
+        The mean is taken over the time since the first grant. Over the whole averaging window it would be too
+        low for long after each start. The cost is that a start with unusually much traffic admits more for a
+        while.
         """
-        observed = max(now - self.first_grant_at, GRANT_RATE_WINDOW_S / 2)
-        rate = self.granted_rate / -math.expm1(-observed / GRANT_RATE_WINDOW_S)
+        observed_s = max(now - self.first_grant_at, GRANT_RATE_WINDOW_S / 2)
+        rate = self.granted_rate / -math.expm1(-observed_s / GRANT_RATE_WINDOW_S)
         limit = max(1.0, rate * GRANT_CREDIT_LIMIT_S)
         self.credit_units = min(limit, self.credit_units + rate * (now - self.credit_updated_at))
         self.credit_updated_at = now
 
     def unchecked_admission_cost(self, plan: api.Plan) -> float:
-        """Return the expected cost of admitting a unit without asking, in the value of a unit."""
+        """Return the expected cost of admitting a unit without a call, relative to the unit's value."""
         return (1 - self.granted_fraction) * max(
             MIN_OVER_QUOTA_COST, plan.over_quota_cost - plan.over_quota_weight
         )
@@ -346,19 +370,19 @@
     """The customers' accounts at this gateway, in order of their last request."""
 
     def __init__(self, now: float, rng: random.Random) -> None:
-        """Begin empty; `now` is when the gateway started to decide."""
+        """Create an empty table; `now` is when the gateway started to decide."""
         self.started_at = now
         self.rng = rng
         self.accounts: dict[str, Account] = {}
 
     def account_for(self, now: float, request: api.Request, plan: api.Plan, clock_offset: float) -> Account:
-        """Return the account of a request's customer, and forget the one that was idle longest.
+        """Return the account of a request's customer, and remove the least recently used one if it is idle.
 
         Args:
             now: The time, s.
             request: The request.
-            plan: The customer's plan by the present settings.
-            clock_offset: s by which the cluster's time is ahead of `now`.
+            plan: The customer's plan in the current settings.
+            clock_offset: Seconds by which the cluster's time is ahead of `now`.
         """
         account = self.accounts.pop(request.customer, None)
         if account is None or account.plan != plan or account.clock_offset != clock_offset:
@@ -373,19 +397,21 @@
             del self.accounts[oldest.name]
         return account
 
-    def migrate_account(self, now: float, old: Account | None, fresh: Account) -> Account:
-        """Return the account to go on with: `fresh`, or one whose windows go on under the new plan.
+    def migrate_account(self, now: float, old: Account | None, new: Account) -> Account:
+        """Return the account to use after a change of plan or clock, with the units used so far.
+
+        This is `new`, or an account whose windows continue unchanged under the new plan.
 
         Args:
             now: The time, s.
-            old: The customer's account so far, if there is one.
-            fresh: A new one for the present plan and time.
+            old: The customer's current account, if there is one.
+            new: An account without any use, for the current plan and clock offset.
         """
         if old is None:
-            return fresh
+            return new
         old.advance_window(now)
-        if old.has_same_windows_as(fresh):
-            old.set_plan(fresh.plan)
+        if old.has_same_windows_as(new):
+            old.set_plan(new.plan)
             return old
         previous = [
             account
@@ -395,17 +421,16 @@
             or account.window_number_at(now) == account.window_number
         ]
         for account in previous:
-            if account.has_same_windows_as(fresh) and account.window_number_at(now) == account.window_number:
-                account.set_plan(fresh.plan)
-                missed = (
-                    old.lifetime_used_units - account.lifetime_used_units
-                )  # its count has not heard of these
-                account.admit_uncharged(now, missed)
-                account.record_use(missed)
-                fresh = account
+            if account.has_same_windows_as(new) and account.window_number_at(now) == account.window_number:
+                account.set_plan(new.plan)
+                # Units admitted under other windows since, which this account's counter does not include
+                missing = old.lifetime_used_units - account.lifetime_used_units
+                account.admit_uncharged(now, missing)
+                account.record_use(missing)
+                new = account
                 break
         else:
-            fresh.carry_over_from(old, now)
-        fresh.lifetime_used_units = old.lifetime_used_units
-        fresh.previous_accounts = [account for account in previous if account is not fresh]
-        return fresh
+            new.carry_over_from(old, now)
+        new.lifetime_used_units = old.lifetime_used_units
+        new.previous_accounts = [account for account in previous if account is not new]
+        return new
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -1,7 +1,7 @@
-"""Admission by quota: units that this gateway leases at the shared counter ahead of need.
+"""Admission by quota: units that this gateway leases from the shared counter ahead of need.
 
-`Quota` decides whether a customer has units left: by lease, by an uncharged allowance, or by a call to the
-counter where that is worth its price.
+`QuotaLeases` decides whether a customer has units left: by its lease, by an uncharged allowance, or by a call
+to the counter where the call is worth its price.
 """
 
 from __future__ import annotations
@@ -33,19 +33,26 @@
 from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
 from api_gateway.policy.request_state import RequestState, RequestTable
 
-INITIAL_GRANTED_FRACTION = (0.5, 0.3)  # of first requests and of repeats, taken as granted before any was
-RESERVED_BURST_FRACTION = 0.2  # kept from the class with the lowest priority weight for the highest one
-CALL_TIME_COST = 0.3  # cost of a call's time at the full time-out, for the square of the part of it
-MAX_TIMED_OUT_CALLS = 256  # timed-out calls that are remembered in case their totals come after all
-TOTAL_ROUNDING_UNITS = 0.01  # by which a total may be off: it is written with some digits only
-MAX_SAMPLE_WEIGHT = 20.0  # requests that a call stands for at most in what a plan was granted
-MAX_SAMPLED_REQUESTS = 4.0  # requests that a sampled charge stands for at most: more makes the count jump
-MIN_CHARGE_UNITS = 1.0  # uncharged use up to this starts no call by itself
-COUNT_LIFETIME_WINDOWS = 3  # windows for which the counter is asked to keep a count
+# Fraction of the units that is assumed to be granted before any answer, for first requests and for retries.
+INITIAL_GRANTED_FRACTION = (0.5, 0.3)
+# Fraction of the burst that a class of priority weight 0 leaves for the other classes. The fraction falls in
+# proportion to the weight, to 0 for the highest weight.
+RESERVED_BURST_FRACTION = 0.2
+# Cost of the time of a call that takes the whole call timeout. The cost grows with the square of the latency.
+CALL_TIME_COST = 0.3
+MAX_TIMED_OUT_CALLS = 256  # timed-out calls that are remembered in case their totals arrive late
+TOTAL_ROUNDING_UNITS = 0.01  # tolerance for totals, which the counter returns with a limited number of digits
+MAX_SAMPLE_WEIGHT = 20.0  # most requests that one call represents in the grants of a plan
+MAX_SAMPLED_REQUESTS = 4.0  # most requests that a sampled charge represents; more make the count jump
+MIN_CHARGE_UNITS = 1.0  # uncharged units up to this number do not start a call by themselves
+COUNT_LIFETIME_WINDOWS = 3  # lifetime of a count that the counter is asked for, in windows
 
 
 class QuotaLeases:
-    """Holds customers to their units by leases from the counter, and light ones by an uncharged allowance."""
+    """Limits customers to their quota, by leases from the counter and by an uncharged allowance.
+
+    A customer with few requests is served from the allowance alone and causes no call per request.
+    """
 
     def __init__(
         self,
@@ -59,7 +66,7 @@
         load_shedder: LoadShedder,
         open_attempts: OpenAttemptLimit,
     ) -> None:
-        """Wire the parts; nothing is known yet of the use of plans."""
+        """Connect the parts and start without grants for any plan."""
         self.rng = rng
         self.counter = counter
         self.cluster_clock = cluster_clock
@@ -67,39 +74,39 @@
         self.requests = requests
         self.load_shedder = load_shedder
         self.open_attempts = open_attempts
-        self.plan_grants: dict[
-            tuple[str, int], PlanGrants
-        ] = {}  # by plan, for first requests and for repeats
-        self.timed_out_calls: dict[int, LeaseCall] = {}  # the last one of each count, by its name
-        self.mean_priority = 0.0  # a running mean over requests
-        self.is_draining = False  # clients are sent away: units leased ahead would lapse unused
+        self.plan_grants: dict[tuple[str, int], PlanGrants] = {}  # by plan and whether it is a retry
+        self.timed_out_calls: dict[int, LeaseCall] = {}  # the latest call to each count, by the count's name
+        self.mean_priority = 0.0  # running mean over requests
+        self.is_draining = False  # while draining, clients leave and units leased ahead would lapse unused
         self.apply_settings(now, settings)
 
     def apply_settings(self, now: float, settings: api.Settings) -> None:
-        """Take over the plans of new settings; what is known of the use of earlier plans stays."""
+        """Add the plans of new settings; the grants of earlier plans remain."""
         for plan, is_retry in itertools.product(settings.plans, (0, 1)):
             if (plan, is_retry) not in self.plan_grants:
                 self.plan_grants[plan, is_retry] = PlanGrants(now, INITIAL_GRANTED_FRACTION[is_retry])
-        self.max_priority_weight = max(c.priority_weight for c in settings.classes.values())
+        self.max_priority_weight = max(
+            service_class.priority_weight for service_class in settings.classes.values()
+        )
 
     def record_priority(self, priority: float) -> None:
-        """Take a new request's priority into the mean."""
+        """Update the mean priority by a new request."""
         gain = MEAN_GAIN if self.mean_priority else 1.0
         self.mean_priority += gain * (priority - self.mean_priority)
 
     def reserved_units(self, state: RequestState) -> float:
-        """Return the units kept from a request for classes that earn more with them."""
+        """Return the units withheld from a request for classes with a higher priority weight."""
         if not self.max_priority_weight:
             return 0.0
-        relative = state.service_class.priority_weight / self.max_priority_weight
-        return RESERVED_BURST_FRACTION * state.plan.burst * (1 - relative)
+        relative_weight = state.service_class.priority_weight / self.max_priority_weight
+        return RESERVED_BURST_FRACTION * state.plan.burst * (1 - relative_weight)
 
     def spare_units(self, now: float, state: RequestState) -> float:
-        """Return what is left over all gateways after a request's units and those kept from it."""
+        """Return the units left over all gateways after a request's units and those reserved from it."""
         return state.account.remaining_units(now) - self.reserved_units(state) - state.request.units
 
     def try_admit_without_call(self, now: float, state: RequestState) -> bool:
-        """Admit a request by lease or by allowance; say whether it was admitted."""
+        """Admit a request by lease or allowance if possible; return whether it was admitted."""
         account = state.account
         units = state.request.units
         if self.spare_units(now, state) + account.leased_units < 0:
@@ -108,7 +115,8 @@
         allowed = account.uncharged_allowance(now, is_counter_failing=is_failing) - account.uncharged_units
         if account.leased_units >= units:
             account.leased_units -= units
-        # What is less than a request is rounded at random, once a window: over all gateways it comes out.
+        # An allowance smaller than a request is rounded at random, by one draw per window. Over all gateways
+        # the expected number of admitted units is right.
         elif account.remaining_units(now) >= units and allowed >= units * (1 - account.rounding_draw):
             account.admit_uncharged(now, units)
         else:
@@ -118,14 +126,14 @@
         return True
 
     def request_units(self, now: float, state: RequestState) -> None:
-        """Decide on the units of a new request, and lease more for its customer if that is due."""
+        """Decide on the units of a new request, and lease more for its customer if a lease is due."""
         state.account.advance_window(now)
-        use = self.plan_grants[state.plan.name, state.request.is_retry]
+        grants = self.plan_grants[state.plan.name, state.request.is_retry]
         relative_priority = state.priority / max(self.mean_priority, 1e-9)
-        gain = relative_priority * min(use.granted_fraction, use.unchecked_admission_cost(state.plan))
-        chance = self.counter.call_probability(gain)
-        self.decide_units(now, state, can_wait_for_counter=self.rng.random() < chance)
-        self.renew_lease(now, state.account, 1 / max(chance, 1 / MAX_SAMPLE_WEIGHT))
+        gain = relative_priority * min(grants.granted_fraction, grants.unchecked_admission_cost(state.plan))
+        probability = self.counter.call_probability(gain)
+        self.decide_units(now, state, can_wait_for_counter=self.rng.random() < probability)
+        self.renew_lease(now, state.account, 1 / max(probability, 1 / MAX_SAMPLE_WEIGHT))
 
     def decide_units(self, now: float, state: RequestState, *, can_wait_for_counter: bool) -> None:
         """Admit a request, handle it as over quota, or have it wait for a call to the counter.
@@ -149,20 +157,24 @@
             self.decide_without_counter(now, state)
 
     def decide_without_counter(self, now: float, state: RequestState) -> None:
-        """Decide without the counter: admit a light customer as far as its plan's customers usually are."""
-        use = self.plan_grants[state.plan.name, state.request.is_retry]
+        """Decide without the counter, by the recent grants of the plan.
+
+        A request is admitted from the plan's credit if its customer's even portion of the burst is less than
+        one unit and its units are likely to be granted.
+        """
+        grants = self.plan_grants[state.plan.name, state.request.is_retry]
         units = state.request.units
-        use.refill_credit(now)
-        is_likely_granted = use.granted_fraction > use.unchecked_admission_cost(state.plan)
-        if state.account.has_fractional_quota and use.credit_units >= units and is_likely_granted:
-            use.credit_units -= units
+        grants.refill_credit(now)
+        is_likely_granted = grants.granted_fraction > grants.unchecked_admission_cost(state.plan)
+        if state.account.has_fractional_quota and grants.credit_units >= units and is_likely_granted:
+            grants.credit_units -= units
             state.account.record_use(units)
             self.open_attempts.request_place(now, state)
         else:
             self.load_shedder.handle_over_quota(now, state, 0.0)
 
     def waiting_requests(self, account: Account) -> list[RequestState]:
-        """Return the requests that still wait for the account's call."""
+        """Return the requests that still wait for the account's pending call."""
         requests = self.requests.requests
         return [requests[name] for name in account.waiting_request_ids if name in requests]
 
@@ -171,14 +183,15 @@
 
         Args:
             now: The time, s.
-            account: The customer's.
-            sample_weight: Requests that each waiting one stands for, with those that were not asked for.
+            account: The customer's account.
+            sample_weight: Number of requests that each waiting request represents, including those that were
+                decided without a call.
         """
         if account.pending_call is not None or not self.counter.is_usable(now):
             return
-        needed = 0.0
+        needed_units = 0.0
         if account.waiting_request_ids:
-            needed = sum(state.request.units for state in self.waiting_requests(account))
+            needed_units = sum(state.request.units for state in self.waiting_requests(account))
         lease_size = 0
         if not self.is_draining:
             time_cost = CALL_TIME_COST * self.counter.latency_fraction**2
@@ -193,26 +206,30 @@
         if account.uncharged_units > MIN_CHARGE_UNITS:
             allowance = account.uncharged_allowance(now, is_counter_failing=False)
             is_charge_due = account.uncharged_units > CHARGE_THRESHOLD_FRACTION * allowance
-        if not (needed or is_charge_due or (account.contributed_units and is_lease_low)):
+        if not (needed_units or is_charge_due or (account.contributed_units and is_lease_low)):
             return
-        wanted = max(needed, lease_size) - account.leased_units if needed else lease_size * is_lease_low
-        requested = max(0, int(min(math.ceil(wanted), max(remaining, 0.0))))
-        if requested + account.uncharged_units <= 0:
+        wanted_units = (
+            max(needed_units, lease_size) - account.leased_units
+            if needed_units
+            else lease_size * is_lease_low
+        )
+        requested_units = max(0, int(min(math.ceil(wanted_units), max(remaining, 0.0))))
+        if requested_units + account.uncharged_units <= 0:
             self.decide_waiting_requests(now, account)
             return
-        sampled = needed * (min(MAX_SAMPLED_REQUESTS, sample_weight) - 1)
-        self.send_lease_call(now, account, requested, sampled, sample_weight)
+        sampled_units = needed_units * (min(MAX_SAMPLED_REQUESTS, sample_weight) - 1)
+        self.send_lease_call(now, account, requested_units, sampled_units, sample_weight)
 
     def send_lease_call(
-        self, now: float, account: Account, requested: float, sampled: float, sample_weight: float
+        self, now: float, account: Account, requested_units: float, sampled_units: float, sample_weight: float
     ) -> None:
-        """Charge what was admitted uncharged and ask for a lease: all amounts in units."""
+        """Charge the uncharged units and request a lease; all amounts are in units."""
         call = LeaseCall(
             account,
             account.window_number,
             charged_units=account.uncharged_units,
-            requested_units=requested,
-            sampled_units=sampled,
+            requested_units=requested_units,
+            sampled_units=sampled_units,
             sample_weight=sample_weight,
             unrefilled_units=account.unrefilled_units(now),
         )
@@ -223,11 +240,11 @@
 
     def add_to_window(self, account: Account, units: float, call: CounterCall) -> None:
         """Send a call that adds units to the count of the account's window."""
-        name = stable_hash(account.name, account.window_number)
-        self.counter_calls.add(name, units, COUNT_LIFETIME_WINDOWS * account.window_length, call)
+        count_name = stable_hash(account.name, account.window_number)
+        self.counter_calls.add(count_name, units, COUNT_LIFETIME_WINDOWS * account.window_length, call)
 
     def on_counter_reply(self, now: float, event: api.CounterReply) -> None:
-        """Handle the end of a call to the counter."""
+        """Handle the result of a call to the counter, or the total of one that had timed out."""
         if event.result == "late":
             self.on_late_counter_reply(now, event)
             return
@@ -244,26 +261,28 @@
             self.open_attempts.on_counter_reply(now, event, call)
 
     def on_lease_reply(self, now: float, event: api.CounterReply, call: LeaseCall) -> None:
-        """Take over a lease, or what is owed when there was no answer, and go on with who waited."""
+        """Apply a lease, or keep the charge owed if the call failed, and decide on the waiting requests."""
         account = call.account
-        account.advance_window(now)  # with the call still out: what it charged may be owed in a new window
+        # The call is still pending here, so that its charge is owed in the new window if one has begun.
+        account.advance_window(now)
         account.pending_call = None
         if call.window_number == account.window_number:
             if event.result == "ok":
                 self.apply_grant(now, account, event.total, call)
             elif event.result != "timeout":
-                account.uncharged_units += call.charged_units  # surely not added: the charge is still owed
+                account.uncharged_units += call.charged_units  # not added, so the charge is still owed
                 account.counter_total -= call.charged_units
             else:
                 account.timed_out_units += call.added_units
-                account.unconfirmed_units += call.charged_units  # else silent calls would renew the allowance
+                # Without this, calls that time out would renew the uncharged allowance.
+                account.unconfirmed_units += call.charged_units
                 self.timed_out_calls[event.name] = call
                 while len(self.timed_out_calls) > MAX_TIMED_OUT_CALLS:
                     del self.timed_out_calls[next(iter(self.timed_out_calls))]
         self.decide_waiting_requests(now, account)
 
     def on_late_counter_reply(self, now: float, event: api.CounterReply) -> None:
-        """Take over a lease whose call had timed out: it is in the count, so it is spent here."""
+        """Apply the lease of a call that had timed out: the counter holds it, so it is spent here."""
         call = self.timed_out_calls.pop(event.name, None)
         if call is not None:
             call.account.advance_window(now)
@@ -271,22 +290,23 @@
                 self.apply_grant(now, call.account, event.total, call)
 
     def apply_grant(self, now: float, account: Account, total: float, call: LeaseCall) -> None:
-        """Take over what the counter's total leaves of a lease, and correct the count where it has to be.
+        """Apply the part of a lease that the counter's total allows, and correct the count if necessary.
 
         Args:
             now: The time, s.
-            account: The customer's, in the window of the call.
+            account: The customer's account, in the window of the call.
             total: The count after the call, in units.
             call: The call.
         """
         added = call.added_units
         correction = self.missing_units(account, total, added)
         if not account.contributed_units and correction:
-            account.uncontributed_overdraft = 0.0  # it is brought along here
-        carried = max(account.others_carried_units, account.uncontributed_overdraft)
-        total = max(total, carried + account.contributed_units + added)
+            account.uncontributed_overdraft = 0.0  # the correction adds the overdraft
+        others_minimum_units = max(account.others_carried_units, account.uncontributed_overdraft)
+        total = max(total, others_minimum_units + account.contributed_units + added)
         quota = account.window_quota(now)
-        if not account.has_fractional_quota:  # a window holds a burst at most: what ran over is gone
+        # A window holds at most one burst. Refill above that is lost, so it is counted as used.
+        if not account.has_fractional_quota:
             used = total + correction - call.requested_units - call.unrefilled_units
             correction += max(0, int(quota - account.plan.burst - used))
         waiting = self.waiting_requests(account)
@@ -298,7 +318,7 @@
         account.leased_units += call.requested_units - excess
         self.record_grant(now, account, waiting, call.sample_weight)
         if self.rng.random() < self.counter.call_probability(CORRECTION_CALL_VALUE):
-            correction -= excess  # in congestion the excess stays counted
+            correction -= excess  # under congestion the excess stays counted
         if correction:
             self.add_to_window(account, correction, CounterCall(account, account.window_number))
 
@@ -306,32 +326,35 @@
         """Return the units that the count lacks and this gateway has to add.
 
         Args:
-            account: The customer's.
+            account: The customer's account.
             total: The count after a call, in units.
             added: Units that the call added.
         """
-        if account.contributed_units:  # less than what is ours alone: a count was lost
+        # A total below this gateway's contribution alone means that the counter lost the count.
+        if account.contributed_units:
             is_lost = total < account.contributed_units + added - TOTAL_ROUNDING_UNITS
             return account.contributed_units if is_lost else 0.0
-        if total <= added + TOTAL_ROUNDING_UNITS:  # whoever finds the count empty brings the overdraft along
+        if total <= added + TOTAL_ROUNDING_UNITS:  # the gateway that finds the count empty adds the overdraft
             return account.overdraft
         if not account.timed_out_units:
             return 0.0
-        # A first call that was lost may have filled the count: then nobody finds it empty.
-        others = max(0.0, total - added - account.timed_out_units)
-        return max(0.0, account.uncontributed_overdraft - others)
+        # A first call that timed out may have been counted. Then no gateway finds the count empty.
+        others_units = max(0.0, total - added - account.timed_out_units)
+        return max(0.0, account.uncontributed_overdraft - others_units)
 
     def record_grant(
         self, now: float, account: Account, waiting: list[RequestState], sample_weight: float
     ) -> None:
-        """Note in the use of a plan what the waiting requests need and what the lease covers."""
-        needed = sum(state.request.units for state in waiting)
-        if needed:
-            use = self.plan_grants[account.plan.name, waiting[0].request.is_retry]
-            use.record_grant(now, needed * sample_weight, min(needed, account.leased_units) * sample_weight)
+        """Record the units that the waiting requests need and the lease covers in the plan's grants."""
+        needed_units = sum(state.request.units for state in waiting)
+        if needed_units:
+            grants = self.plan_grants[account.plan.name, waiting[0].request.is_retry]
+            grants.record_grant(
+                now, needed_units * sample_weight, min(needed_units, account.leased_units) * sample_weight
+            )
 
     def decide_waiting_requests(self, now: float, account: Account) -> None:
-        """Decide on the requests that waited for a call, those with the most priority a unit first."""
+        """Decide on the requests that waited for a call, in descending order of priority per unit."""
         waiting = self.waiting_requests(account)
         account.waiting_request_ids = []
         waiting.sort(key=lambda state: -state.priority / max(state.request.units, 1e-9))
@@ -339,7 +362,7 @@
             remaining = account.remaining_units(now)
             if remaining + account.leased_units < state.request.units:
                 if self.counter.latency_fraction > CONGESTED_LATENCY_FRACTION:
-                    # Others wait for the same unit: no call until the window ends.
+                    # Other requests wait for the same units, so no call is made until the window ends.
                     account.exhausted_until = account.window_started_at + account.window_length
                 else:
                     account.exhausted_until = now + max(0.0, 1 - remaining) / account.plan.rate
