--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -110,9 +110,8 @@
         self.contributed_units = 0.0  # part of the counter's total that this gateway added
         self.counter_total = 0.0  # last known total of the window, plus what was charged since
         self.overdraft = 0.0  # of the previous window, counted as used in this one
-        self.uncontributed_overdraft = (
-            0.0  # the overdraft, or 0 once this gateway has added it to the counter
-        )
+        # The overdraft, or 0 once this gateway has added it to the counter
+        self.uncontributed_overdraft = 0.0
         self.timed_out_units = 0.0  # sent in this window by calls that timed out, so possibly counted
         self.carried_units = 0.0  # owed by this gateway from earlier windows
         self.others_carried_units = 0.0  # owed by the other gateways from windows of another length
--- a/tests/policy/test_long_quota_windows.py
+++ b/tests/policy/test_long_quota_windows.py
@@ -1,4 +1,7 @@
-"""Quotas whose burst takes longer to refill than the counter keeps a name."""
+"""Quotas whose burst takes longer to refill than the counter retains a name.
+
+The counter then deletes the count of a window while the window lasts.
+"""
 
 import heapq
 
@@ -7,25 +10,25 @@
 
 from api_gateway import interface as api
 
-NAME_LIFE_S = 60.0  # for which the counter keeps a name at most, from its first call on
+NAME_LIFETIME_S = 60.0  # longest time that the counter retains a name after its first call
 DURATION_S = 300.0
 
 
-class ForgetfulCounts(dict):
-    """The counter's totals; a name is forgotten when its time is up."""
+class ExpiringCounts(dict):
+    """The counter's totals by name; a name is deleted when its lifetime ends."""
 
     def __init__(self):
         super().__init__()
-        self.now, self.ends = 0.0, []
+        self.now, self.expirations = 0.0, []
 
     def advance(self, now):
         self.now = now
-        while self.ends and self.ends[0][0] <= now:
-            self.pop(heapq.heappop(self.ends)[1], None)
+        while self.expirations and self.expirations[0][0] <= now:
+            self.pop(heapq.heappop(self.expirations)[1], None)
 
     def __setitem__(self, name, total):
         if name not in self:
-            heapq.heappush(self.ends, (self.now + NAME_LIFE_S, name))
+            heapq.heappush(self.expirations, (self.now + NAME_LIFETIME_S, name))
         super().__setitem__(name, total)
 
 
@@ -34,21 +37,22 @@
     "burst, rate", [(30.0, 0.1), (24.0, 0.4), (60.0, 1.0)], ids=["300s", "60s", "60s-larger"]
 )
 def test_a_customer_that_presses_gets_its_burst_and_its_rate(burst, rate, gateways):
-    """Each gateway gets a request in turn, 2 a second, for five minutes."""
-    counts, passed = ForgetfulCounts(), 0
-    fleet = [
+    """The gateways take turns to get a request, 2 a second in total, for five minutes."""
+    counts, admitted = ExpiringCounts(), 0
+    cluster = [
         EngineHarness(settings(plans=[plan(rate=rate, burst=burst)]), seed=seed) for seed in range(gateways)
     ]
-    started_at = fleet[0].now
+    started_at = cluster[0].now
     for turn in range(int(DURATION_S * 2)):
         counts.advance(started_at + turn / 2)
-        world = fleet[turn % gateways]
-        world.counts = counts
-        world.advance(started_at + turn / 2 - world.now, step=0.1)
-        for send in actions_of(world.request(spread=gateways)[1], api.SendAttempt):
-            passed += 1
-            world.end_attempt(send)
+        harness = cluster[turn % gateways]
+        harness.counts = counts
+        harness.advance(started_at + turn / 2 - harness.now, step=0.1)
+        for send in actions_of(harness.request(spread=gateways)[1], api.SendAttempt):
+            admitted += 1
+            harness.end_attempt(send)
     quota = burst + rate * DURATION_S
-    print(f"{passed} of {quota:.0f}")
-    assert passed <= quota + 2 * gateways  # what each may admit before it asks, and one that is rounded
-    assert passed >= 0.8 * quota
+    print(f"{admitted} of {quota:.0f}")
+    # Each admits an allowance before its first call, and a rounded unit.
+    assert admitted <= quota + 2 * gateways
+    assert admitted >= 0.8 * quota
--- a/tests/policy/test_quota_leases_cluster.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -1,4 +1,7 @@
-"""What four gateways with one counter let pass of a customer's requests, against what its quota gives."""
+"""Requests of one customer that four gateways with one counter admit, compared with the customer's quota.
+
+Each scenario bounds the excess over the quota, as a multiple of the burst.
+"""
 
 import asyncio
 import json
@@ -28,31 +31,37 @@
 from api_gateway.policy.customer_accounts import stable_hash
 
 GATEWAYS, RATE, BURST = 4, 2.0, 24.0
-LENGTH = BURST / RATE  # s of a window
-EDGE = 0.3  # s from a window's end at which a crowd comes: all of it is decided before that
+WINDOW_LENGTH_S = BURST / RATE
+EDGE_S = 0.3  # a burst of requests arrives this long before a window ends, and is decided by then
 CUSTOMER = b"00000000b4d65521"
-PHASE = stable_hash(CUSTOMER.decode(), "phase") % 4096 / 4096 * LENGTH  # s: its windows begin so late
-MIDDLE = LENGTH / 2  # s from the window's end at which a part begins that says nothing of the window
+# Offset of the start of the customer's windows.
+PHASE_S = stable_hash(CUSTOMER.decode(), "phase") % 4096 / 4096 * WINDOW_LENGTH_S
+# Time before the window's end at which a scenario starts unless it sets another time itself.
+MIDDLE_S = WINDOW_LENGTH_S / 2
 
 
-class Bucket:
-    """The quota itself: what it gives of units that are asked for at the times of one clock."""
+class TokenBucket:
+    """The exact quota: the units that one token bucket grants to the admitted requests."""
 
     def __init__(self):
-        self.store, self.at, self.inside = BURST, None, 0
+        self.tokens, self.updated_at, self.granted = BURST, None, 0
 
     def take(self, now):
-        self.store = min(BURST, self.store + RATE * (now - (self.at if self.at is not None else now)))
-        self.at = now
-        if self.store >= 1.0:
-            self.store -= 1.0
-            self.inside += 1
+        self.tokens = min(
+            BURST, self.tokens + RATE * (now - (self.updated_at if self.updated_at is not None else now))
+        )
+        self.updated_at = now
+        if self.tokens >= 1.0:
+            self.tokens -= 1.0
+            self.granted += 1
 
 
-class Fleet:
+class Cluster:
+    """Four gateways with one counter, one host and one clock, which the scenarios advance."""
+
     def __init__(self, path, timeout):
         self.path, self.timeout, self.clock, self.stack = path, timeout, GatewayClock(), AsyncExitStack()
-        self.counter, self.quota, self.passed, self.names = StubCounter(), Bucket(), 0, 0
+        self.counter, self.quota, self.admitted, self.request_count = StubCounter(), TokenBucket(), 0, 0
 
     async def __aenter__(self):
         discovery = StubDiscovery()
@@ -62,25 +71,27 @@
         plans = [{"name": "p", "rate": RATE, "most_at_once": BURST}]
         calls = SETTINGS["specifics"] | {"counter_timeout": int(self.timeout * 1e9)}
         settings = SETTINGS | {"group_size": GATEWAYS, "plans": plans, "specifics": calls}
-        self.nodes = [await self.start(n, discovery.port, [entry(host)], settings) for n in range(GATEWAYS)]
+        self.nodes = [
+            await self.start(index, discovery.port, [entry(host)], settings) for index in range(GATEWAYS)
+        ]
         return self
 
-    async def start(self, n, discovery, listed, settings):
-        file = self.path / f"{n}.json"
-        file.write_text(
-            json.dumps(gateway_config(listed, discovery, self.counter.port, settings | {"index": n}))
+    async def start(self, index, discovery_port, listed, settings):
+        config_file = self.path / f"{index}.json"
+        config_file.write_text(
+            json.dumps(gateway_config(listed, discovery_port, self.counter.port, settings | {"index": index}))
         )
-        node = GatewayNode(read_config({"RELAY_CONFIG": str(file)}))
+        node = GatewayNode(read_config({"RELAY_CONFIG": str(config_file)}))
         node.clock = node.dispatcher.clock = node.watch.clock = self.clock
-        # One clock for all, which the parts move on by hand.
+        # All gateways use one clock, which the scenarios advance.
         node.engine.cluster_clock.start = lambda now: None
-        set_in_flight_limit(node, 1000.0)  # hosts have room for all
+        set_in_flight_limit(node, 1000.0)  # the host has capacity for all requests
         node.engine.endpoint_pool.is_at_limit = lambda *_: False
         node.port = await node.start()
-        self.stack.push_async_callback(self.end, node)
+        self.stack.push_async_callback(self.stop, node)
         return node
 
-    async def end(self, node):
+    async def stop(self, node):
         node.watch.timer.cancel()
         node.clients.begin_shutdown()
         node.clients.close()
@@ -91,125 +102,128 @@
     async def __aexit__(self, *_):
         await self.stack.aclose()
 
-    async def ask(self, node, count):
-        """`count` of the customer's requests at once at one gateway."""
+    async def send_requests(self, node, count):
+        """Send `count` requests of the customer to one gateway at once, and count the admitted ones."""
         reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
-        told = terms(spread=str(GATEWAYS), d="60000")
+        request_terms = terms(spread=str(GATEWAYS), d="60000")
         for _ in range(count):
-            self.names += 1
-            writer.write(command(b"r%d" % self.names, told, customer=CUSTOMER))
+            self.request_count += 1
+            writer.write(command(b"r%d" % self.request_count, request_terms, customer=CUSTOMER))
         for _ in range(count):
             if (await read_reply(reader)).startswith(b"$"):
-                self.passed += 1
+                self.admitted += 1
                 self.quota.take(self.clock())
         writer.close()
 
-    async def crowd(self, count):
-        await asyncio.gather(*(self.ask(node, count) for node in self.nodes))
+    async def send_to_all(self, count):
+        """Send `count` requests to each gateway at the same time."""
+        await asyncio.gather(*(self.send_requests(node, count) for node in self.nodes))
 
-    def window(self):
-        """Seconds until the customer's window ends."""
-        return LENGTH - (self.clock() - PHASE) % LENGTH
+    def remaining_window_s(self):
+        """Return the seconds until the customer's window ends."""
+        return WINDOW_LENGTH_S - (self.clock() - PHASE_S) % WINDOW_LENGTH_S
 
-    def to(self, left):
-        """On to where so much of a window is left."""
-        self.clock.epoch += (self.window() - left) % LENGTH
+    def advance_to(self, remaining_s):
+        """Advance the clock until `remaining_s` of a window remain."""
+        self.clock.epoch += (self.remaining_window_s() - remaining_s) % WINDOW_LENGTH_S
 
-    def leases_asked(self):
-        """Calls to the counter, but for those that tell the fleet's time."""
+    def lease_call_count(self):
+        """Return the number of calls to the counter, without those for the cluster's time."""
         return sum(words[1] != b"%d" % BEACON_NAME for words in self.counter.calls)
 
     @property
-    def beyond(self):
-        """In bursts of the quota."""
-        return (self.passed - self.quota.inside) / BURST
+    def excess(self):
+        """Admitted requests over the quota, as a multiple of the burst."""
+        return (self.admitted - self.quota.granted) / BURST
+
 
+async def one_moment(cluster):
+    """The counter answers; each gateway uses its allowance and leases more units."""
+    await cluster.send_to_all(60)
 
-async def one_moment(fleet):
-    """The counter answers; each gateway has its allowance, and leases what it asks for."""
-    await fleet.crowd(60)
 
+async def over_the_end(cluster):
+    """The window ends while calls are in flight.
 
-async def over_the_end(fleet):
-    """One moment, in the midst of which the window ends: each gateway has a call out that the old window's
-    count has, and hears of it in the new one."""
-    fleet.to(EDGE)
-    fleet.counter.silent = True
-    before = fleet.leases_asked()
-    crowd = asyncio.create_task(fleet.crowd(60))
-    await wait_until(lambda: fleet.leases_asked() - before == GATEWAYS)
-    fleet.clock.epoch += fleet.window()
-    fleet.counter.silent = False
-    fleet.counter.answer_all()
-    await crowd
+    Each gateway's call is counted in the old window, and its answer arrives in the new one.
+    """
+    cluster.advance_to(EDGE_S)
+    cluster.counter.silent = True
+    calls_before = cluster.lease_call_count()
+    requests = asyncio.create_task(cluster.send_to_all(60))
+    await wait_until(lambda: cluster.lease_call_count() - calls_before == GATEWAYS)
+    cluster.clock.epoch += cluster.remaining_window_s()
+    cluster.counter.silent = False
+    cluster.counter.answer_all()
+    await requests
 
 
-async def lightly(fleet):
-    """One request at a time at each in turn, of which none need be asked for."""
+async def lightly(cluster):
+    """One request at a time at each gateway in turn, so that no request needs a call."""
     for _ in range(60):
-        for node in fleet.nodes:
-            await fleet.ask(node, 1)
+        for node in cluster.nodes:
+            await cluster.send_requests(node, 1)
 
 
-async def across_the_end(fleet):
-    """Leases of one window, then of the next, as soon as it has begun."""
-    await fleet.crowd(1)
-    fleet.to(EDGE)
-    await fleet.crowd(60)
-    fleet.clock.epoch += 2 * EDGE
-    await fleet.crowd(60)
+async def across_the_end(cluster):
+    """Leases in one window, then in the next one just after its start."""
+    await cluster.send_to_all(1)
+    cluster.advance_to(EDGE_S)
+    await cluster.send_to_all(60)
+    cluster.clock.epoch += 2 * EDGE_S
+    await cluster.send_to_all(60)
 
 
-async def for_three_windows(fleet):
-    """A crowd at each end and each beginning of windows: what ran over must be brought along."""
-    await fleet.crowd(1)
+async def for_three_windows(cluster):
+    """Bursts of requests just before and after the end of each window: overdrafts must be carried over."""
+    await cluster.send_to_all(1)
     for _ in range(3):
-        fleet.to(EDGE)
-        await fleet.crowd(30)
-        fleet.clock.epoch += 2 * EDGE
-        await fleet.crowd(30)
+        cluster.advance_to(EDGE_S)
+        await cluster.send_to_all(30)
+        cluster.clock.epoch += 2 * EDGE_S
+        await cluster.send_to_all(30)
 
 
-async def calls_refused(fleet):
-    """No call is added: what has passed stays owed, and no lease comes."""
-    fleet.counter.switch(Faults(busy=1.0))
-    await one_moment(fleet)
+async def calls_refused(cluster):
+    """No call is counted: admitted units stay owed, and no lease is granted."""
+    cluster.counter.switch(Faults(busy=1.0))
+    await one_moment(cluster)
 
 
-async def calls_lost(fleet):
-    """Each call is added and not answered: its charge is known to none, and its lease spent by nobody."""
-    fleet.counter.silent = True
-    await one_moment(fleet)
+async def calls_lost(cluster):
+    """Each call is counted but not answered: no gateway knows its charge, and none spends its lease."""
+    cluster.counter.silent = True
+    await one_moment(cluster)
 
 
-async def calls_lost_across_the_end(fleet):
-    fleet.counter.silent = True
-    await across_the_end(fleet)
+async def calls_lost_across_the_end(cluster):
+    cluster.counter.silent = True
+    await across_the_end(cluster)
 
 
-async def calls_lost_over_the_end(fleet):
-    """No call is answered, and the window ends in the midst of a crowd."""
-    fleet.to(EDGE)
-    fleet.counter.silent = True
-    before = fleet.leases_asked()
-    crowd = asyncio.create_task(fleet.crowd(60))
-    await wait_until(lambda: fleet.leases_asked() - before >= GATEWAYS)
-    fleet.clock.epoch += fleet.window()
-    await crowd
+async def calls_lost_over_the_end(cluster):
+    """No call is answered, and the window ends while requests wait."""
+    cluster.advance_to(EDGE_S)
+    cluster.counter.silent = True
+    calls_before = cluster.lease_call_count()
+    requests = asyncio.create_task(cluster.send_to_all(60))
+    await wait_until(lambda: cluster.lease_call_count() - calls_before >= GATEWAYS)
+    cluster.clock.epoch += cluster.remaining_window_s()
+    await requests
 
 
-async def some_lost(fleet):
+async def some_lost(cluster):
     """Every third call has no answer."""
-    fleet.counter.switch(Faults(silent=0.33))
-    await for_three_windows(fleet)
+    cluster.counter.switch(Faults(silent=0.33))
+    await for_three_windows(cluster)
 
 
-# In bursts of the quota. An allowance that is not charged yet is half of what is left, at most; where no call
-# is answered rounding is a unit at each gateway. What ran over is brought along by the first call of a
-# window: where that is lost, so is the debt, in each of three windows. What calls that are out or lost at a
-# window's end have charged is owed in the next one.
+# Bounds of the excess, as multiples of the burst. An uncharged allowance is at most half of the remaining
+# quota. Where no call is answered, rounding adds one unit for each gateway. The first call of a window
+# carries the overdraft over. If that call is lost, so is the overdraft, in each of three windows. Units
+# charged by calls that are in flight or lost at a window's end are owed in the next window.
 @pytest.mark.parametrize(
-    "part, bound",
+    "scenario, bound",
     [
         (one_moment, 0.5),
         (over_the_end, 1.5),
@@ -224,11 +238,12 @@
     ],
 )
 @on_loop
-async def test_what_each_part_lets_pass_beyond_a_quota_is_bounded(part, bound, scratch):
-    lost = part in (calls_lost, calls_lost_across_the_end, some_lost, calls_lost_over_the_end)
-    async with Fleet(scratch, 0.08 if lost else 10.0) as fleet:  # no call is late because this machine is
-        fleet.to(MIDDLE)  # a window ends where the part says so, whatever the time of day
-        await part(fleet)
-        print(f"{part.__name__}: of {fleet.passed} that passed {fleet.beyond:.2f} bursts were beyond")
-        assert fleet.beyond <= bound
-        assert fleet.passed >= BURST / 3  # and what it does give is not withheld
+async def test_excess_over_the_quota_is_bounded(scenario, bound, scratch):
+    loses_calls = scenario in (calls_lost, calls_lost_across_the_end, some_lost, calls_lost_over_the_end)
+    # The long timeout keeps a slow machine from causing timeouts.
+    async with Cluster(scratch, 0.08 if loses_calls else 10.0) as cluster:
+        cluster.advance_to(MIDDLE_S)  # independent of the time of day
+        await scenario(cluster)
+        print(f"{scenario.__name__}: {cluster.admitted} admitted, {cluster.excess:.2f} bursts over the quota")
+        assert cluster.excess <= bound
+        assert cluster.admitted >= BURST / 3  # the quota itself is not withheld
