--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -73,7 +73,7 @@
         """Create an account with nothing charged and a ceiling that has filled since the gateway's start.
 
         Args:
-            request: The first request of the customer.
+            request: The customer's request for which the account is created.
             plan: The customer's plan.
             gateway_started_at: When this gateway started to decide. Its portion of the ceiling is empty then.
             now: The time, s.
@@ -117,7 +117,7 @@
         self.others_carried_units = 0.0  # owed by the other gateways from windows of another length
         self.used_units = 0.0  # admitted here in this window
         self.previous_used_units = 0.0  # admitted here in the previous window
-        self.lifetime_used_units = 0.0  # admitted here since the customer's first account was created
+        self.lifetime_used_units = 0.0  # admitted here, over all consecutive accounts of the customer
 
         # This gateway enforces its even portion of the ceiling by itself, so that the ceiling holds whatever
         # fails. The portion is empty when the gateway starts, because what the gateway's previous incarnation
@@ -294,8 +294,8 @@
             call_cost: Cost of one call to the counter, relative to the value of an average request.
         """
         used_fraction = min(1.0, self.counter_total / self.plan.burst)
-        stranding_chance = max(MIN_STRANDING_PROBABILITY, used_fraction * used_fraction)
-        size = math.sqrt(call_cost * max(self.previous_used_units, self.used_units) / stranding_chance)
+        stranding_probability = max(MIN_STRANDING_PROBABILITY, used_fraction * used_fraction)
+        size = math.sqrt(call_cost * max(self.previous_used_units, self.used_units) / stranding_probability)
         return max(1, int(min(size, self.plan.burst, max(self.previous_used_units, self.used_units, 1.0))))
 
     def remaining_ceiling(self, now: float) -> float:
