--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -642,7 +642,7 @@
         "part_queue_p99_ms",
         "`policy.endpoints.EndpointPool.is_at_limit`",
     ),
-    ("of it at hosts that failed it", "part_again_p99_ms", "`policy.retries.Attempts.on_attempt_ended`"),
+    ("of it at hosts that failed it", "part_again_p99_ms", "`policy.retries.AttemptSender.on_attempt_ended`"),
     ("beside it: added in the median", "added_p50_ms", "`gateway.node.GatewayNode`"),
     ("beside it: added where requests are stamped", "stamped_added_p99_ms", "`gateway.node.GatewayNode`"),
     ("beside it: outside of its host through a bare relay", "relay_outside_p99_ms", "the lab's relay"),
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -15,7 +15,7 @@
 from api_gateway.policy.open_attempt_limit import OpenAttemptLimit
 from api_gateway.policy.quota_leases import QuotaLeases
 from api_gateway.policy.request_state import TIMER_SLACK_S, RequestState, RequestTable
-from api_gateway.policy.retries import Attempts, RetryBudget
+from api_gateway.policy.retries import AttemptSender, RetryBudget
 
 WATCH_RETRY_DELAY_S = 1.0  # after the endpoint list failed
 COUNTER_WAIT_TIMEOUTS = 2  # time-outs of the counter for which a request waits for it at most
@@ -49,11 +49,13 @@
         self.counter_calls = CounterCalls(self.actions)
         self.requests = RequestTable(self.counter_calls, self.actions)
         self.retry_budget = RetryBudget(settings.gateway_count)
-        self.attempts = Attempts(settings, self.endpoint_pool, self.requests, self.retry_budget, self.actions)
+        self.attempt_sender = AttemptSender(
+            settings, self.endpoint_pool, self.requests, self.retry_budget, self.actions
+        )
         self.load_shedder = LoadShedder(
-            settings, now, self.rng, self.endpoint_pool, self.requests, self.attempts, self.retry_budget
+            settings, now, self.rng, self.endpoint_pool, self.requests, self.attempt_sender, self.retry_budget
         )
-        self.open_attempts = OpenAttemptLimit(
+        self.open_attempt_limit = OpenAttemptLimit(
             self.rng,
             self.endpoint_pool,
             self.counter,
@@ -71,7 +73,7 @@
             self.counter_calls,
             self.requests,
             self.load_shedder,
-            self.open_attempts,
+            self.open_attempt_limit,
         )
 
     @property
@@ -117,7 +119,7 @@
             case api.Request():
                 self.on_request(now, event)
             case api.AttemptEnded():
-                self.attempts.on_attempt_ended(now, event)
+                self.attempt_sender.on_attempt_ended(now, event)
             case api.CounterReply(name=name) if name == BEACON_NAME:
                 self.on_cluster_clock_reply(now, event)
             case api.CounterReply():
@@ -133,7 +135,7 @@
         """Hand an event of the other kinds to its part; drop what concerns a request that has ended."""
         match event:
             case api.ResponseStarted() if event.request_id in self.requests.requests:
-                self.attempts.on_response_started(self.requests.requests[event.request_id], event)
+                self.attempt_sender.on_response_started(self.requests.requests[event.request_id], event)
             case api.EndpointOverride():
                 self.endpoint_pool.on_override(now, event)
             case api.ClusterClockNeeded() if self.counter.is_enabled:
@@ -161,15 +163,15 @@
             return
         clock = self.cluster_clock
         offset_before = clock.offset
-        is_first = not self.is_clock_checked
+        is_first_check = not self.is_clock_checked
         self.is_clock_checked = True
         clock.on_total(now, event.result == "ok", event.total)
-        if is_first or clock.is_synchronizing != self.counter.is_clock_wrong:
+        if is_first_check or clock.is_synchronizing != self.counter.is_clock_wrong:
             self.actions.append(api.ClusterClockChanged(clock.is_synchronizing))
         self.counter.is_clock_wrong = clock.is_synchronizing
         if clock.offset != offset_before:
-            text = f"the fleet's time is {clock.offset:+.1f} s from this gateway's"
-            self.actions.append(api.LogMessage(text))
+            message = f"the fleet's time is {clock.offset:+.1f} s from this gateway's"
+            self.actions.append(api.LogMessage(message))
             self.endpoint_pool.on_clock_step(now, clock.offset)
 
     def apply_settings(self, now: float, settings: api.Settings) -> None:
@@ -181,7 +183,7 @@
         self.endpoint_pool.on_settings_change(settings)
         self.counter.apply_settings(settings)
         self.cluster_clock.gateway_count = settings.gateway_count
-        self.attempts.settings = settings
+        self.attempt_sender.settings = settings
         self.load_shedder.settings = settings
         self.quota.apply_settings(now, settings)
 
@@ -200,7 +202,7 @@
             arrived_at=now,
             deadline=now + event.time_left,
             priority=priority,
-            priority_per_unit=priority / max(self.endpoint_pool.mean_latency[service_class.name], 1e-6),
+            priority_per_second=priority / max(self.endpoint_pool.mean_latency[service_class.name], 1e-6),
             health_keys=("host", "class " + service_class.name, "plan " + plan.name),
             limits=self.settings.limits,
         )
@@ -209,12 +211,12 @@
         if event.time_left < 2 * TIMER_RESOLUTION_S or self.load_shedder.should_shed(now, state):
             self.requests.reject(now, state, 0.0)
         elif account.remaining_ceiling(now) < event.units:
-            missing = event.units - account.ceiling_units
-            self.requests.reject(now, state, missing * account.gateway_spread / plan.ceiling_rate)
+            missing_units = event.units - account.ceiling_units
+            self.requests.reject(now, state, missing_units * account.gateway_spread / plan.ceiling_rate)
         elif plan.rate:
             self.quota.request_units(now, state)
         else:
-            self.open_attempts.request_place(now, state)
+            self.open_attempt_limit.request_slot(now, state)
 
     def on_timer(self, now: float) -> None:
         """Do what is due: watch the endpoint list again, and check requests."""
@@ -223,20 +225,20 @@
         if now >= self.watch_retry_at:
             self.watch_retry_at = math.inf
             self.actions.append(api.WatchEndpoints(True))
-        while (state := self.requests.pop_due(now)) is not None:
+        while (state := self.requests.pop_due_request(now)) is not None:
             self.check_request(now, state)
 
     def check_request(self, now: float, state: RequestState) -> None:
         """Reject a request that waited too long or nears its deadline; look after attempts in flight."""
-        is_ending = now >= state.deadline - 2 * TIMER_RESOLUTION_S - TIMER_SLACK_S
+        is_near_deadline = now >= state.deadline - 2 * TIMER_RESOLUTION_S - TIMER_SLACK_S
         if state.stage == "sent":
-            if not is_ending and not state.is_streaming:
-                self.attempts.handle_overdue_attempts(now, state)
+            if not is_near_deadline and not state.is_streaming:
+                self.attempt_sender.handle_overdue_attempts(now, state)
             return
         max_wait = math.inf
         if state.stage == "units":
             max_wait = COUNTER_WAIT_TIMEOUTS * self.counter.timeout
         elif state.stage == "queue":
             max_wait = self.load_shedder.max_queue_time(state.service_class)
-        if is_ending or now - state.arrived_at >= max_wait - TIMER_SLACK_S:
+        if is_near_deadline or now - state.arrived_at >= max_wait - TIMER_SLACK_S:
             self.requests.reject(now, state, 0.0)
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -10,7 +10,7 @@
 from api_gateway.policy.endpoint_load import PRESSURE_SPAN_S, SHEDDING_PRESSURE
 from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SPARE_CAPACITY_PART, EndpointPool
 from api_gateway.policy.request_state import RequestState, RequestTable
-from api_gateway.policy.retries import Attempts, RetryBudget
+from api_gateway.policy.retries import AttemptSender, RetryBudget
 
 MAX_QUEUE_TIME_FRACTION = 0.5  # of the latency objective: longest wait for an endpoint
 MIN_QUEUE_LENGTH = 4  # requests that may always wait
@@ -23,7 +23,7 @@
 
 def queue_rank(state: RequestState) -> tuple[bool, float]:
     """Return the order in the queue: the last is sent first, the first is rejected first."""
-    return not state.is_over_quota, state.priority_per_unit
+    return not state.is_over_quota, state.priority_per_second
 
 
 class LoadShedder:
@@ -34,17 +34,17 @@
         settings: api.Settings,
         now: float,
         rng: random.Random,
-        fleet: EndpointPool,
+        endpoint_pool: EndpointPool,
         requests: RequestTable,
-        attempts: Attempts,
+        attempt_sender: AttemptSender,
         retry_budget: RetryBudget,
     ) -> None:
         """Wire the parts; all requests are admitted at first."""
         self.settings = settings
         self.rng = rng
-        self.endpoint_pool = fleet
+        self.endpoint_pool = endpoint_pool
         self.requests = requests
-        self.attempts = attempts
+        self.attempt_sender = attempt_sender
         self.retry_budget = retry_budget
         self.queue: list[RequestState] = []  # by rank; ended ones stay until they are reached
         self.admitted_fraction = 1.0
@@ -57,25 +57,25 @@
         While answers come from endpoints that hold too much, what is worth least a unit of work is rejected,
         whatever the cause: one gateway of many has too few in flight for a limit of its own to relieve them.
         """
-        value = state.priority_per_unit
-        recent = [*self.recent_priorities[1 - RECENT_REQUEST_COUNT :], value]
-        self.recent_priorities = recent
+        priority = state.priority_per_second
+        priorities = [*self.recent_priorities[1 - RECENT_REQUEST_COUNT :], priority]
+        self.recent_priorities = priorities
         elapsed = now - self.admitted_fraction_updated_at
         self.admitted_fraction_updated_at = now
-        faded = math.exp(min(0.0, (self.endpoint_pool.answered_at + PRESSURE_HOLD_S - now) / PRESSURE_SPAN_S))
-        if self.endpoint_pool.pressure * faded > SHEDDING_PRESSURE:
+        decay = math.exp(min(0.0, (self.endpoint_pool.answered_at + PRESSURE_HOLD_S - now) / PRESSURE_SPAN_S))
+        if self.endpoint_pool.pressure * decay > SHEDDING_PRESSURE:
             decrease = math.exp(-ADMISSION_DECREASE_PER_S * min(elapsed, 1.0))
             self.admitted_fraction = max(MIN_ADMITTED_FRACTION, self.admitted_fraction * decrease)
         else:
             increase = ADMISSION_INCREASE_PER_S * elapsed
             self.admitted_fraction = min(1.0, self.admitted_fraction + increase)
-        draw = self.rng.random()  # breaks the tie among equals; one draw for each request
+        tie_breaker = self.rng.random()  # breaks the tie among equals; one draw for each request
         if self.settings.gateway_count <= MAX_IN_FLIGHT_PER_ENDPOINT:
             return False  # the limit of each gateway relieves the endpoints
-        rejected_count = (1 - self.admitted_fraction) * len(recent)
+        rejected_count = (1 - self.admitted_fraction) * len(priorities)
         if rejected_count <= 0:
             return False
-        rank = draw * recent.count(value) + sum(other < value for other in recent)
+        rank = tie_breaker * priorities.count(priority) + sum(other < priority for other in priorities)
         return rank < rejected_count
 
     def has_spare_capacity(self) -> bool:
@@ -94,8 +94,8 @@
             state: The request.
             retry_after: s until its quota has units again.
         """
-        has_capacity = self.has_spare_capacity() and not self.queue
-        if state.plan.over_quota_weight > state.plan.over_quota_cost and has_capacity:
+        has_spare_capacity = self.has_spare_capacity() and not self.queue
+        if state.plan.over_quota_weight > state.plan.over_quota_cost and has_spare_capacity:
             state.is_over_quota = True
             self.enqueue(now, state)
         else:
@@ -129,7 +129,7 @@
         while self.queue:
             state = self.queue[-1]
             if not state.is_done:
-                if not self.attempts.send_attempt(now, state):
+                if not self.attempt_sender.send_attempt(now, state):
                     return  # nothing was sent for it yet, so no endpoint has capacity for any other either
                 self.retry_budget.refill(self.settings.gateway_count, has_capacity=self.has_spare_capacity())
             self.queue.pop()
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -122,7 +122,7 @@
         else:
             return False
         account.record_use(units)
-        self.open_attempts.request_place(now, state)
+        self.open_attempts.request_slot(now, state)
         return True
 
     def request_units(self, now: float, state: RequestState) -> None:
@@ -169,7 +169,7 @@
         if state.account.has_fractional_quota and grants.credit_units >= units and is_likely_granted:
             grants.credit_units -= units
             state.account.record_use(units)
-            self.open_attempts.request_place(now, state)
+            self.open_attempts.request_slot(now, state)
         else:
             self.load_shedder.handle_over_quota(now, state, 0.0)
 
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -11,7 +11,7 @@
 from api_gateway.policy.request_state import RequestState, RequestTable, SentAttempt
 
 INITIAL_RETRY_BUDGET = 15.0  # retries over all gateways at the start
-RETRY_MOST = 30.0  # retries over all gateways that may be saved up
+MAX_RETRY_BUDGET = 30.0  # retries over all gateways that may be saved up
 MIN_RETRY_BUDGET_LIMIT = 2.0  # retries that one gateway may save up at least
 RETRY_BUDGET_PER_SEND = 0.1  # retries that a first send adds
 RETRY_BUDGET_PER_SEND_WITH_CAPACITY = 0.3  # the same while endpoints clearly have capacity
@@ -37,7 +37,7 @@
             has_capacity: Whether endpoints clearly have capacity.
         """
         earned = RETRY_BUDGET_PER_SEND_WITH_CAPACITY if has_capacity else RETRY_BUDGET_PER_SEND
-        limit = max(MIN_RETRY_BUDGET_LIMIT, RETRY_MOST / gateway_count)
+        limit = max(MIN_RETRY_BUDGET_LIMIT, MAX_RETRY_BUDGET / gateway_count)
         self.balance = min(limit, self.balance + earned)
 
     def can_afford(self, cost: float) -> bool:
@@ -49,27 +49,27 @@
         self.balance -= cost
 
 
-class Attempts:
+class AttemptSender:
     """Sends requests to endpoints, again where an attempt failed or is overdue and the class allows it."""
 
     def __init__(
         self,
         settings: api.Settings,
-        fleet: EndpointPool,
+        endpoint_pool: EndpointPool,
         requests: RequestTable,
         retry_budget: RetryBudget,
         actions: list[api.Action],
     ) -> None:
         """Wire the parts; `actions` belongs to the engine and takes what is to be sent."""
         self.settings = settings
-        self.endpoint_pool = fleet
+        self.endpoint_pool = endpoint_pool
         self.requests = requests
         self.retry_budget = retry_budget
         self.actions = actions
 
-    def can_send_to(self, state: RequestState, server: EndpointState, now: float) -> bool:
+    def can_send_to(self, state: RequestState, candidate: EndpointState, now: float) -> bool:
         """Say whether another attempt may go to an endpoint without a risk of executing the request twice."""
-        if server.endpoint.id in state.tried_endpoints:
+        if candidate.endpoint.id in state.tried_endpoints:
             return False
         service_class = state.service_class
         if service_class.idempotency == "safe" or not state.unresolved_attempts():
@@ -78,8 +78,8 @@
             return False
         scope = service_class.dedup_scope
         return scope == "all" or all(
-            getattr(sent.endpoint, scope) == getattr(server.endpoint, scope)
-            for sent in state.unresolved_attempts()
+            getattr(attempt.endpoint, scope) == getattr(candidate.endpoint, scope)
+            for attempt in state.unresolved_attempts()
         )
 
     def send_time_left(self, now: float, state: RequestState) -> float:
@@ -89,18 +89,26 @@
         """
         if state.service_class.idempotency != "keyed":
             return math.inf
-        first_sent_at = min((sent.sent_at for sent in state.unresolved_attempts()), default=math.inf)
+        first_sent_at = min((attempt.sent_at for attempt in state.unresolved_attempts()), default=math.inf)
         return first_sent_at + state.service_class.dedup_window - TIMER_RESOLUTION_S - now
 
     def choose_endpoint(self, now: float, state: RequestState) -> EndpointState | None:
         """Choose where the next attempt goes; None if no endpoint that may get it has capacity."""
-        fleet = self.endpoint_pool
+        pool = self.endpoint_pool
         candidates: list[EndpointState] | None = None  # any of its own
         if state.tried_endpoints:
-            candidates = [s for s in fleet.sample(fleet.subset_endpoints) if self.can_send_to(state, s, now)]
-            if not candidates and fleet.subset_endpoints is not fleet.available:
-                candidates = [s for s in fleet.warm_endpoints(now) if self.can_send_to(state, s, now)]
-        return fleet.choose(now, state.health_keys, candidates)
+            candidates = [
+                candidate
+                for candidate in pool.sample(pool.subset_endpoints)
+                if self.can_send_to(state, candidate, now)
+            ]
+            if not candidates and pool.subset_endpoints is not pool.available:
+                candidates = [
+                    candidate
+                    for candidate in pool.warm_endpoints(now)
+                    if self.can_send_to(state, candidate, now)
+                ]
+        return pool.choose(now, state.health_keys, candidates)
 
     def send_attempt(self, now: float, state: RequestState) -> bool:
         """Send one more attempt if there is an endpoint for it; say whether one was sent."""
@@ -108,16 +116,16 @@
             return False
         if state.in_flight and not state.limits.can_hedge:
             return False
-        server = self.choose_endpoint(now, state)
-        if server is None:
+        chosen = self.choose_endpoint(now, state)
+        if chosen is None:
             return False
         request_id = state.request.request_id
         send_within = self.send_time_left(now, state)
-        self.actions.append(api.SendAttempt(request_id, server.endpoint.id, send_within=send_within))
-        state.in_flight[state.sent_count] = SentAttempt(server.endpoint, now)
-        self.endpoint_pool.record_send(server, (request_id, state.sent_count), now)
+        self.actions.append(api.SendAttempt(request_id, chosen.endpoint.id, send_within=send_within))
+        state.in_flight[state.sent_count] = SentAttempt(chosen.endpoint, now)
+        self.endpoint_pool.record_send(chosen, (request_id, state.sent_count), now)
         state.sent_count += 1
-        state.tried_endpoints.add(server.endpoint.id)
+        state.tried_endpoints.add(chosen.endpoint.id)
         state.stage = "sent"
         self.requests.schedule_check(
             now + self.endpoint_pool.silence_threshold(state.service_class.name), state
@@ -131,7 +139,7 @@
             self.endpoint_pool.on_attempt_ended(now, event, None, ENDED_REQUEST_HEALTH_KEYS)
             return
         self.endpoint_pool.on_attempt_ended(now, event, state.service_class, state.health_keys)
-        sent = state.in_flight.pop(event.attempt, None)
+        attempt = state.in_flight.pop(event.attempt, None)
         if (
             event.actual_units
             and self.settings.reports_actual_units
@@ -142,19 +150,19 @@
         if event.is_final:
             self.requests.finish(now, state)
             return
-        if event.result in ("error", "timeout", "reset", "cancelled") and sent is not None:
-            state.possibly_executed.append(sent)
+        if event.result in ("error", "timeout", "reset", "cancelled") and attempt is not None:
+            state.possibly_executed_attempts.append(attempt)
         if not state.in_flight:
-            self.retry(now, state, event.result)
+            self.retry_or_reject(now, state, event.result)
 
-    def retry(self, now: float, state: RequestState, result: str) -> None:
+    def retry_or_reject(self, now: float, state: RequestState, result: str) -> None:
         """Send a request again after its last attempt ended with `result`, or reject it."""
         if result == "connect_failed":
             cost = CONNECT_FAILED_RETRY_COST
         else:
             cost = REFUSED_ATTEMPT_RETRY_COST if result == "full" else RETRY_COST
-        usual_time = self.endpoint_pool.mean_latency[state.service_class.name]
-        is_too_late = now + max(TIMER_RESOLUTION_S, usual_time) > state.deadline or result == "moot"
+        mean_latency = self.endpoint_pool.mean_latency[state.service_class.name]
+        is_too_late = now + max(TIMER_RESOLUTION_S, mean_latency) > state.deadline or result == "moot"
         if is_too_late or not self.retry_budget.can_afford(cost) or not self.send_attempt(now, state):
             self.requests.reject(now, state, 0.0)
         else:
@@ -168,21 +176,27 @@
         state.is_streaming = True
         self.endpoint_pool.record_end(event.endpoint_id, (event.request_id, event.attempt))
         if state.limits.can_cancel:
-            for number in state.in_flight:
-                if number != event.attempt:
-                    self.actions.append(api.CancelAttempt(event.request_id, number))
+            for attempt_number in state.in_flight:
+                if attempt_number != event.attempt:
+                    self.actions.append(api.CancelAttempt(event.request_id, attempt_number))
 
     def handle_overdue_attempts(self, now: float, state: RequestState) -> None:
         """Take long silence as evidence against the endpoint and send a hedged request, whatever the cause.
 
         Harm: work is done twice where an answer was only slow, so it draws on the retry budget.
         """
-        patience = self.endpoint_pool.silence_threshold(state.service_class.name) - TIMER_RESOLUTION_S
-        overdue = [number for number, sent in state.in_flight.items() if now - sent.sent_at >= patience]
-        for number in set(overdue) - state.overdue_attempts:
-            endpoint_id = state.in_flight[number].endpoint.id
+        silence_threshold = (
+            self.endpoint_pool.silence_threshold(state.service_class.name) - TIMER_RESOLUTION_S
+        )
+        overdue = [
+            attempt_number
+            for attempt_number, attempt in state.in_flight.items()
+            if now - attempt.sent_at >= silence_threshold
+        ]
+        for attempt_number in set(overdue) - state.overdue_attempts:
+            endpoint_id = state.in_flight[attempt_number].endpoint.id
             # A silent one must not hold another attempt's place.
-            self.endpoint_pool.record_end(endpoint_id, (state.request.request_id, number))
+            self.endpoint_pool.record_end(endpoint_id, (state.request.request_id, attempt_number))
             self.endpoint_pool.health.record(endpoint_id, state.health_keys, True, now)
         state.overdue_attempts.update(overdue)
         check_after = max(
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -723,7 +723,7 @@
     "control.config_changes.CONFIRM_MOST",
     "policy.counter_calls.MAX_BACKOFF_S",
     "policy.customer_accounts.MAX_ACCOUNT_IDLE_S",
-    "policy.retries.RETRY_MOST",
+    "policy.retries.MAX_RETRY_BUDGET",
     "policy.quota_leases.MAX_TIMED_OUT_CALLS",
     "policy.quota_leases.MAX_SAMPLED_REQUESTS",
     "policy.endpoint_table.MAX_SAMPLE",
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -28,8 +28,10 @@
 
 def duplicate():
     """What may have run is sent again, whatever its class."""
-    attempts.Attempts.can_send_to = lambda self, state, s, now: s.endpoint.id not in state.tried_endpoints
-    attempts.Attempts.send_time_left = lambda self, now, state: 1e9
+    attempts.AttemptSender.can_send_to = lambda self, state, s, now: (
+        s.endpoint.id not in state.tried_endpoints
+    )
+    attempts.AttemptSender.send_time_left = lambda self, now, state: 1e9
 
 
 def drain():
