--- a/api_gateway/policy/__init__.py
+++ b/api_gateway/policy/__init__.py
@@ -1,7 +1,8 @@
-"""The decisions of api_gateway. Settings, events and actions: interface/ in the folder above.
+"""The gateway's decision engine. Its settings, events and actions are defined in api_gateway/interface/.
 
-DecisionEngine(settings, seed, now).handle(now, event) -> actions. No clock, no I/O. What one gateway may do
-by itself is its part of an amount for all; what is less than one is saved up as credit or drawn as a chance.
+`DecisionEngine(settings, seed, now).handle(now, event)` returns the actions to execute. The engine reads no
+clock and does no I/O. A limit that holds for all gateways together is divided among them. Where one gateway's
+part is less than one, it is saved up as credit or used as the probability of a random draw.
 """
 
 from api_gateway.policy.engine import DecisionEngine
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -1,4 +1,4 @@
-"""The decision engine of one gateway: wires the parts, hands each event to its part, and sets the timer."""
+"""The decision engine of one gateway: passes each event to its component and schedules the timer."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from api_gateway.policy.request_state import TIMER_SLACK_S, RequestState, RequestTable
 from api_gateway.policy.retries import AttemptSender, RetryBudget
 
-WATCH_RETRY_DELAY_S = 1.0  # after the endpoint list failed
-COUNTER_WAIT_TIMEOUTS = 2  # time-outs of the counter for which a request waits for it at most
+WATCH_RETRY_DELAY_S = 1.0  # after discovery failed to provide an endpoint list
+COUNTER_WAIT_TIMEOUTS = 2  # a request waits for the counter at most this many of its time-outs
 
 
 class DecisionEngine:
-    """The decisions of one gateway: events in, actions out.
+    """Decides for one gateway which actions follow from an event.
 
-    It has no clock and does no I/O. All parts append to one list of actions and draw from one generator, so
-    the same events with the same seed give the same actions.
+    The engine reads no clock and does no I/O. All components append to one list of actions and draw from one
+    random generator, so the same events with the same seed give the same actions.
     """
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        """Build the parts.
+        """Create the components.
 
         Args:
-            settings: The deployment's settings.
-            seed: Of all random draws.
-            now: The time, s; that of events must not be less.
+            settings: Settings of the deployment.
+            seed: Seed of the generator for all random draws.
+            now: Current time in seconds. No event may have an earlier time.
         """
         self.settings = settings
         self.rng = random.Random(seed)
         self.actions: list[api.Action] = []
-        self.timer_due_at = math.inf  # what the timer that was last asked for is set to
+        self.timer_due_at = math.inf  # when the last requested timer fires; infinite: none is pending
         self.watch_retry_at = math.inf
-        self.is_clock_checked = False  # whether the counter has answered on the cluster's time
+        self.is_clock_checked = False  # whether the first check of the cluster's time has ended
         self.cluster_clock = ClusterClock(settings.gateway_count, self.rng)
         self.endpoint_pool = EndpointPool(settings, self.rng)
         self.counter = CounterState(settings)
@@ -78,23 +78,23 @@
 
     @property
     def requests_in_flight(self) -> dict[str, RequestState]:
-        """The requests in work, by id."""
+        """Requests that have not ended, by id."""
         return self.requests.requests
 
     @property
     def accounts(self) -> dict[str, Account]:
-        """The customers' accounts, by name."""
+        """Accounts by customer name."""
         return self.account_table.accounts
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Decide on an event.
+        """Process an event.
 
         Args:
-            now: The time, s: not less than with the event before.
+            now: Current time in seconds, not earlier than at the previous event.
             event: What happened.
 
         Returns:
-            What to do, in order; the list is the caller's.
+            The actions to execute, in order. The list is a copy that the caller may change.
         """
         self.actions.clear()
         self.dispatch(now, event)
@@ -108,13 +108,13 @@
                 api.AddToCounter(BEACON_NAME, self.cluster_clock.begin_call(now), BEACON_LIFETIME_S)
             )
         due_at = min(next_check_at, self.watch_retry_at, self.cluster_clock.next_call_at)
-        if due_at < self.timer_due_at:  # what is due next; nothing when idle
+        if due_at < self.timer_due_at:  # `due_at` is infinite when nothing is scheduled
             self.timer_due_at = due_at
             self.actions.append(api.SetTimer(max(0.0, due_at - now), 0))
         return self.actions.copy()
 
     def dispatch(self, now: float, event: api.Event) -> None:
-        """Hand an event to the part that it concerns: here those of the frequent kinds."""
+        """Pass an event of a frequent kind to its component, and any other to `dispatch_rare`."""
         match event:
             case api.Request():
                 self.on_request(now, event)
@@ -132,7 +132,7 @@
                 self.dispatch_rare(now, event)
 
     def dispatch_rare(self, now: float, event: api.Event) -> None:
-        """Hand an event of the other kinds to its part; drop what concerns a request that has ended."""
+        """Pass an event of a rarer kind to its component; ignore events of requests that have ended."""
         match event:
             case api.ResponseStarted() if event.request_id in self.requests.requests:
                 self.attempt_sender.on_response_started(self.requests.requests[event.request_id], event)
@@ -150,7 +150,7 @@
                 self.requests.finish(now, self.requests.requests[event.request_id])
 
     def on_endpoint_list(self, now: float, event: api.EndpointList) -> None:
-        """Take over a list of endpoints; watch again where it failed or came from the cache."""
+        """Apply an endpoint list; watch discovery again if it failed or, where polled, was cached."""
         self.endpoint_pool.on_list(now, event)
         if event.mode == "failed":
             self.watch_retry_at = now + WATCH_RETRY_DELAY_S
@@ -158,7 +158,7 @@
             self.actions.append(api.WatchEndpoints(True))
 
     def on_cluster_clock_reply(self, now: float, event: api.CounterReply) -> None:
-        """Take over the cluster's time, which names the windows and dates the endpoints' starts."""
+        """Apply the cluster's time, by which quota windows are numbered and endpoint start times are read."""
         if event.result == "late":
             return
         clock = self.cluster_clock
@@ -175,9 +175,9 @@
             self.endpoint_pool.on_clock_step(now, clock.offset)
 
     def apply_settings(self, now: float, settings: api.Settings) -> None:
-        """Take over new settings for what comes from now on.
+        """Apply new settings to requests that arrive from now on.
 
-        A request in work keeps its class, its plan and the limits that it began with.
+        A request in progress keeps its class, its plan and the limits with which it began.
         """
         self.settings = settings
         self.endpoint_pool.on_settings_change(settings)
@@ -188,7 +188,7 @@
         self.quota.apply_settings(now, settings)
 
     def on_request(self, now: float, event: api.Request) -> None:
-        """Admit a new request, or reject it: by pressure, by its customer's ceiling, by its quota."""
+        """Admit a new request, or reject it because of load, its customer's ceiling or its quota."""
         service_class = self.settings.classes[event.service_class]
         plan = self.settings.plans[event.plan]
         account = self.account_table.account_for(now, event, plan, self.cluster_clock.offset)
@@ -207,7 +207,7 @@
             limits=self.settings.limits,
         )
         self.requests.add(state)
-        # With so little time left no check would come round before the deadline.
+        # With so little time left, no check could run before the deadline.
         if event.time_left < 2 * TIMER_RESOLUTION_S or self.load_shedder.should_shed(now, state):
             self.requests.reject(now, state, 0.0)
         elif account.remaining_ceiling(now) < event.units:
@@ -219,7 +219,7 @@
             self.open_attempt_limit.request_slot(now, state)
 
     def on_timer(self, now: float) -> None:
-        """Do what is due: watch the endpoint list again, and check requests."""
+        """Perform what is due: watch the endpoint list again, and check requests."""
         if now >= self.timer_due_at - TIMER_SLACK_S:
             self.timer_due_at = math.inf
         if now >= self.watch_retry_at:
@@ -229,7 +229,7 @@
             self.check_request(now, state)
 
     def check_request(self, now: float, state: RequestState) -> None:
-        """Reject a request that waited too long or nears its deadline; look after attempts in flight."""
+        """Reject a request that waited too long or nears its deadline, or handle its overdue attempts."""
         is_near_deadline = now >= state.deadline - 2 * TIMER_RESOLUTION_S - TIMER_SLACK_S
         if state.stage == "sent":
             if not is_near_deadline and not state.is_streaming:
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Which requests are given up when endpoints have no capacity or a quota is spent, and in which order."""
+"""Queues requests for endpoints, and rejects them by priority when capacity or a quota is used up."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from api_gateway.policy.request_state import RequestState, RequestTable
 from api_gateway.policy.retries import AttemptSender, RetryBudget
 
-MAX_QUEUE_TIME_FRACTION = 0.5  # of the latency objective: longest wait for an endpoint
-MIN_QUEUE_LENGTH = 4  # requests that may always wait
-RECENT_REQUEST_COUNT = 64  # latest requests that a new one is ranked among
-ADMISSION_DECREASE_PER_S = 0.7  # rate at which the admitted fraction falls under pressure
-ADMISSION_INCREASE_PER_S = 0.15  # rate at which it recovers
-MIN_ADMITTED_FRACTION = 0.05  # least part that is admitted whatever the pressure
-PRESSURE_HOLD_S = 1.0  # for which the last answers' pressure counts in full
+MAX_QUEUE_TIME_FRACTION = 0.5  # longest wait for an endpoint, as a fraction of the latency objective
+MIN_QUEUE_LENGTH = 4  # requests that may queue however low the send rate is
+RECENT_REQUEST_COUNT = 64  # latest requests, among which a new one is ranked
+ADMISSION_DECREASE_PER_S = 0.7  # exponential rate at which the admitted fraction falls under pressure
+ADMISSION_INCREASE_PER_S = 0.15  # linear rate at which it recovers
+MIN_ADMITTED_FRACTION = 0.05  # least fraction admitted, however high the pressure is
+PRESSURE_HOLD_S = 1.0  # the pressure counts in full for this time after the latest response
 
 
 def queue_rank(state: RequestState) -> tuple[bool, float]:
-    """Return the order in the queue: the last is sent first, the first is rejected first."""
+    """Return the sort key of the queue: its last request is sent next, its first is rejected next."""
     return not state.is_over_quota, state.priority_per_second
 
 
 class LoadShedder:
-    """The queue in front of the endpoints: the best paid goes first, the worst paid is rejected."""
+    """Queue in front of the endpoints: the highest priority is sent first, the lowest is rejected first."""
 
     def __init__(
         self,
@@ -39,23 +39,24 @@
         attempt_sender: AttemptSender,
         retry_budget: RetryBudget,
     ) -> None:
-        """Wire the parts; all requests are admitted at first."""
+        """Connect the components and admit all requests at first."""
         self.settings = settings
         self.rng = rng
         self.endpoint_pool = endpoint_pool
         self.requests = requests
         self.attempt_sender = attempt_sender
         self.retry_budget = retry_budget
-        self.queue: list[RequestState] = []  # by rank; ended ones stay until they are reached
+        self.queue: list[RequestState] = []  # by rank; ended requests stay until reached
         self.admitted_fraction = 1.0
         self.admitted_fraction_updated_at = now
-        self.recent_priorities: list[float] = []  # per unit of work, of the latest requests
+        self.recent_priorities: list[float] = []  # `priority_per_second` of the latest requests
 
     def should_shed(self, now: float, state: RequestState) -> bool:
-        """Say whether to reject a new request, since it is worth too little under the present pressure.
+        """Return whether to reject a new request because its priority is too low for the current pressure.
 
-        While answers come from endpoints that hold too much, what is worth least a unit of work is rejected,
-        whatever the cause: one gateway of many has too few in flight for a limit of its own to relieve them.
+        While responses come from congested endpoints, requests with the lowest priority per second of work
+        are rejected, whatever the cause of the congestion. Among many gateways, each has so few attempts in
+        flight that its in-flight limit alone would not relieve the endpoints.
         """
         priority = state.priority_per_second
         priorities = [*self.recent_priorities[1 - RECENT_REQUEST_COUNT :], priority]
@@ -69,9 +70,9 @@
         else:
             increase = ADMISSION_INCREASE_PER_S * elapsed
             self.admitted_fraction = min(1.0, self.admitted_fraction + increase)
-        tie_breaker = self.rng.random()  # breaks the tie among equals; one draw for each request
+        tie_breaker = self.rng.random()  # breaks ties between equal priorities; drawn for every request
         if self.settings.gateway_count <= MAX_IN_FLIGHT_PER_ENDPOINT:
-            return False  # the limit of each gateway relieves the endpoints
+            return False  # the in-flight limit of each gateway relieves the endpoints
         rejected_count = (1 - self.admitted_fraction) * len(priorities)
         if rejected_count <= 0:
             return False
@@ -79,20 +80,20 @@
         return rank < rejected_count
 
     def has_spare_capacity(self) -> bool:
-        """Say whether endpoints clearly have capacity."""
+        """Return whether the mean load of the endpoints is clearly below their limit."""
         return self.endpoint_pool.mean_load() < SPARE_CAPACITY_PART * MAX_IN_FLIGHT_PER_ENDPOINT
 
     def max_queue_time(self, service_class: api.ServiceClass) -> float:
-        """Return the s that a request may wait for an endpoint."""
+        """Return the seconds for which a request may wait for an endpoint."""
         return MAX_QUEUE_TIME_FRACTION * service_class.latency_objective
 
     def handle_over_quota(self, now: float, state: RequestState, retry_after: float) -> None:
-        """Forward a request beyond its quota where that pays and capacity is spare; else reject it.
+        """Forward a request over quota if its weight exceeds its cost and capacity is spare; else reject it.
 
         Args:
-            now: The time, s.
+            now: Current time in seconds.
             state: The request.
-            retry_after: s until its quota has units again.
+            retry_after: Seconds until its quota has units again.
         """
         has_spare_capacity = self.has_spare_capacity() and not self.queue
         if state.plan.over_quota_weight > state.plan.over_quota_cost and has_spare_capacity:
@@ -102,16 +103,16 @@
             self.requests.reject(now, state, retry_after)
 
     def enqueue(self, now: float, state: RequestState) -> None:
-        """Queue an admitted request under its customer's ceiling, and send what can be sent.
+        """Queue a request unless it exceeds its customer's ceiling, and send what can be sent.
 
-        The lowest rank is rejected when more wait than endpoints will take in time.
+        If more requests wait than the endpoints will take in time, the one with the lowest rank is rejected.
         """
         account = state.account
         units = state.request.units
         if account.remaining_ceiling(now) < units:
             self.requests.reject(now, state, 0.0)
             return
-        account.ceiling_units -= units  # spent before sending
+        account.ceiling_units -= units  # charged before the request is sent
         state.stage = "queue"
         bisect.insort(self.queue, state, key=queue_rank)
         max_queue_time = self.max_queue_time(state.service_class)
@@ -125,11 +126,12 @@
             self.requests.schedule_check(now + max_queue_time, state)
 
     def send_queued(self, now: float) -> None:
-        """Send what waits, best first, until no endpoint has capacity."""
+        """Send queued requests, highest rank first, until no endpoint has capacity."""
         while self.queue:
             state = self.queue[-1]
             if not state.is_done:
                 if not self.attempt_sender.send_attempt(now, state):
-                    return  # nothing was sent for it yet, so no endpoint has capacity for any other either
+                    # Without an attempt it may use any endpoint, so none has capacity for other requests.
+                    return
                 self.retry_budget.refill(self.settings.gateway_count, has_capacity=self.has_spare_capacity())
             self.queue.pop()
--- a/api_gateway/policy/open_attempt_limit.py
+++ b/api_gateway/policy/open_attempt_limit.py
@@ -1,4 +1,4 @@
-"""Admission by open attempts: a customer's limit on attempts that are open at once over all gateways."""
+"""Admission by open attempts: a customer's limit on concurrent attempts over all gateways."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class OpenAttemptLimit:
-    """Holds customers to their limit of open attempts over all gateways."""
+    """Enforces the limits on open attempts, with slots for each gateway and a shared count of the rest."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         requests: RequestTable,
         load_shedder: LoadShedder,
     ) -> None:
-        """Wire the parts; places that are taken are noted in the accounts and the requests."""
+        """Connect the components. Slots in use are recorded in the accounts and the requests."""
         self.rng = rng
         self.endpoint_pool = endpoint_pool
         self.counter = counter
@@ -42,20 +42,21 @@
         self.load_shedder = load_shedder
 
     def request_slot(self, now: float, state: RequestState, *, can_call_counter: bool = True) -> None:
-        """Take a place for a request and queue it, or handle it as over quota.
+        """Take a slot for a request and queue the request, or handle it as over quota.
 
-        This gateway owns an even part of the limit. The rest is shared by a count, which is asked with the
-        chance that the answer is worth, or judged by the expected number of open attempts.
+        Each gateway has the same number of slots to itself. The remaining slots are shared through a count
+        at the counter, which is called with a probability that grows with the value of its reply. Without a
+        call, the request is decided by the expected number of open attempts.
 
         Args:
-            now: The time, s.
+            now: Current time in seconds.
             state: The request.
-            can_call_counter: Whether the shared count may be asked.
+            can_call_counter: Whether the counter may be called.
         """
         state.stage = "slot"
         account = state.account
         plan = state.plan
-        if not plan.max_concurrent:  # no such limit
+        if not plan.max_concurrent:  # unlimited
             self.load_shedder.enqueue(now, state)
             return
         local_slots, shared_slots = divmod(plan.max_concurrent, account.gateway_spread)
@@ -78,10 +79,11 @@
         self.load_shedder.enqueue(now, state)
 
     def excess_probability(self, now: float, state: RequestState) -> float:
-        """Return the chance that the limit is reached, by Little's law.
+        """Return the probability that the limit is reached.
 
-        The customer's rate, which its units bound, times the usual time of an answer is the mean number of
-        open attempts; their number is taken as Poisson distributed.
+        By Little's law, the mean number of open attempts is the customer's request rate times the mean
+        latency. The rate is estimated from the units used, and bounded by the plan's rate. The number of open
+        attempts is assumed to follow a Poisson distribution.
         """
         account = state.account
         plan = state.plan
@@ -95,14 +97,14 @@
         )
 
     def should_call_counter(self, now: float, excess_probability: float, cost: float) -> bool:
-        """Say whether to ask the shared count; draws a number if the counter is usable."""
+        """Return whether to call the counter; draws a random number if the counter is usable."""
         if not self.counter.is_usable(now):
             return False
         gain = max(excess_probability, CORRECTION_CALL_VALUE) * cost
         return self.rng.random() < self.counter.call_probability(gain)
 
     def on_counter_reply(self, now: float, event: api.CounterReply, call: OpenAttemptCall) -> None:
-        """Go on with the request that waited for the count, and give a place back that it can't use."""
+        """Continue the request that waited for the count, and return a slot that it cannot use."""
         state = call.state
         account = call.account
         is_full = event.total > account.plan.max_concurrent % account.gateway_spread
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -1,6 +1,6 @@
-"""The requests that were taken and not yet ended, and when each is to be checked.
+"""State of the requests that have not ended, and the schedule of their checks.
 
-`RequestTable` ends requests; whatever a request holds is given back there.
+All requests are ended by `RequestTable`, which also releases the open attempt slot that a request holds.
 """
 
 from __future__ import annotations
@@ -15,16 +15,20 @@
 from api_gateway.policy.customer_accounts import Account
 from api_gateway.policy.endpoint_load import TIMER_RESOLUTION_S
 
-TIMER_SLACK_S = 1e-6  # a timer may fire early by so much, by rounding
-LOCAL_SLOT_EPOCH = -1  # in place of an epoch: the open attempt is within this gateway's own part of the limit
+TIMER_SLACK_S = 1e-6  # a timer may fire early by this much because of rounding
+LOCAL_SLOT_EPOCH = -1  # in place of an epoch if the slot belongs to this gateway's part of the limit
 
-# What a request waits for: units of its quota, a place among the open attempts, an endpoint, or its answer
+# What a request waits for
+# units: units of its quota
+# slot: a slot within its customer's limit on open attempts
+# queue: an endpoint with capacity
+# sent: the response to its attempts
 Stage = Literal["units", "slot", "queue", "sent"]
 
 
 @dataclass(slots=True)
 class SentAttempt:
-    """An attempt that was sent."""
+    """Where and when an attempt was sent."""
 
     endpoint: api.Endpoint
     sent_at: float
@@ -32,9 +36,9 @@
 
 @dataclass(slots=True)
 class RequestState:
-    """A request and all that its decisions need.
+    """A request in progress and everything needed to decide about it.
 
-    Its class, plan and limits stay those that it began with when the settings change.
+    Its class, plan and limits are those in force at its arrival, even if the settings change later.
     """
 
     request: api.Request
@@ -43,49 +47,49 @@
     account: Account
     arrived_at: float
     deadline: float  # when the client gives up
-    priority: float  # value of an answer in time
-    priority_per_second: float  # the same for each second of an endpoint's work
-    health_keys: tuple[str, ...]  # levels at which an endpoint may fail it: wholly, for its class, its plan
+    priority: float  # value of a response in time
+    priority_per_second: float  # priority per second of an endpoint's work
+    health_keys: tuple[str, ...]  # scopes in which an endpoint may fail it: host, class and plan
     limits: api.Limits
     stage: Stage = "units"
-    is_over_quota: bool = False  # forwarded beyond its quota
-    open_attempt_epoch: int = 0  # of the count that it holds a place in; or LOCAL_SLOT_EPOCH; 0: none
-    sent_count: int = 0
-    is_streaming: bool = False  # its answer has begun
+    is_over_quota: bool = False  # forwarded although its quota was used up
+    open_attempt_epoch: int = 0  # epoch of the count with its slot, or LOCAL_SLOT_EPOCH; 0: no slot
+    sent_count: int = 0  # attempts sent so far
+    is_streaming: bool = False  # its response has started
     is_done: bool = False
-    in_flight: dict[int, SentAttempt] = field(default_factory=dict)  # by number of the attempt
-    possibly_executed_attempts: list[SentAttempt] = field(default_factory=list)  # ended without an answer
-    overdue_attempts: set[int] = field(default_factory=set)  # whose silence was noted
+    in_flight: dict[int, SentAttempt] = field(default_factory=dict)  # by attempt number
+    possibly_executed_attempts: list[SentAttempt] = field(default_factory=list)  # ended without a response
+    overdue_attempts: set[int] = field(default_factory=set)  # numbers of attempts whose silence was recorded
     tried_endpoints: set[str] = field(default_factory=set)
 
     def unresolved_attempts(self) -> list[SentAttempt]:
-        """Return the attempts that may have been executed, or may yet be."""
+        """Return the attempts that may have been executed or may still be."""
         return self.possibly_executed_attempts + list(self.in_flight.values())
 
 
 class RequestTable:
-    """The requests in work, by id, and when each is to be checked next."""
+    """The requests that have not ended, and a heap of the times at which to check them."""
 
     def __init__(self, counter_calls: CounterCalls, actions: list[api.Action]) -> None:
-        """Begin empty; `actions` belongs to the engine and takes what is to be done."""
+        """Create an empty table that appends its actions to the engine's list `actions`."""
         self.counter_calls = counter_calls
         self.actions = actions
         self.requests: dict[str, RequestState] = {}
-        self.scheduled_checks: list[tuple[float, str]] = []  # a heap of times and ids
+        self.scheduled_checks: list[tuple[float, str]] = []  # heap of (time, request id)
 
     def add(self, state: RequestState) -> None:
-        """Take a request in."""
+        """Add a new request under its id."""
         self.requests[state.request.request_id] = state
 
     def schedule_check(self, check_at: float, state: RequestState) -> None:
-        """Have a request checked at a time, or just before its deadline if that comes first."""
+        """Schedule a check of a request, at the latest shortly before its deadline."""
         heapq.heappush(
             self.scheduled_checks,
             (min(check_at, state.deadline - 2 * TIMER_RESOLUTION_S), state.request.request_id),
         )
 
     def pop_due_request(self, now: float) -> RequestState | None:
-        """Remove the next check that is due and return its request; None if none is due."""
+        """Remove the next due check and return its request; None if no request is due."""
         while self.scheduled_checks and self.scheduled_checks[0][0] <= now + TIMER_SLACK_S:
             state = self.requests.get(heapq.heappop(self.scheduled_checks)[1])
             if state is not None:
@@ -93,18 +97,18 @@
         return None
 
     def next_check_at(self) -> float:
-        """Return when the next check is due; infinite without one. Checks of ended requests are dropped."""
+        """Return the time of the next check, or infinity; discard checks of ended requests before it."""
         while self.scheduled_checks and self.scheduled_checks[0][1] not in self.requests:
             heapq.heappop(self.scheduled_checks)
         return self.scheduled_checks[0][0] if self.scheduled_checks else math.inf
 
     def reject(self, now: float, state: RequestState, retry_after: float) -> None:
-        """End a request without an answer: rejected, or failed where it may have been executed.
+        """End a request without a response: reject it, or fail it if it may have been executed.
 
         Args:
-            now: The time, s.
+            now: Current time in seconds.
             state: The request.
-            retry_after: s after which the client may try again.
+            retry_after: Seconds after which the client may retry.
         """
         service_class = state.service_class
         is_repeat_harmless = service_class.idempotency == "safe" or (
@@ -121,7 +125,7 @@
         self.finish(now, state)
 
     def finish(self, now: float, state: RequestState) -> None:
-        """End a request: cancel what is in flight and give its place among the open attempts back."""
+        """Remove a request, cancel its attempts in flight and release its open attempt slot."""
         state.is_done = True
         self.requests.pop(state.request.request_id, None)
         if state.limits.can_cancel:
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -1,4 +1,4 @@
-"""First sends, retries and hedged requests, and the retry budget that the latter two draw on."""
+"""First attempts, retries and hedged requests, and the budget that retries and hedged requests spend."""
 
 from __future__ import annotations
 
@@ -10,47 +10,48 @@
 from api_gateway.policy.endpoints import EndpointPool
 from api_gateway.policy.request_state import RequestState, RequestTable, SentAttempt
 
-INITIAL_RETRY_BUDGET = 15.0  # retries over all gateways at the start
-MAX_RETRY_BUDGET = 30.0  # retries over all gateways that may be saved up
-MIN_RETRY_BUDGET_LIMIT = 2.0  # retries that one gateway may save up at least
-RETRY_BUDGET_PER_SEND = 0.1  # retries that a first send adds
-RETRY_BUDGET_PER_SEND_WITH_CAPACITY = 0.3  # the same while endpoints clearly have capacity
-CONNECT_FAILED_RETRY_COST = 0.0  # price of a retry after a connect that failed
-REFUSED_ATTEMPT_RETRY_COST = 0.2  # price of a retry after an endpoint that had no capacity
-RETRY_COST = 1.0  # price of any other retry and of a hedged request
+INITIAL_RETRY_BUDGET = 15.0  # retries of all gateways together at the start
+MAX_RETRY_BUDGET = 30.0  # retries that all gateways together may save up
+MIN_RETRY_BUDGET_LIMIT = 2.0  # retries that a gateway may always save up, however many gateways there are
+RETRY_BUDGET_PER_SEND = 0.1  # retries added by a first attempt
+RETRY_BUDGET_PER_SEND_WITH_CAPACITY = 0.3  # the same while endpoints clearly have spare capacity
+CONNECT_FAILED_RETRY_COST = 0.0  # cost of a retry after a failed connect
+REFUSED_ATTEMPT_RETRY_COST = 0.2  # cost of a retry after an endpoint had no capacity
+RETRY_COST = 1.0  # cost of any other retry and of a hedged request
 
-ENDED_REQUEST_HEALTH_KEYS = ("host",)  # levels that a late end, of a request that is gone, tells of
+# Health scopes updated by an attempt that ends after its request, whose class and plan are no longer known
+ENDED_REQUEST_HEALTH_KEYS = ("host",)
 
 
 class RetryBudget:
-    """What this gateway may spend on retries: first sends fill it, so retries can't multiply an overload."""
+    """This gateway's budget for retries. First attempts refill it, so retries cannot multiply an overload."""
 
     def __init__(self, gateway_count: int) -> None:
-        """Begin with this gateway's part of what all may spend at a start."""
+        """Start with this gateway's part of the initial budget of all gateways."""
         self.balance = INITIAL_RETRY_BUDGET / gateway_count  # retries
 
     def refill(self, gateway_count: int, *, has_capacity: bool) -> None:
-        """Add what one first send earns.
+        """Add the amount that one first attempt earns.
 
         Args:
-            gateway_count: Gateways that share the limit.
-            has_capacity: Whether endpoints clearly have capacity.
+            gateway_count: Number of gateways that share the maximum budget.
+            has_capacity: Whether endpoints clearly have spare capacity.
         """
         earned = RETRY_BUDGET_PER_SEND_WITH_CAPACITY if has_capacity else RETRY_BUDGET_PER_SEND
         limit = max(MIN_RETRY_BUDGET_LIMIT, MAX_RETRY_BUDGET / gateway_count)
         self.balance = min(limit, self.balance + earned)
 
     def can_afford(self, cost: float) -> bool:
-        """Say whether so much is left."""
+        """Return whether the balance covers a cost."""
         return self.balance >= cost
 
     def spend(self, cost: float) -> None:
-        """Take the price of a retry that was sent."""
+        """Deduct the cost of a retry or hedged request that was sent."""
         self.balance -= cost
 
 
 class AttemptSender:
-    """Sends requests to endpoints, again where an attempt failed or is overdue and the class allows it."""
+    """Sends requests, and sends them again after failed or overdue attempts if their class allows it."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         retry_budget: RetryBudget,
         actions: list[api.Action],
     ) -> None:
-        """Wire the parts; `actions` belongs to the engine and takes what is to be sent."""
+        """Connect the components; actions are appended to the engine's list `actions`."""
         self.settings = settings
         self.endpoint_pool = endpoint_pool
         self.requests = requests
@@ -68,7 +69,7 @@
         self.actions = actions
 
     def can_send_to(self, state: RequestState, candidate: EndpointState, now: float) -> bool:
-        """Say whether another attempt may go to an endpoint without a risk of executing the request twice."""
+        """Return whether an untried endpoint may get another attempt without a risk of double execution."""
         if candidate.endpoint.id in state.tried_endpoints:
             return False
         service_class = state.service_class
@@ -83,9 +84,10 @@
         )
 
     def send_time_left(self, now: float, state: RequestState) -> float:
-        """Return the s within which another attempt may go out.
+        """Return the seconds within which another attempt may be sent.
 
-        Endpoints know an idempotency key for so long after the first attempt that may have been executed.
+        Endpoints remember an idempotency key for a limited time, which is counted from the first attempt
+        that may have been executed.
         """
         if state.service_class.idempotency != "keyed":
             return math.inf
@@ -93,9 +95,9 @@
         return first_sent_at + state.service_class.dedup_window - TIMER_RESOLUTION_S - now
 
     def choose_endpoint(self, now: float, state: RequestState) -> EndpointState | None:
-        """Choose where the next attempt goes; None if no endpoint that may get it has capacity."""
+        """Choose the endpoint for the next attempt; None if no permitted endpoint has capacity."""
         pool = self.endpoint_pool
-        candidates: list[EndpointState] | None = None  # any of its own
+        candidates: list[EndpointState] | None = None  # None: not restricted
         if state.tried_endpoints:
             candidates = [
                 candidate
@@ -111,7 +113,7 @@
         return pool.choose(now, state.health_keys, candidates)
 
     def send_attempt(self, now: float, state: RequestState) -> bool:
-        """Send one more attempt if there is an endpoint for it; say whether one was sent."""
+        """Send one more attempt if an endpoint can take it; return whether one was sent."""
         if state.sent_count >= state.limits.max_attempts or state.is_streaming:
             return False
         if state.in_flight and not state.limits.can_hedge:
@@ -133,7 +135,7 @@
         return True
 
     def on_attempt_ended(self, now: float, event: api.AttemptEnded) -> None:
-        """Handle the end of an attempt: end its request, or retry it where class and budget allow."""
+        """Handle the end of an attempt: finish its request, or retry it if its class and the budget allow."""
         state = self.requests.requests.get(event.request_id)
         if state is None:
             self.endpoint_pool.on_attempt_ended(now, event, None, ENDED_REQUEST_HEALTH_KEYS)
@@ -156,7 +158,7 @@
             self.retry_or_reject(now, state, event.result)
 
     def retry_or_reject(self, now: float, state: RequestState, result: str) -> None:
-        """Send a request again after its last attempt ended with `result`, or reject it."""
+        """Retry a request whose last attempt ended with `result`, or reject it if that is not possible."""
         if result == "connect_failed":
             cost = CONNECT_FAILED_RETRY_COST
         else:
@@ -169,9 +171,10 @@
             self.retry_budget.spend(cost)
 
     def on_response_started(self, state: RequestState, event: api.ResponseStarted) -> None:
-        """Note that an answer has begun to flow, and cancel the request's other attempts.
+        """Mark a request as streaming and cancel its other attempts.
 
-        The endpoint's work is done, so the attempt holds no place there at the pace of its client.
+        The endpoint's work is done, so the attempt no longer counts as in flight there, however slowly the
+        client reads the response.
         """
         state.is_streaming = True
         self.endpoint_pool.record_end(event.endpoint_id, (event.request_id, event.attempt))
@@ -181,9 +184,10 @@
                     self.actions.append(api.CancelAttempt(event.request_id, attempt_number))
 
     def handle_overdue_attempts(self, now: float, state: RequestState) -> None:
-        """Take long silence as evidence against the endpoint and send a hedged request, whatever the cause.
+        """Record overdue attempts as failures of their endpoints, and hedge or retry the request.
 
-        Harm: work is done twice where an answer was only slow, so it draws on the retry budget.
+        The cause of the silence does not matter. If the response is only slow, the work is done twice, so both
+        draw on the retry budget.
         """
         silence_threshold = (
             self.endpoint_pool.silence_threshold(state.service_class.name) - TIMER_RESOLUTION_S
@@ -195,7 +199,7 @@
         ]
         for attempt_number in set(overdue) - state.overdue_attempts:
             endpoint_id = state.in_flight[attempt_number].endpoint.id
-            # A silent one must not hold another attempt's place.
+            # A silent attempt must not use up capacity that another attempt could have.
             self.endpoint_pool.record_end(endpoint_id, (state.request.request_id, attempt_number))
             self.endpoint_pool.health.record(endpoint_id, state.health_keys, True, now)
         state.overdue_attempts.update(overdue)
@@ -213,5 +217,5 @@
                 self.retry_budget.spend(RETRY_COST)
             return
         can_retry = state.limits.can_cancel and state.sent_count < state.limits.max_attempts
-        if can_retry and self.choose_endpoint(now, state):  # the outcome of the cancelled one sends the next
+        if can_retry and self.choose_endpoint(now, state):  # retried when the cancelled attempt ends
             self.actions.append(api.CancelAttempt(state.request.request_id, overdue[0]))
--- a/tests/policy/test_decision_streams.py
+++ b/tests/policy/test_decision_streams.py
@@ -1,9 +1,12 @@
-"""Decisions event by event on seeded streams, against digests that the module gave before a change to it.
+"""Replays seeded streams of events and compares all decisions with recorded digests.
 
-A stream is made by what the module does: its attempts end, its counts are answered and its timers fire, so
-one decision that differs changes all that follows. The digests are of the text that `repr` gave for the
-actions when they were recorded, so that text is written here by names of its own. Recorded by
-`python tests/policy/test_decision_streams.py FILE [SEEDS]` from the module that is first on PYTHONPATH.
+A stream depends on the actions of the engine: because of them attempts end, counter calls are answered and
+timers fire. One decision that differs therefore changes everything that follows. The digests cover the text
+that `repr` gave for the actions when they were recorded. The names of actions and fields have changed since,
+so RECORDED_FORMATS spells out the former ones.
+
+`python tests/policy/test_decision_streams.py FILE [SEEDS]` records digests of the engine that is first on
+PYTHONPATH.
 """
 
 import dataclasses
@@ -23,11 +26,11 @@
 from api_gateway import interface as api
 from api_gateway.policy import DecisionEngine
 
-RECORDED = Path(__file__).resolve().parent / "decision_streams.json"
-STREAM = api.ServiceClass("stream", 1.0, 6.0, "safe", "all", 5.0, 1.0, 0.5, True, 0.0)
-CLASSES = (READ, WRITE, CELL, NOTE, STREAM)
-# The recorded text of each action: its class and its fields, in the order in which it holds their values.
-TEXTS = {
+DIGESTS_PATH = Path(__file__).resolve().parent / "decision_streams.json"
+STREAMING = api.ServiceClass("stream", 1.0, 6.0, "safe", "all", 5.0, 1.0, 0.5, True, 0.0)
+CLASSES = (READ, WRITE, CELL, NOTE, STREAMING)
+# The text of each action as recorded: its former class and field names, with its values in field order.
+RECORDED_FORMATS = {
     api.SendAttempt: "Send(id={!r}, host={!r}, timeout={!r}, within={!r})",
     api.RejectRequest: "Refuse(id={!r}, retry_after={!r}, pressed={!r})",
     api.FailRequest: "Fail(id={!r})",
@@ -42,9 +45,10 @@
     api.ClusterClockChanged: "Synchronizing(on={!r})",
     api.LogMessage: "Log(text={!r})",
 }
-KEEPS = 30.0  # s after which a host that left returns no more
-RESULTS = ("error", "full", "timeout", "connect_failed", "reset")
-# name: gateways, hosts, requests a second, seconds, zones, discovery, reports, share of hosts that start cold
+RETURN_PERIOD_S = 30.0  # removed hosts may return for this long
+FAILURE_RESULTS = ("error", "full", "timeout", "connect_failed", "reset")
+# Name: gateways, hosts, requests a second, duration in seconds, zones, discovery mode, whether attempts carry
+# load reports, fraction of hosts that may be in slow start at the beginning
 SHAPES = {
     "alone": (1, 8, 60.0, 40.0, 1, "push", False, 0.0),
     "alone among many": (1, 120, 60.0, 25.0, 3, "push", True, 0.1),
@@ -59,34 +63,48 @@
 }
 
 
-def encode(actions):
-    """The bytes that are hashed for the actions of one event."""
-    return "[{}]\n".format(", ".join(map(text_of, actions))).encode()
+def encode_actions(actions):
+    """Return the bytes that are hashed for the actions of one event."""
+    return "[{}]\n".format(", ".join(map(format_action, actions))).encode()
 
 
-def text_of(action):
+def format_action(action):
+    """Return the text of an action under its recorded names."""
     values = [getattr(action, field.name) for field in dataclasses.fields(action)]
-    text = TEXTS[type(action)]
+    text = RECORDED_FORMATS[type(action)]
     assert text.count("{!r}") == len(values), action
     return text.format(*values)
 
 
 class Stream:
+    """One gateway's engine with a seeded simulation of its clients, hosts, counter and discovery."""
+
     def __init__(self, shape, seed):
-        self.gateways, count, self.rate, self.length, zones, self.discovery, self.reports, cold = shape
-        self.rng, self.now, self.begin = random.Random(f"{seed} {shape}"), 1000.0, 1000.0
-        self.zones = [f"z{n + 1}" for n in range(zones)]
-        self.hosts, self.left, self.banned = {}, {}, set()
-        self.numbers, self.version, self.order = itertools.count(), 1, itertools.count()
-        for _ in range(count):
-            self.start(0.0 if self.rng.random() >= cold else self.now - 12 * self.rng.random())
-        self.conf = self.configure()
-        self.index = self.conf.gateway_index
-        self.gw = DecisionEngine(self.conf, seed, self.now)
-        self.digest, self.events, self.kinds = hashlib.sha256(), 0, {}
-        self.due, self.open, self.bad, self.counts = [], {}, {}, {}
-
-    def configure(self):
+        (
+            self.gateway_count,
+            host_count,
+            self.request_rate,
+            self.duration,
+            zone_count,
+            self.discovery_mode,
+            self.has_load_reports,
+            slow_start_fraction,
+        ) = shape
+        self.rng, self.now, self.start_time = random.Random(f"{seed} {shape}"), 1000.0, 1000.0
+        self.zones = [f"z{index + 1}" for index in range(zone_count)]
+        self.hosts, self.removed_hosts, self.ejected_hosts = {}, {}, set()
+        self.host_numbers, self.version, self.callback_order = itertools.count(), 1, itertools.count()
+        for _ in range(host_count):
+            self.add_host(
+                0.0 if self.rng.random() >= slow_start_fraction else self.now - 12 * self.rng.random()
+            )
+        self.engine_settings = self.make_settings()
+        self.gateway_index = self.engine_settings.gateway_index
+        self.engine = DecisionEngine(self.engine_settings, seed, self.now)
+        self.digest, self.event_count, self.event_counts = hashlib.sha256(), 0, {}
+        self.callbacks, self.open_requests, self.failing_hosts, self.counter_totals = [], {}, {}, {}
+
+    def make_settings(self):
         rng = self.rng
         plans = [
             plan("small", rate=2.0, burst=8.0),
@@ -98,253 +116,298 @@
             slow_start_duration=rng.choice((5.0, 10.0, 18.0)), slow_start_min_capacity=rng.choice((0.0, 0.2))
         )
         limits = dict(can_hedge=rng.random() < 0.7, can_cancel=rng.random() < 0.8)
-        index = getattr(self, "index", rng.randrange(self.gateways))
+        index = getattr(self, "gateway_index", rng.randrange(self.gateway_count))
         return settings(
             plans,
             limits,
             rules,
             gateway_index=index,
-            gateway_count=self.gateways,
+            gateway_count=self.gateway_count,
             zone=self.zones[0],
             classes={c.name: c for c in CLASSES},
-            discovery_mode=self.discovery,
+            discovery_mode=self.discovery_mode,
         )
 
-    def put(self, after, make):
-        heapq.heappush(self.due, (self.now + after, next(self.order), make))
+    def schedule(self, delay, callback):
+        heapq.heappush(self.callbacks, (self.now + delay, next(self.callback_order), callback))
 
     def handle(self, event):
-        self.events += 1
-        name = type(event).__name__
-        self.kinds[name] = self.kinds.get(name, 0) + 1
-        actions = self.gw.handle(self.now, event)
-        self.digest.update(encode(actions))
+        self.event_count += 1
+        kind = type(event).__name__
+        self.event_counts[kind] = self.event_counts.get(kind, 0) + 1
+        actions = self.engine.handle(self.now, event)
+        self.digest.update(encode_actions(actions))
         for action in actions:
-            self.act(action)
+            self.execute(action)
 
-    # What the module's actions lead to.
+    # Effects of the engine's actions
 
-    def act(self, action):
+    def execute(self, action):
         rng = self.rng
         match action:
             case api.SendAttempt():
-                number, work = next(self.open[action.request_id]["numbers"]), self.open[action.request_id]
-                result, took = self.fate(action.endpoint_id)
-                work["live"].add(number)
-                work["hosts"][number] = action.endpoint_id
-                if work["cls"] == "stream" and result == "ok":
-                    self.put(took / 2, lambda: self.began(action, number))
-                self.put(took, lambda: self.end(action, number, result, took))
+                attempt, request = (
+                    next(self.open_requests[action.request_id]["numbers"]),
+                    self.open_requests[action.request_id],
+                )
+                result, elapsed = self.draw_result(action.endpoint_id)
+                request["in_flight"].add(attempt)
+                request["hosts"][attempt] = action.endpoint_id
+                if request["service_class"] == "stream" and result == "ok":
+                    self.schedule(elapsed / 2, lambda: self.start_response(action, attempt))
+                self.schedule(elapsed, lambda: self.end_attempt(action, attempt, result, elapsed))
             case api.CancelAttempt():
-                self.put(0.001, lambda: self.end(action, action.attempt, "cancelled", 0.01))
+                self.schedule(0.001, lambda: self.end_attempt(action, action.attempt, "cancelled", 0.01))
             case api.RejectRequest() | api.FailRequest():
-                self.open.pop(action.request_id, None)
+                self.open_requests.pop(action.request_id, None)
             case api.AddToCounter():
-                self.put(0.002 + 0.003 * rng.random(), lambda: self.counted(action))
+                self.schedule(0.002 + 0.003 * rng.random(), lambda: self.reply_to_counter_call(action))
             case api.SetTimer():
-                self.put(action.delay, lambda: self.handle(api.TimerFired(action.label)))
+                self.schedule(action.delay, lambda: self.handle(api.TimerFired(action.label)))
             case api.WatchEndpoints():
-                self.put(0.05, lambda: self.whole("full"))
+                self.schedule(0.05, lambda: self.send_list("full"))
 
-    def fate(self, host):
-        rng, bad = self.rng, self.bad.get(host)
-        gone = host not in self.hosts
-        if gone and rng.random() < 0.7:
+    def draw_result(self, host):
+        rng, failure = self.rng, self.failing_hosts.get(host)
+        is_removed = host not in self.hosts
+        if is_removed and rng.random() < 0.7:
             return "connect_failed", 0.001
-        if bad and rng.random() < 0.9:
-            return bad, {"timeout": 2.5, "full": 0.002, "error": 0.01}.get(bad, 0.05)
+        if failure and rng.random() < 0.9:
+            return failure, {"timeout": 2.5, "full": 0.002, "error": 0.01}.get(failure, 0.05)
         if rng.random() < 0.03:
-            return rng.choice(RESULTS), 0.2 * rng.random()
+            return rng.choice(FAILURE_RESULTS), 0.2 * rng.random()
         return "ok", min(4.0, rng.expovariate(12.0) + (1.5 if rng.random() < 0.02 else 0.0))
 
-    def end(self, action, number, result, took):
-        work = self.open.get(action.request_id)
-        if work is not None and number in work["live"]:
-            work["live"].discard(number)
-        elif work is not None or result == "cancelled" or self.rng.random() < 0.5:
-            return  # else a word that comes after all, when all is over
-        host = action.endpoint_id if work is None else work["hosts"][number]
-        busy = 6.0 * len(self.bad) / max(1, len(self.hosts))
-        report = {"queue": 3.0 * self.rng.random() + busy, "util": 0.5} if self.reports else {}
-        final = result == "ok"
-        if final:
-            self.open.pop(action.request_id, None)
+    def end_attempt(self, action, attempt, result, elapsed):
+        request = self.open_requests.get(action.request_id)
+        if request is not None and attempt in request["in_flight"]:
+            request["in_flight"].discard(attempt)
+        elif request is not None or result == "cancelled" or self.rng.random() < 0.5:
+            return  # otherwise an end is reported late, after its request has ended
+        host = action.endpoint_id if request is None else request["hosts"][attempt]
+        extra_queue = 6.0 * len(self.failing_hosts) / max(1, len(self.hosts))
+        report = (
+            {"queue": 3.0 * self.rng.random() + extra_queue, "util": 0.5} if self.has_load_reports else {}
+        )
+        is_final = result == "ok"
+        if is_final:
+            self.open_requests.pop(action.request_id, None)
         self.handle(
-            api.AttemptEnded(action.request_id, number, host, result, took, final, load_report=report)
+            api.AttemptEnded(action.request_id, attempt, host, result, elapsed, is_final, load_report=report)
         )
 
-    def began(self, action, number):
-        work = self.open.get(action.request_id)
-        if work is not None and number in work["live"]:
-            self.handle(api.ResponseStarted(action.request_id, number, action.endpoint_id, 0.05))
+    def start_response(self, action, attempt):
+        request = self.open_requests.get(action.request_id)
+        if request is not None and attempt in request["in_flight"]:
+            self.handle(api.ResponseStarted(action.request_id, attempt, action.endpoint_id, 0.05))
 
-    def counted(self, action):
-        luck = self.rng.random()
-        if luck < 0.94:
-            total = self.counts[action.name] = self.counts.get(action.name, 0.0) + action.amount
+    def reply_to_counter_call(self, action):
+        draw = self.rng.random()
+        if draw < 0.94:
+            total = self.counter_totals[action.name] = (
+                self.counter_totals.get(action.name, 0.0) + action.amount
+            )
             self.handle(api.CounterReply(action.name, "ok", max(0.0, total), 0.002))
-        elif luck < 0.98:
+        elif draw < 0.98:
             self.handle(api.CounterReply(action.name, "timeout", 0.0, 0.05))
-            if luck < 0.96:
-                self.put(0.1, lambda: self.handle(api.CounterReply(action.name, "late", action.amount, 0.15)))
+            if draw < 0.96:
+                self.schedule(
+                    0.1, lambda: self.handle(api.CounterReply(action.name, "late", action.amount, 0.15))
+                )
         else:
-            self.handle(api.CounterReply(action.name, "full" if luck < 0.99 else "connect_failed", 0.0, 0.01))
+            self.handle(api.CounterReply(action.name, "full" if draw < 0.99 else "connect_failed", 0.0, 0.01))
 
-    # What comes from outside.
+    # Events from outside
 
-    def start(self, started):
-        n = next(self.numbers)
+    def add_host(self, started_at):
+        number = next(self.host_numbers)
         weight = self.rng.choice((1.0, 1.0, 1.0, 2.0, 10.0))
-        host = api.Endpoint(f"h{n}", self.zones[n % len(self.zones)], n % 7, weight, "k", "up", started)
+        host = api.Endpoint(
+            f"h{number}", self.zones[number % len(self.zones)], number % 7, weight, "k", "up", started_at
+        )
         self.hosts[host.id] = host
         return host
 
-    def delta(self, *hosts):
+    def send_delta(self, *hosts):
         self.version += 1
         self.handle(api.EndpointList("delta", self.version, hosts))
 
-    def whole(self, mode):
+    def send_list(self, mode):
         self.version += 1
-        some = list(self.hosts.values())
+        listed = list(self.hosts.values())
         if self.rng.random() < 0.3:
-            self.rng.shuffle(some)
-        self.handle(api.EndpointList(mode, self.version, tuple(some)))
+            self.rng.shuffle(listed)
+        self.handle(api.EndpointList(mode, self.version, tuple(listed)))
 
-    def replace(self, host, **kw):
-        return dataclasses.replace(host, **kw)
+    def replace(self, host, **fields):
+        return dataclasses.replace(host, **fields)
 
-    def lose(self, host):
+    def remove_host(self, host):
         self.hosts.pop(host.id)
-        self.left[host.id] = (self.now, host)
-        self.banned.discard(host.id)
-
-    def change(self):
-        rng, names = self.rng, list(self.hosts)
-        count = min(len(names), rng.choice((1, 1, 1, 1, 2, 5)))
-        some = [self.hosts[name] for name in rng.sample(names, count)]
-        back = [(name, h) for name, (at, h) in self.left.items() if self.now - at < KEEPS]
+        self.removed_hosts[host.id] = (self.now, host)
+        self.ejected_hosts.discard(host.id)
+
+    def change_hosts(self):
+        rng, host_ids = self.rng, list(self.hosts)
+        count = min(len(host_ids), rng.choice((1, 1, 1, 1, 2, 5)))
+        chosen = [self.hosts[host_id] for host_id in rng.sample(host_ids, count)]
+        returning = [
+            (host_id, host)
+            for host_id, (removed_at, host) in self.removed_hosts.items()
+            if self.now - removed_at < RETURN_PERIOD_S
+        ]
         match rng.randrange(12):
-            case 0 | 1 if len(names) > 4:
-                for h in some[: max(1, len(names) // 4)]:
-                    self.lose(h)
-                    self.delta(self.replace(h, state="down"))
-            case 2 if len(names) > 4:
-                for h in some[:1]:
-                    self.lose(h)
-                self.whole("full")
-            case 3 | 4 if back:
-                name, h = rng.choice(back)
-                del self.left[name]
-                self.hosts[name] = h if rng.random() < 0.5 else self.replace(h, started_at=self.now)
-                self.delta(self.hosts[name])
+            case 0 | 1 if len(host_ids) > 4:
+                for host in chosen[: max(1, len(host_ids) // 4)]:
+                    self.remove_host(host)
+                    self.send_delta(self.replace(host, state="down"))
+            case 2 if len(host_ids) > 4:
+                for host in chosen[:1]:
+                    self.remove_host(host)
+                self.send_list("full")
+            case 3 | 4 if returning:
+                host_id, host = rng.choice(returning)
+                del self.removed_hosts[host_id]
+                self.hosts[host_id] = host if rng.random() < 0.5 else self.replace(host, started_at=self.now)
+                self.send_delta(self.hosts[host_id])
             case 5:
-                self.delta(self.start(self.now))
+                self.send_delta(self.add_host(self.now))
             case 6:
-                for h in some:
-                    self.hosts[h.id] = self.replace(h, started_at=self.now - rng.choice((0.0, 1.0)))
-                self.delta(*(self.hosts[h.id] for h in some))
+                for host in chosen:
+                    self.hosts[host.id] = self.replace(host, started_at=self.now - rng.choice((0.0, 1.0)))
+                self.send_delta(*(self.hosts[host.id] for host in chosen))
             case 7:
-                for h in some:
-                    self.hosts[h.id] = self.replace(h, weight=rng.choice((1.0, 2.5, 5.0, 10.0)))
-                self.delta(*(self.hosts[h.id] for h in some))
-            case 8 if len(names) > 4:
-                h = self.replace(some[0], state="leaving")
-                self.delta(h)
-                self.put(2.0, lambda: self.drained(h.id))
+                for host in chosen:
+                    self.hosts[host.id] = self.replace(host, weight=rng.choice((1.0, 2.5, 5.0, 10.0)))
+                self.send_delta(*(self.hosts[host.id] for host in chosen))
+            case 8 if len(host_ids) > 4:
+                host = self.replace(chosen[0], state="leaving")
+                self.send_delta(host)
+                self.schedule(2.0, lambda: self.finish_drain(host.id))
             case 9:
-                out = [name for name in self.banned if name in self.hosts]
-                if out and rng.random() < 0.7:
-                    name = sorted(out)[0]
-                    self.banned.discard(name)
-                    self.handle(api.EndpointOverride(name, False, self.now))
+                ejected = [host_id for host_id in self.ejected_hosts if host_id in self.hosts]
+                if ejected and rng.random() < 0.7:
+                    host_id = sorted(ejected)[0]
+                    self.ejected_hosts.discard(host_id)
+                    self.handle(api.EndpointOverride(host_id, False, self.now))
                 else:
-                    self.banned.add(some[0].id)
-                    self.handle(api.EndpointOverride(some[0].id, True, self.now))
+                    self.ejected_hosts.add(chosen[0].id)
+                    self.handle(api.EndpointOverride(chosen[0].id, True, self.now))
             case 10:
                 self.handle(api.EndpointList("failed", self.version, ()))
             case 11:
-                part = rng.choice((0.0, 0.1, 0.4))
-                self.bad = {name: rng.choice(RESULTS) for name in names if rng.random() < part}
-
-    def drained(self, name):
-        if name in self.hosts:
-            host = self.hosts[name]
+                failing_fraction = rng.choice((0.0, 0.1, 0.4))
+                self.failing_hosts = {
+                    host_id: rng.choice(FAILURE_RESULTS)
+                    for host_id in host_ids
+                    if rng.random() < failing_fraction
+                }
+
+    def finish_drain(self, host_id):
+        if host_id in self.hosts:
+            host = self.hosts[host_id]
             if self.rng.random() < 0.5:
-                self.lose(host)
-                self.delta(self.replace(host, state="down"))
+                self.remove_host(host)
+                self.send_delta(self.replace(host, state="down"))
             else:
-                self.delta(host)
+                self.send_delta(host)
 
-    def lose_zone(self):
-        """A zone goes, or a third of the only one, and comes back started again."""
+    def fail_zone(self):
+        """Remove the hosts of a zone, or a third of the only zone, and restart them 6 s later."""
         zone = self.rng.choice(self.zones)
-        alone = len(self.zones) == 1
-        lost = [h for n, h in enumerate(self.hosts.values()) if h.zone == zone and (n % 3 == 0 or not alone)]
-        for h in lost:
-            self.lose(h)
-        self.delta(*(self.replace(h, state="down") for h in lost))
-        self.put(6.0, lambda: self.regain([h.id for h in lost]))
-
-    def regain(self, names):
-        back = [self.left.pop(name)[1] for name in names if name in self.left]
-        for h in back:
-            self.hosts[h.id] = self.replace(h, started_at=self.now)
-        self.delta(*(self.hosts[h.id] for h in back))
-
-    def ask(self):
-        rng, name = self.rng, f"r{self.events}"
-        n = min(int(rng.paretovariate(0.6)), 200)
-        cls, of = rng.choice(CLASSES), ("small", "wide", "even", "capped")[n % 4]
-        self.open[name] = {"cls": cls.name, "live": set(), "numbers": itertools.count(), "hosts": {}}
-        spread = max(1, min(self.gateways, 1 + n % 60))
-        left = cls.deadline * rng.choice((1.0, 1.0, 0.5, 0.01))
+        is_only_zone = len(self.zones) == 1
+        lost = [
+            host
+            for index, host in enumerate(self.hosts.values())
+            if host.zone == zone and (index % 3 == 0 or not is_only_zone)
+        ]
+        for host in lost:
+            self.remove_host(host)
+        self.send_delta(*(self.replace(host, state="down") for host in lost))
+        self.schedule(6.0, lambda: self.restart_hosts([host.id for host in lost]))
+
+    def restart_hosts(self, host_ids):
+        returning = [
+            self.removed_hosts.pop(host_id)[1] for host_id in host_ids if host_id in self.removed_hosts
+        ]
+        for host in returning:
+            self.hosts[host.id] = self.replace(host, started_at=self.now)
+        self.send_delta(*(self.hosts[host.id] for host in returning))
+
+    def send_request(self):
+        rng, request_id = self.rng, f"r{self.event_count}"
+        customer_number = min(int(rng.paretovariate(0.6)), 200)
+        service_class, plan_name = (
+            rng.choice(CLASSES),
+            ("small", "wide", "even", "capped")[customer_number % 4],
+        )
+        self.open_requests[request_id] = {
+            "service_class": service_class.name,
+            "in_flight": set(),
+            "numbers": itertools.count(),
+            "hosts": {},
+        }
+        spread = max(1, min(self.gateway_count, 1 + customer_number % 60))
+        time_left = service_class.deadline * rng.choice((1.0, 1.0, 0.5, 0.01))
         self.handle(
             api.Request(
-                name, left, f"c{n}", of, cls.name, rng.choice((1.0, 1.0, 2.0)), 0, spread, rng.random() < 0.1
+                request_id,
+                time_left,
+                f"c{customer_number}",
+                plan_name,
+                service_class.name,
+                rng.choice((1.0, 1.0, 2.0)),
+                0,
+                spread,
+                rng.random() < 0.1,
             )
         )
         if rng.random() < 0.02:
-            self.put(0.3, lambda: name in self.open and self.handle(api.ClientDisconnected(name)))
+            self.schedule(
+                0.3,
+                lambda: request_id in self.open_requests and self.handle(api.ClientDisconnected(request_id)),
+            )
 
-    def step(self, at):
-        while self.due and self.due[0][0] <= at:
-            self.now, _, make = heapq.heappop(self.due)
-            make()
-        self.now = at
+    def advance_to(self, until):
+        while self.callbacks and self.callbacks[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self.callbacks)
+            callback()
+        self.now = until
 
     def run(self):
         rng = self.rng
-        self.whole("cached")
-        change_at, zone_at = self.now + 1.0, self.now + 0.3 * self.length
-        tune_at, busy = self.now + 0.6 * self.length, 1.0
-        while self.now < self.begin + self.length:
-            self.step(self.now + rng.expovariate(self.rate * busy))
+        self.send_list("cached")
+        change_at, zone_failure_at = self.now + 1.0, self.now + 0.3 * self.duration
+        settings_change_at, load_factor = self.now + 0.6 * self.duration, 1.0
+        while self.now < self.start_time + self.duration:
+            self.advance_to(self.now + rng.expovariate(self.request_rate * load_factor))
             if self.now >= change_at:
-                change_at = self.now + rng.expovariate(1.0 / max(0.4, self.length / 100))
-                busy = rng.choice((0.3, 1.0, 1.0, 3.0))
-                self.change()
-            if self.now >= zone_at:
-                zone_at = self.now + 0.4 * self.length
-                self.lose_zone()
-            if self.now >= tune_at:
-                tune_at = self.now + 0.2 * self.length
-                self.handle(api.SettingsChanged(self.configure()))
+                change_at = self.now + rng.expovariate(1.0 / max(0.4, self.duration / 100))
+                load_factor = rng.choice((0.3, 1.0, 1.0, 3.0))
+                self.change_hosts()
+            if self.now >= zone_failure_at:
+                zone_failure_at = self.now + 0.4 * self.duration
+                self.fail_zone()
+            if self.now >= settings_change_at:
+                settings_change_at = self.now + 0.2 * self.duration
+                self.handle(api.SettingsChanged(self.make_settings()))
                 self.handle(api.DrainChanged(rng.random() < 0.3))
-            self.ask()
-        return {"events": self.events, "digest": self.digest.hexdigest()}
+            self.send_request()
+        return {"events": self.event_count, "digest": self.digest.hexdigest()}
 
 
-def names(seeds):
+def stream_cases(seeds):
+    """Return the name, shape and seed of each stream for seeds from 1 to `seeds`."""
     return [(f"{shape} {seed}", SHAPES[shape], seed) for shape in SHAPES for seed in range(1, seeds + 1)]
 
 
-@pytest.mark.parametrize("name, shape, seed", names(1))
-def test_decisions_are_those_recorded(name, shape, seed):
-    assert Stream(shape, seed).run() == json.loads(RECORDED.read_text())[name]
+@pytest.mark.parametrize("name, shape, seed", stream_cases(1))
+def test_decisions_match_the_recorded_digests(name, shape, seed):
+    assert Stream(shape, seed).run() == json.loads(DIGESTS_PATH.read_text())[name]
 
 
-# One action of each kind, made by position, and its recorded text; further ones with defaults.
-ENCODED = [
+# Actions of each kind, made with positional arguments or defaults, and their recorded text
+ENCODED_ACTIONS = [
     (
         api.SendAttempt("r1", "h'2", 0.25, 1.5e-07),
         """Send(id='r1', host="h'2", timeout=0.25, within=1.5e-07)""",
@@ -366,28 +429,28 @@
 ]
 
 
-@pytest.mark.parametrize("action, text", ENCODED, ids=[text for _, text in ENCODED])
-def test_text_of_an_action_is_the_recorded_one(action, text):
-    assert encode([action]) == f"[{text}]\n".encode()
+@pytest.mark.parametrize("action, text", ENCODED_ACTIONS, ids=[text for _, text in ENCODED_ACTIONS])
+def test_action_is_formatted_as_recorded(action, text):
+    assert encode_actions([action]) == f"[{text}]\n".encode()
 
 
-def test_texts_of_actions_stand_one_after_the_other():
-    assert encode([]) == b"[]\n"
-    assert encode([api.FailRequest("r1"), api.FetchEndpoints()]) == b"[Fail(id='r1'), Fetch()]\n"
+def test_actions_of_an_event_are_joined_in_order():
+    assert encode_actions([]) == b"[]\n"
+    assert encode_actions([api.FailRequest("r1"), api.FetchEndpoints()]) == b"[Fail(id='r1'), Fetch()]\n"
 
 
-def test_each_kind_of_action_has_a_text():
+def test_each_kind_of_action_has_a_format():
     kinds = set(typing.get_args(api.Action))
-    assert set(TEXTS) == kinds == {type(action) for action, _ in ENCODED}
+    assert set(RECORDED_FORMATS) == kinds == {type(action) for action, _ in ENCODED_ACTIONS}
 
 
 if __name__ == "__main__":
-    told, kinds = {}, {}
-    for name, shape, seed in names(int(sys.argv[2]) if len(sys.argv) > 2 else 1):
-        stream, began = Stream(shape, seed), time.process_time()
-        told[name] = stream.run()
-        for kind, count in stream.kinds.items():
-            kinds[kind] = kinds.get(kind, 0) + count
-        print(f"{name}: {stream.events} events, {time.process_time() - began:.1f} s", flush=True)
-    Path(sys.argv[1]).write_text(json.dumps(told, indent=1) + "\n")
-    print(sum(t["events"] for t in told.values()), "events:", kinds)
+    digests, event_counts = {}, {}
+    for name, shape, seed in stream_cases(int(sys.argv[2]) if len(sys.argv) > 2 else 1):
+        stream, started_at = Stream(shape, seed), time.process_time()
+        digests[name] = stream.run()
+        for kind, count in stream.event_counts.items():
+            event_counts[kind] = event_counts.get(kind, 0) + count
+        print(f"{name}: {stream.event_count} events, {time.process_time() - started_at:.1f} s", flush=True)
+    Path(sys.argv[1]).write_text(json.dumps(digests, indent=1) + "\n")
+    print(sum(result["events"] for result in digests.values()), "events:", event_counts)
