--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -186,8 +186,8 @@
     def handle_overdue_attempts(self, now: float, state: RequestState) -> None:
         """Record overdue attempts as failures of their endpoints, and hedge or retry the request.
 
-        The cause of the silence does not matter. If the response is only slow, the work is done twice, so both
-        draw on the retry budget.
+        The cause of the silence does not matter. If the response is only slow, the work is done twice, so
+        both draw on the retry budget.
         """
         silence_threshold = (
             self.endpoint_pool.silence_threshold(state.service_class.name) - TIMER_RESOLUTION_S
