--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -836,7 +836,7 @@
         "restart_view_kb",
         "at a gateway with it in view",
         "registry.core.DRAIN",
-        "`policy.endpoint_table.EndpointState.warmth`",
+        "`policy.endpoint_table.EndpointState.slow_start_factor`",
         "gateways with it in view",
     ),
     Event(
--- a/api_gateway/policy/endpoint_subset.py
+++ b/api_gateway/policy/endpoint_subset.py
@@ -16,16 +16,16 @@
 GOLDEN_STEP = 0.6180339887498949
 
 # Endpoints of a plain view, times those that a gateway uses: half of them may be warming up or fail.
-PLAIN_VIEW_FACTOR = 2.0
+NORMAL_VIEW_FACTOR = 2.0
 
 # Part of these that is passed over at the beginning of a view that is as dense as all the ring.
-VIEW_SKIPPED_PART = 0.1
+VIEW_SKIPPED_FRACTION = 0.1
 
 # Seconds by which a view that was asked for is there.
 VIEW_RESIZE_TIMEOUT_S = 5.0
 
 # Seconds of ease until a wide view is given back.
-VIEW_EASE_S = 60.0
+VIEW_SHRINK_DELAY_S = 60.0
 
 
 class EndpointSubset:
@@ -33,7 +33,7 @@
 
     Attributes:
         endpoints: The subset. It is the table's own list `available` if all are used.
-        wanted_view: Endpoints of the view that discovery is to be asked for; 0: the view is to stay.
+        wanted_view_size: Endpoints of the view that discovery is to be asked for; 0: the view is to stay.
     """
 
     def __init__(self, table: EndpointTable, health: HealthEstimator) -> None:
@@ -41,17 +41,17 @@
         self.table = table
         self.health = health
         self.endpoints: list[EndpointState] = []
-        self.wanted_view = 0
-        self._requested_view = 0
+        self.wanted_view_size = 0
+        self._requested_view_size = 0
         self._requested_at = -math.inf
         # When a plain view last fell short.
-        self._short_at = -math.inf
+        self._shortfall_at = -math.inf
         # Rank of this gateway's position among those of all gateways, less the position; None: not known.
-        self._rank_lead: float | None = None
+        self._rank_offset: float | None = None
 
     def on_settings_change(self) -> None:
         """Allow for more or fewer gateways."""
-        self._rank_lead = None
+        self._rank_offset = None
 
     def on_table_change(self) -> None:
         """Use all available endpoints until the subset is chosen again."""
@@ -77,22 +77,22 @@
         if need >= total:
             return self.table.available
         chosen: list[EndpointState] = []
-        if self.table.total:
+        if self.table.available_total:
             first = self._first_in_view(need)
         else:
             first = total * settings.gateway_index // settings.gateway_count
-        usual = self.health.health("", keys, now)
+        usual = self.health.health_score("", keys, now)
         for rank in range(first - total, first):
             if need <= 0:
                 break
             endpoint = ring[rank]
             chosen.append(endpoint)
-            name = endpoint.endpoint.id
+            name = endpoint.entry.id
             if name in capacities:
                 need -= capacities[name]
                 continue
-            sound = self.health.health(name, keys, now) if name in self.health.estimates else usual
-            need -= endpoint.warmth(now, settings.rules) * sound
+            sound = self.health.health_score(name, keys, now) if name in self.health.estimates else usual
+            need -= endpoint.slow_start_factor(now, settings.rules) * sound
         return chosen
 
     def _first_in_view(self, need: float) -> int:
@@ -103,16 +103,16 @@
         variance of the gateways to an endpoint, and so is what its own position is off by.
         """
         ring = self.table.ring
-        total = self.table.total
+        total = self.table.available_total
         position = self.table.settings.gateway_index * GOLDEN_STEP % 1.0
-        if self._rank_lead is None:
+        if self._rank_offset is None:
             gateways = self.table.settings.gateway_count
             before = sum(n * GOLDEN_STEP % 1.0 < position for n in range(gateways))
-            self._rank_lead = before / gateways - position
+            self._rank_offset = before / gateways - position
         first = rank_at(ring, position)
         end = rank_at(ring, position + need / total)
         excess = (end - first) % len(ring) - need
-        skipped = VIEW_SKIPPED_PART * need + excess / 2 + self._rank_lead * total
+        skipped = VIEW_SKIPPED_FRACTION * need + excess / 2 + self._rank_offset * total
         return (first + max(0, round(skipped))) % len(ring)
 
     def update_view(self, need: float, capacity: float, now: float) -> None:
@@ -125,20 +125,23 @@
             capacity: Endpoints of full capacity for which those of the view stand.
             now: Time in seconds.
         """
-        total = self.table.total
+        total = self.table.available_total
         view = len(self.table.available)
         need = min(need, total)
-        plain = min(total, math.ceil(PLAIN_VIEW_FACTOR * need))
+        plain = min(total, math.ceil(NORMAL_VIEW_FACTOR * need))
         if capacity * plain < need * view or capacity < need:
-            self._short_at = now
+            self._shortfall_at = now
         if capacity < need and now - self._requested_at > VIEW_RESIZE_TIMEOUT_S:
             self._request_view(min(total, max(2 * view, plain)), now)
-        elif self._requested_view > plain and now - max(self._short_at, self._requested_at) > VIEW_EASE_S:
+        elif (
+            self._requested_view_size > plain
+            and now - max(self._shortfall_at, self._requested_at) > VIEW_SHRINK_DELAY_S
+        ):
             self._request_view(plain, now)
 
     def _request_view(self, size: int, now: float) -> None:
-        self.wanted_view = size
-        self._requested_view = size
+        self.wanted_view_size = size
+        self._requested_view_size = size
         self._requested_at = now
 
 
--- a/api_gateway/policy/endpoints.py
+++ b/api_gateway/policy/endpoints.py
@@ -21,7 +21,7 @@
 MAX_IN_FLIGHT_PER_ENDPOINT = 4.0
 
 # Part of that below which endpoints clearly have capacity left.
-SPARE_CAPACITY_PART = 0.6
+SPARE_CAPACITY_FRACTION = 0.6
 
 # Times its even part that one gateway may have in flight, where there are few gateways.
 IN_FLIGHT_SLACK = 2.0
@@ -62,7 +62,7 @@
         self.capacity = ServingCapacity(self.table, self.health)
         self.subset = EndpointSubset(self.table, self.health)
         self.selector = EndpointSelector(self.table, self.load, self.subset, self.health, rng)
-        self._capacity_at = -math.inf
+        self._capacity_estimated_at = -math.inf
         self._in_flight_slack = 1.0
         self.on_settings_change(settings)
 
@@ -102,18 +102,18 @@
         return self.load.pressure
 
     @property
-    def answered_at(self) -> float:
+    def pressure_updated_at(self) -> float:
         """When an answer last changed the pressure."""
-        return self.load.answered_at
+        return self.load.pressure_updated_at
 
     @property
-    def wanted_view(self) -> int:
+    def wanted_view_size(self) -> int:
         """Endpoints of the view that discovery is to be asked for; 0: none. The engine sets it back."""
-        return self.subset.wanted_view
+        return self.subset.wanted_view_size
 
-    @wanted_view.setter
-    def wanted_view(self, size: int) -> None:
-        self.subset.wanted_view = size
+    @wanted_view_size.setter
+    def wanted_view_size(self, size: int) -> None:
+        self.subset.wanted_view_size = size
 
     def on_settings_change(self, settings: api.Settings) -> None:
         """Take changed settings."""
@@ -126,10 +126,10 @@
     def update_limits(self) -> None:
         """Work out which part of the limits on attempts in flight is this gateway's."""
         self.table.update_gateway_count()
-        gateways = self.table.gateway_count
+        gateways = self.table.sharing_gateway_count
         self.selector.in_flight_limit = max(1.0, MAX_IN_FLIGHT_PER_ENDPOINT / gateways)
-        crowding = min(1.0, math.sqrt(IN_FLIGHT_SLACK_GATEWAYS / gateways))
-        self._in_flight_slack = 1.0 + (IN_FLIGHT_SLACK - 1.0) * crowding
+        slack_scale = min(1.0, math.sqrt(IN_FLIGHT_SLACK_GATEWAYS / gateways))
+        self._in_flight_slack = 1.0 + (IN_FLIGHT_SLACK - 1.0) * slack_scale
 
     def on_list(self, now: float, event: api.EndpointList) -> None:
         """Take a list of endpoints or a change of it."""
@@ -151,7 +151,7 @@
         self.update_limits()
         self.subset.on_table_change()
         self.load.on_table_change()
-        self._capacity_at = -math.inf
+        self._capacity_estimated_at = -math.inf
         self.table.update_largest_weight()
         self.table.forget_departed(now)
 
@@ -186,14 +186,14 @@
         limited too: by the endpoints that can do the work, since those that warm up or fail leave it to
         the rest.
         """
-        if now - self._capacity_at > CAPACITY_INTERVAL_S:
-            self._capacity_at = now
+        if now - self._capacity_estimated_at > CAPACITY_INTERVAL_S:
+            self._capacity_estimated_at = now
             self._update_subset(now, keys)
         limit = (
             self._in_flight_slack
             * MAX_IN_FLIGHT_PER_ENDPOINT
-            * self.capacity.full_endpoints
-            / self.table.gateway_count
+            * self.capacity.full_capacity_endpoints
+            / self.table.sharing_gateway_count
         )
         return self.load.in_flight >= max(2.0, limit)
 
@@ -204,12 +204,12 @@
         # An equal list isn't replaced: sums over it stay valid as long as it is the same object.
         if self.subset.endpoints is self.table.available or chosen != self.subset.endpoints:
             self.subset.endpoints = chosen
-        if self.table.total:
-            self.subset.update_view(self._needed_endpoints(), self.capacity.full_endpoints, now)
+        if self.table.available_total:
+            self.subset.update_view(self._needed_endpoints(), self.capacity.full_capacity_endpoints, now)
 
     def _needed_endpoints(self) -> float:
         """Return the endpoints of full capacity that a gateway uses."""
-        total = self.table.total or len(self.table.available)
+        total = self.table.available_total or len(self.table.available)
         return SUBSET_SIZE_FACTOR * max(1.0, MAX_IN_FLIGHT_PER_ENDPOINT * total / self.settings.gateway_count)
 
     def choose_subset(
@@ -273,7 +273,7 @@
             self.health.record(event.endpoint_id, level, result != "ok", now)
         if event.load_report or result in ("ok", "timeout"):
             self.load.record_pressure(now, is_congested=is_congested)
-        if result == "ok" and endpoint.warmth(now, self.settings.rules) == 1.0:
+        if result == "ok" and endpoint.slow_start_factor(now, self.settings.rules) == 1.0:
             self.load.record_warm_answer(now)
         if result == "ok" and service_class is not None:
             self.load.record_latency(endpoint, service_class.name, event.elapsed)
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -99,9 +99,9 @@
         self.actions.clear()
         self.dispatch(now, event)
         self.load_shedder.send_queued(now)
-        if self.endpoint_pool.wanted_view:
-            self.actions.append(api.ResizeSubset(self.endpoint_pool.wanted_view))
-            self.endpoint_pool.wanted_view = 0
+        if self.endpoint_pool.wanted_view_size:
+            self.actions.append(api.ResizeSubset(self.endpoint_pool.wanted_view_size))
+            self.endpoint_pool.wanted_view_size = 0
         next_check_at = self.requests.next_check_at()
         if now >= self.cluster_clock.next_call_at:
             self.actions.append(
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -7,8 +7,8 @@
 import random
 
 from api_gateway import interface as api
-from api_gateway.policy.endpoint_load import PRESSURE_SPAN_S, SHEDDING_PRESSURE
-from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SPARE_CAPACITY_PART, EndpointPool
+from api_gateway.policy.endpoint_load import PRESSURE_TIME_CONSTANT_S, SHEDDING_PRESSURE
+from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SPARE_CAPACITY_FRACTION, EndpointPool
 from api_gateway.policy.request_state import RequestState, RequestTable
 from api_gateway.policy.retries import AttemptSender, RetryBudget
 
@@ -63,7 +63,12 @@
         self.recent_priorities = priorities
         elapsed = now - self.admitted_fraction_updated_at
         self.admitted_fraction_updated_at = now
-        decay = math.exp(min(0.0, (self.endpoint_pool.answered_at + PRESSURE_HOLD_S - now) / PRESSURE_SPAN_S))
+        decay = math.exp(
+            min(
+                0.0,
+                (self.endpoint_pool.pressure_updated_at + PRESSURE_HOLD_S - now) / PRESSURE_TIME_CONSTANT_S,
+            )
+        )
         if self.endpoint_pool.pressure * decay > SHEDDING_PRESSURE:
             decrease = math.exp(-ADMISSION_DECREASE_PER_S * min(elapsed, 1.0))
             self.admitted_fraction = max(MIN_ADMITTED_FRACTION, self.admitted_fraction * decrease)
@@ -81,7 +86,7 @@
 
     def has_spare_capacity(self) -> bool:
         """Return whether the mean load of the endpoints is clearly below their limit."""
-        return self.endpoint_pool.mean_load() < SPARE_CAPACITY_PART * MAX_IN_FLIGHT_PER_ENDPOINT
+        return self.endpoint_pool.mean_load() < SPARE_CAPACITY_FRACTION * MAX_IN_FLIGHT_PER_ENDPOINT
 
     def max_queue_time(self, service_class: api.ServiceClass) -> float:
         """Return the seconds for which a request may wait for an endpoint."""
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -70,7 +70,7 @@
 
     def can_send_to(self, state: RequestState, candidate: EndpointState, now: float) -> bool:
         """Return whether an untried endpoint may get another attempt without a risk of double execution."""
-        if candidate.endpoint.id in state.tried_endpoints:
+        if candidate.entry.id in state.tried_endpoints:
             return False
         service_class = state.service_class
         if service_class.idempotency == "safe" or not state.unresolved_attempts():
@@ -79,7 +79,7 @@
             return False
         scope = service_class.dedup_scope
         return scope == "all" or all(
-            getattr(attempt.endpoint, scope) == getattr(candidate.endpoint, scope)
+            getattr(attempt.endpoint, scope) == getattr(candidate.entry, scope)
             for attempt in state.unresolved_attempts()
         )
 
@@ -123,11 +123,11 @@
             return False
         request_id = state.request.request_id
         send_within = self.send_time_left(now, state)
-        self.actions.append(api.SendAttempt(request_id, chosen.endpoint.id, send_within=send_within))
-        state.in_flight[state.sent_count] = SentAttempt(chosen.endpoint, now)
+        self.actions.append(api.SendAttempt(request_id, chosen.entry.id, send_within=send_within))
+        state.in_flight[state.sent_count] = SentAttempt(chosen.entry, now)
         self.endpoint_pool.record_send(chosen, (request_id, state.sent_count), now)
         state.sent_count += 1
-        state.tried_endpoints.add(chosen.endpoint.id)
+        state.tried_endpoints.add(chosen.entry.id)
         state.stage = "sent"
         self.requests.schedule_check(
             now + self.endpoint_pool.silence_threshold(state.service_class.name), state
--- a/api_gateway/policy/slow_start.py
+++ b/api_gateway/policy/slow_start.py
@@ -17,7 +17,7 @@
 
 # Part of the slow start's duration that this delay is at most: with a clock that is off by less, a new
 # endpoint is still half cold.
-LIST_DELAY_MAX_PART = 0.5
+LIST_DELAY_MAX_FRACTION = 0.5
 
 # Seconds by less than which two clocks may differ: an endpoint then stays at its coldest for so much longer.
 CLOCK_TOLERANCE_S = 10.0
@@ -49,36 +49,36 @@
             duration: Seconds of slow start.
         """
         age = now - started
-        delay = min(LIST_DELAY_S, LIST_DELAY_MAX_PART * duration)
+        delay = min(LIST_DELAY_S, LIST_DELAY_MAX_FRACTION * duration)
         longest = now - self.last_list_at + delay if is_new else math.inf
         return -CLOCK_TOLERANCE_S <= age <= longest
 
-    def is_new(self, old: api.Endpoint | None, host: api.Endpoint, *, is_view: bool) -> bool:
+    def is_new(self, old: api.Endpoint | None, entry: api.Endpoint, *, is_view: bool) -> bool:
         """Return whether the list before would have given this start, had it been then already.
 
         An endpoint that a view didn't name before may have run for long: it was in others' views.
         """
         if old is None:
             return not is_view
-        return host.started_at > old.started_at
+        return entry.started_at > old.started_at
 
     def start_time(
-        self, now: float, host: api.Endpoint, old: api.Endpoint | None, *, is_view: bool, duration: float
+        self, now: float, entry: api.Endpoint, old: api.Endpoint | None, *, is_view: bool, duration: float
     ) -> float:
         """Return the start by the module's clock: now, which is the safe side, if the given one cannot be.
 
         Args:
             now: Time in seconds.
-            host: The endpoint as the list names it.
+            entry: The endpoint as the list names it.
             old: The endpoint as the list before named it, if that did.
             is_view: Whether the list holds only a part of the endpoints.
             duration: Seconds of slow start.
         """
-        if host.started_at <= 0:
+        if entry.started_at <= 0:
             return 0.0
-        is_new = self.is_new(old, host, is_view=is_view)
-        is_credible = self.is_credible(now, host.started_at, is_new=is_new, duration=duration)
-        return host.started_at if is_credible else now
+        is_new = self.is_new(old, entry, is_view=is_view)
+        is_credible = self.is_credible(now, entry.started_at, is_new=is_new, duration=duration)
+        return entry.started_at if is_credible else now
 
 
 def later_start(now: float, known: float, listed: float, offset: float, duration: float) -> float:
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -89,7 +89,7 @@
         w = EngineHarness(settings(plans=[BIG], gateway_count=gateways, gateway_index=n), [], seed=n + 1)
         w.handle(api.EndpointList("full", 1, tuple((ring + ring)[at : at + view]), total))
         w.request()
-        used.update(s.endpoint.id for s in w.engine.endpoint_pool.subset_endpoints)
+        used.update(s.entry.id for s in w.engine.endpoint_pool.subset_endpoints)
     return [used[h.id] for h in hosts_]
 
 
@@ -269,7 +269,7 @@
         held = {
             send.endpoint_id for _ in range(60) for send in actions_of(w.request()[1], api.SendAttempt)
         }  # none is answered
-        own = [s.endpoint.id for s in w.engine.endpoint_pool.subset_endpoints]
+        own = [s.entry.id for s in w.engine.endpoint_pool.subset_endpoints]
         return own, held
 
     others, _ = used()
--- a/tests/injected/planted.py
+++ b/tests/injected/planted.py
@@ -28,9 +28,7 @@
 
 def duplicate():
     """What may have run is sent again, whatever its class."""
-    attempts.AttemptSender.can_send_to = lambda self, state, s, now: (
-        s.endpoint.id not in state.tried_endpoints
-    )
+    attempts.AttemptSender.can_send_to = lambda self, state, s, now: s.entry.id not in state.tried_endpoints
     attempts.AttemptSender.send_time_left = lambda self, now, state: 1e9
 
 
@@ -48,9 +46,9 @@
 def failback():
     """Every host counts as warm, and one that has just started as the best."""
     selector = endpoint_selection.EndpointSelector
-    score = selector.score
-    endpoint_table.EndpointState.warmth = lambda self, now, rules: 1.0
-    selector.score = lambda self, s, keys, now: 0.0 if s.started_at > 0 else score(self, s, keys, now)
+    cost = selector.cost
+    endpoint_table.EndpointState.slow_start_factor = lambda self, now, rules: 1.0
+    selector.cost = lambda self, s, keys, now: 0.0 if s.started_at > 0 else cost(self, s, keys, now)
     fleet.MAX_IN_FLIGHT_PER_ENDPOINT = 100.0
 
 
--- a/tests/measure/served.py
+++ b/tests/measure/served.py
@@ -36,7 +36,7 @@
 from api_gateway import interface as api  # noqa: E402
 from api_gateway.base.subsets import EndpointRings, SubsetSpec  # noqa: E402
 from api_gateway.policy import DecisionEngine  # noqa: E402
-from api_gateway.policy.endpoint_subset import PLAIN_VIEW_FACTOR  # noqa: E402
+from api_gateway.policy.endpoint_subset import NORMAL_VIEW_FACTOR  # noqa: E402
 from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SUBSET_SIZE_FACTOR  # noqa: E402
 
 ZONES, SLOTS, QUEUE, SPREAD = 6, 2, 4, 6
@@ -108,7 +108,7 @@
         self.size = min(
             hosts,
             math.ceil(
-                PLAIN_VIEW_FACTOR
+                NORMAL_VIEW_FACTOR
                 * SUBSET_SIZE_FACTOR
                 * max(1.0, MAX_IN_FLIGHT_PER_ENDPOINT * hosts / gateways)
             ),
@@ -352,7 +352,7 @@
         while not gateway.endpoint_pool.in_flight:
             play.now, _, act, args = heapq.heappop(play.events)
             act(*args)
-        users.update(s.endpoint.id for s in gateway.endpoint_pool.subset_endpoints)
+        users.update(s.entry.id for s in gateway.endpoint_pool.subset_endpoints)
     counts = [users[name] for name in play.machines]
     return (
         f"{hosts} hosts, told of {play.size if views else hosts}: a host is used by {min(counts)} to "
--- a/tests/policy/test_endpoint_subsets.py
+++ b/tests/policy/test_endpoint_subsets.py
@@ -13,11 +13,11 @@
 from api_gateway.policy.endpoint_selection import EndpointSelector
 from api_gateway.policy.endpoint_subset import (
     GOLDEN_STEP,
-    VIEW_EASE_S,
     VIEW_RESIZE_TIMEOUT_S,
-    VIEW_SKIPPED_PART,
+    VIEW_SHRINK_DELAY_S,
+    VIEW_SKIPPED_FRACTION,
 )
-from api_gateway.policy.endpoint_table import DEPARTED_MEMORY_FLOOR, DEPARTED_MEMORY_S, MAX_SAMPLE
+from api_gateway.policy.endpoint_table import DEPARTED_RETENTION_S, MAX_SAMPLE_SIZE, MIN_DEPARTED_RETAINED
 from api_gateway.policy.endpoints import MAX_IN_FLIGHT_PER_ENDPOINT, SUBSET_SIZE_FACTOR
 from api_gateway.simulator_adapter import ACTION_WRITERS
 
@@ -48,7 +48,7 @@
     follow = sum((stable_hash(h.id, "place") / 2**63 - place) % 1.0 < need / len(hosts) for h in hosts)
     rank = sorted(n * GOLDEN_STEP % 1.0 for n in range(gateways)).index(place)
     ahead = len(hosts) * (rank / gateways - place)
-    return max(0, round(VIEW_SKIPPED_PART * need + (follow - need) / 2 + ahead))
+    return max(0, round(VIEW_SKIPPED_FRACTION * need + (follow - need) / 2 + ahead))
 
 
 def viewing(hosts, view, gateways, index=0, total=None, **kw):
@@ -81,8 +81,8 @@
     whole = EngineHarness(settings(plans=[BIG], gateway_count=gateways, gateway_index=7), hosts, seed=7)
     part = viewing(hosts, view, gateways, index=7)
     assert (
-        part.engine.endpoint_pool.table.gateway_count == max(1.0, gateways * view / total)
-        and whole.engine.endpoint_pool.table.gateway_count == gateways
+        part.engine.endpoint_pool.table.sharing_gateway_count == max(1.0, gateways * view / total)
+        and whole.engine.endpoint_pool.table.sharing_gateway_count == gateways
     )
     for w in (whole, part):
         asked(w, 4)
@@ -93,7 +93,7 @@
         <= 2
     )
     own, skip = part.engine.endpoint_pool.subset_endpoints, passed_over(hosts, 7, gateways)
-    assert [s.endpoint for s in own] == in_view(hosts, 7, view)[skip : skip + len(own)]
+    assert [s.entry for s in own] == in_view(hosts, 7, view)[skip : skip + len(own)]
     assert not wishes(part) and not wishes(whole)
     out = {}
     for name, w in (("whole", whole), ("part", part)):
@@ -113,7 +113,7 @@
         w = viewing(hosts, view, gateways, index=k)
         asked(w, 1)
         for s in w.engine.endpoint_pool.subset_endpoints:
-            seen[s.endpoint.id] += 1
+            seen[s.entry.id] += 1
     mean = sum(seen.values()) / total
     assert (
         abs(mean - SUBSET_SIZE_FACTOR * MAX_IN_FLIGHT_PER_ENDPOINT) < 0.75
@@ -127,20 +127,29 @@
     w = EngineHarness(settings(plans=[BIG], gateway_count=40), hosts)
     w.handle(api.EndpointOverride("h3", True, w.now))
     w.handle(api.EndpointList("full", 2, hosts, 20))
-    assert w.engine.endpoint_pool.table.gateway_count == 40 and w.engine.endpoint_pool.table.total == 0
+    assert (
+        w.engine.endpoint_pool.table.sharing_gateway_count == 40
+        and w.engine.endpoint_pool.table.available_total == 0
+    )
     w.handle(api.EndpointList("delta", 3, (), 200))
-    assert w.engine.endpoint_pool.table.gateway_count == 4.0 and w.engine.endpoint_pool.table.total == 200
+    assert (
+        w.engine.endpoint_pool.table.sharing_gateway_count == 4.0
+        and w.engine.endpoint_pool.table.available_total == 200
+    )
     w.handle(api.EndpointList("failed", 3, ()))
-    assert w.engine.endpoint_pool.table.total == 200  # nothing was told
+    assert w.engine.endpoint_pool.table.available_total == 200  # nothing was told
     w.handle(api.EndpointList("delta", 4, (host("h20"),)))
-    assert w.engine.endpoint_pool.table.gateway_count == 40 and w.engine.endpoint_pool.table.total == 0
+    assert (
+        w.engine.endpoint_pool.table.sharing_gateway_count == 40
+        and w.engine.endpoint_pool.table.available_total == 0
+    )
 
 
 def test_a_view_that_empties_asks_for_more_and_works_again_when_it_fills():
     hosts = [host(f"h{n}", zone=f"z{n % 3}") for n in range(3000)]
     w = viewing([h for h in hosts if h.zone == "z1"], 60, 300, total=3000)
     assert asked(w)
-    lost = [s.endpoint for s in w.engine.endpoint_pool.available]
+    lost = [s.entry for s in w.engine.endpoint_pool.available]
     for n in range(0, 60, 20):
         w.handle(api.EndpointList("delta", 2 + n, down(*lost[n : n + 20]), 2000))
     w.action_log.clear()
@@ -148,7 +157,10 @@
         w.now += 0.1
         assert not actions_of(w.request()[1], api.SendAttempt)
     assert len(wishes(w)) == math.ceil(10.0 / VIEW_RESIZE_TIMEOUT_S) and min(wishes(w)) > 60
-    assert not w.engine.endpoint_pool.subset_endpoints and w.engine.endpoint_pool.table.gateway_count == 1.0
+    assert (
+        not w.engine.endpoint_pool.subset_endpoints
+        and w.engine.endpoint_pool.table.sharing_gateway_count == 1.0
+    )
     back = tuple(h for h in hosts if h.zone == "z2")[: wishes(w)[0]]
     w.handle(api.EndpointList("delta", 99, back, 2000))
     w.action_log.clear()
@@ -163,7 +175,7 @@
     (most,) = wishes(w)
     w.handle(api.EndpointList("full", 2, tuple(in_view(hosts, 0, most)), 2000))
     w.action_log.clear()
-    asked(w, int(0.9 * VIEW_EASE_S / 0.5), step=0.5)
+    asked(w, int(0.9 * VIEW_SHRINK_DELAY_S / 0.5), step=0.5)
     assert not wishes(w)
     w.handle(
         api.EndpointList("delta", 3, tuple(host(h.id, started=w.now) for h in in_view(hosts, 0, most)), 2000)
@@ -171,7 +183,7 @@
     asked(w, 100, step=0.5)  # all were cold, so all of the wide view was needed
     assert len(w.engine.endpoint_pool.subset_endpoints) <= most and all(n >= most for n in wishes(w))
     w.action_log.clear()
-    asked(w, int(2.2 * VIEW_EASE_S / 0.5), step=0.5)
+    asked(w, int(2.2 * VIEW_SHRINK_DELAY_S / 0.5), step=0.5)
     plain = wishes(w)[-1]
     assert plain <= most
     w.handle(api.EndpointList("full", 4, tuple(in_view(hosts, 0, plain)), 2000))
@@ -203,16 +215,16 @@
     w = viewing(hosts, 40, 100, total=400)
     name, acts = w.request(service_class=cls)
     (send,) = actions_of(acts, api.SendAttempt)
-    left = w.engine.endpoint_pool.endpoints[send.endpoint_id].endpoint
+    left = w.engine.endpoint_pool.endpoints[send.endpoint_id].entry
     w.handle(api.EndpointList("delta", 2, down(left), 400))
     assert w.engine.endpoint_pool.in_flight == 1 and left.id in w.engine.endpoint_pool.endpoints
     assert left.id not in asked(w, 60, step=0.001)
-    for n in range(3 * DEPARTED_MEMORY_FLOOR):  # so many leave after it that it would be forgotten
+    for n in range(3 * MIN_DEPARTED_RETAINED):  # so many leave after it that it would be forgotten
         w.handle(api.EndpointList("delta", 3 + 2 * n, (host(f"x{n}"),), 400))
         w.handle(api.EndpointList("delta", 4 + 2 * n, down(host(f"x{n}")), 400))
     assert left.id in w.engine.endpoint_pool.endpoints
     (again,) = actions_of(w.end_attempt(send, "reset"), api.SendAttempt)
-    to = w.engine.endpoint_pool.endpoints[again.endpoint_id].endpoint
+    to = w.engine.endpoint_pool.endpoints[again.endpoint_id].entry
     assert to.id != left.id and getattr(to, scope) == getattr(left, scope)
     assert w.engine.endpoint_pool.in_flight == 1
 
@@ -221,10 +233,10 @@
     w = viewing([host(f"h{n}") for n in range(20)], 20, 40, total=200)
     _, acts = w.request()
     (send,) = actions_of(acts, api.SendAttempt)
-    gone = w.engine.endpoint_pool.endpoints[send.endpoint_id].endpoint
+    gone = w.engine.endpoint_pool.endpoints[send.endpoint_id].entry
     w.handle(api.EndpointList("delta", 2, down(gone), 200))
     w.end_attempt(send)
-    w.now += DEPARTED_MEMORY_S + 1.0
+    w.now += DEPARTED_RETENTION_S + 1.0
     w.handle(api.EndpointList("delta", 3, (), 200))
     fleet = w.engine.endpoint_pool
     assert gone.id not in fleet.endpoints and gone.id not in fleet.health.estimates
@@ -233,16 +245,16 @@
     w.handle(api.EndpointOverride(gone.id, True, w.now))
     assert gone.id not in fleet.endpoints and fleet.in_flight == 0
     w.handle(api.EndpointList("delta", 4, (gone,), 200))  # its ban was kept
-    assert gone.id not in [s.endpoint.id for s in fleet.available] and gone.id not in asked(w)
+    assert gone.id not in [s.entry.id for s in fleet.available] and gone.id not in asked(w)
     w.handle(api.EndpointOverride(gone.id, False, w.now))
-    assert gone.id in [s.endpoint.id for s in fleet.available]
+    assert gone.id in [s.entry.id for s in fleet.available]
 
 
 def test_a_ban_outlives_what_is_known_of_its_host():
     w = EngineHarness(settings(plans=[BIG]), [host("h1"), host("h2")])
     w.handle(api.EndpointOverride("h1", True, w.now))
     w.handle(api.EndpointList("full", 2, (host("h2"),)))
-    w.now += DEPARTED_MEMORY_S + 1.0
+    w.now += DEPARTED_RETENTION_S + 1.0
     w.handle(api.EndpointList("full", 3, (host("h2"),)))
     assert list(w.engine.endpoint_pool.endpoints) == ["h2"]
     w.handle(api.EndpointList("full", 4, (host("h1"), host("h2"))))
@@ -276,7 +288,7 @@
     sent = asked(w, 3000)
     weight = {h.id: h.weight for h in hosts}
     heavy = sum(weight[name] == 10.0 for name in sent) / len(sent)
-    share = [s.endpoint.weight for s in w.engine.endpoint_pool.subset_endpoints]
+    share = [s.entry.weight for s in w.engine.endpoint_pool.subset_endpoints]
     even = share.count(10.0) * 10 / (share.count(10.0) * 10 + share.count(1.0))
     assert abs(heavy - even) < 0.12
     assert w.engine.endpoint_pool.table.largest_weight == 10.0
@@ -326,7 +338,9 @@
         play(0.5, sent)
     rules = worlds[0].settings.rules
     times = sent.get(cold.id, [])
-    most = rules.overload_multiple * bears * rules.overload_window  # of its warmth at the end of the span
+    most = (
+        rules.overload_multiple * bears * rules.overload_window
+    )  # of its slow_start_factor at the end of the span
     for t in times:
         count = sum(t <= x < t + rules.overload_window for x in times)
         warm = min(1.0, 0.2 + 0.8 * (t - cold.started_at) / 10.0)
@@ -362,7 +376,7 @@
     )
     assert len(fleet.health.estimates) <= 201 and len(fleet.table.warming_up) <= 101
     assert objects[1] < objects[0] + 300  # each known host is three at least
-    w.now += DEPARTED_MEMORY_S + 1.0
+    w.now += DEPARTED_RETENTION_S + 1.0
     asked(w, 1)
     assert len(fleet.endpoints) == 100 and not fleet.table.departed
 
@@ -398,10 +412,10 @@
     looked = 0
 
     class Counting(EndpointSelector):
-        def may_send(self, s, now):
+        def can_send_to(self, s, now):
             nonlocal looked
             looked += 1
-            return super().may_send(s, now)
+            return super().can_send_to(s, now)
 
     for gateways in (1, 10, 400):
         w = EngineHarness(settings(plans=[BIG], gateway_count=gateways), [host(f"h{n}") for n in range(5000)])
@@ -412,4 +426,4 @@
             for s in actions_of(w.request()[1], api.SendAttempt):
                 for again in actions_of(w.end_attempt(s, "error"), api.SendAttempt):
                     w.end_attempt(again)
-        assert looked <= 40 * 2 * MAX_SAMPLE
+        assert looked <= 40 * 2 * MAX_SAMPLE_SIZE
--- a/tests/policy/test_endpoints.py
+++ b/tests/policy/test_endpoints.py
@@ -71,8 +71,11 @@
     w.now += 5.0
     w.handle(api.EndpointOverride("h1", False, w.now))
     server = w.engine.endpoint_pool.endpoints["h1"]
-    assert server.warmth(w.now, w.settings.rules) == 0.2 and server in w.engine.endpoint_pool.available
-    assert server.warmth(w.now + 10.0, w.settings.rules) == 1.0
+    assert (
+        server.slow_start_factor(w.now, w.settings.rules) == 0.2
+        and server in w.engine.endpoint_pool.available
+    )
+    assert server.slow_start_factor(w.now + 10.0, w.settings.rules) == 1.0
 
 
 def test_a_start_that_the_list_told_during_the_ban_is_the_one_that_counts():
@@ -81,14 +84,14 @@
     w.handle(api.EndpointList("delta", 2, (host("h1", started=w.now + 1.0),)))
     w.now += 6.0
     w.handle(api.EndpointOverride("h1", False, w.now))
-    assert abs(w.engine.endpoint_pool.endpoints["h1"].warmth(w.now, w.settings.rules) - 0.6) < 1e-9
+    assert abs(w.engine.endpoint_pool.endpoints["h1"].slow_start_factor(w.now, w.settings.rules) - 0.6) < 1e-9
 
 
 def test_a_return_is_heard_of_by_a_process_that_did_not_see_the_ban():
     w = EngineHarness(settings(plans=[BIG]), [host("h1"), host("h2")])
     w.handle(api.EndpointOverride("h1", False, w.now - 5.0))
     w.handle(api.EndpointOverride("h9", False, w.now))  # of a host that no list has named here
-    assert abs(w.engine.endpoint_pool.endpoints["h1"].warmth(w.now, w.settings.rules) - 0.6) < 1e-9
+    assert abs(w.engine.endpoint_pool.endpoints["h1"].slow_start_factor(w.now, w.settings.rules) - 0.6) < 1e-9
 
 
 def test_a_host_that_started_again_is_not_held_to_what_its_last_life_did():
@@ -175,7 +178,7 @@
         w.now += 1.0
         w.end_attempt(actions_of(w.request()[1], api.SendAttempt)[0])
         for s in w.engine.endpoint_pool.subset_endpoints:
-            hosts[s.endpoint.id] = hosts.get(s.endpoint.id, 0) + 1
+            hosts[s.entry.id] = hosts.get(s.entry.id, 0) + 1
     return hosts
 
 
@@ -198,7 +201,7 @@
 def test_a_gateway_whose_hosts_fail_uses_others():
     w = EngineHarness(settings(plans=[BIG], gateway_count=40), [host(f"h{n}") for n in range(60)])
     w.end_attempt(actions_of(w.request()[1], api.SendAttempt)[0])
-    bad = {s.endpoint.id for s in w.engine.endpoint_pool.subset_endpoints}
+    bad = {s.entry.id for s in w.engine.endpoint_pool.subset_endpoints}
     assert len(bad) <= 20
     good = 0
     for _ in range(80):
@@ -233,8 +236,8 @@
 HOUR, NOW = 3600.0, 1e6
 
 
-def warmth(world, name):
-    return world.engine.endpoint_pool.endpoints[name].warmth(world.now, world.settings.rules)
+def slow_start_factor(world, name):
+    return world.engine.endpoint_pool.endpoints[name].slow_start_factor(world.now, world.settings.rules)
 
 
 @pytest.mark.parametrize("off", [-HOUR, HOUR])
@@ -245,31 +248,33 @@
     w.now += 5.0
     true = w.now - off - 1.0
     w.handle(api.EndpointList("delta", 3, (host("h2", started=true), host("h3", started=true))))
-    assert warmth(w, "h2") == warmth(w, "h3") == w.settings.rules.slow_start_min_capacity
+    assert (
+        slow_start_factor(w, "h2") == slow_start_factor(w, "h3") == w.settings.rules.slow_start_min_capacity
+    )
     w.now += w.settings.rules.slow_start_duration
-    assert warmth(w, "h2") == warmth(w, "h3") == 1.0
+    assert slow_start_factor(w, "h2") == slow_start_factor(w, "h3") == 1.0
 
 
 def test_what_a_first_list_or_a_view_names_may_have_run_for_long():
     w = EngineHarness(settings(plans=[BIG]), [host("h1", started=NOW - HOUR)], start=NOW)
     w.handle(api.EndpointList("full", 2, (host("h1", started=NOW - HOUR), host("h2", started=1.0)), 50))
     w.handle(api.EndpointList("delta", 3, (host("h3", started=NOW - HOUR),), 50))
-    assert warmth(w, "h1") == warmth(w, "h2") == warmth(w, "h3") == 1.0
+    assert slow_start_factor(w, "h1") == slow_start_factor(w, "h2") == slow_start_factor(w, "h3") == 1.0
 
 
 def test_a_clock_that_steps_leaves_no_host_warmer_than_either_reading_has_it():
     w = EngineHarness(
         settings(plans=[BIG]), [host("h1", started=NOW - HOUR - 2.0), host("h2", started=10.0)], start=NOW
     )
-    assert warmth(w, "h1") == 1.0
+    assert slow_start_factor(w, "h1") == 1.0
     w.handle(api.WallClockStepped(-HOUR))
-    assert abs(warmth(w, "h1") - 0.36) < 1e-9 and warmth(w, "h2") == 1.0
+    assert abs(slow_start_factor(w, "h1") - 0.36) < 1e-9 and slow_start_factor(w, "h2") == 1.0
     w.handle(api.WallClockStepped(0.0))
-    assert abs(warmth(w, "h1") - 0.36) < 1e-9
+    assert abs(slow_start_factor(w, "h1") - 0.36) < 1e-9
 
 
 def test_a_clock_that_is_some_seconds_ahead_makes_no_warm_host_of_one_that_warms_up_in_less():
     w = EngineHarness(settings(plans=[BIG], rules=dict(slow_start_duration=4.0)), [host("h1")], start=NOW)
     w.handle(api.EndpointList("full", 2, (host("h1"),)))
     w.handle(api.EndpointList("delta", 3, (host("h2", started=NOW - 5.0),)))
-    assert warmth(w, "h2") == w.settings.rules.slow_start_min_capacity
+    assert slow_start_factor(w, "h2") == w.settings.rules.slow_start_min_capacity
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -31,7 +31,7 @@
         self.told = []  # of those that came the ones from gateways that knew when it started
         self.rate = slots / work  # requests a second while it is warm
 
-    def warmth(self, now, rules):
+    def slow_start_factor(self, now, rules):
         age = now - self.started
         if not self.started or age >= rules.slow_start_duration:
             return 1.0
@@ -47,7 +47,7 @@
         if begins - now > 0.5:
             heapq.heappush(self.free, begins)
             return None
-        ends = begins + work / self.warmth(now, rules)
+        ends = begins + work / self.slow_start_factor(now, rules)
         heapq.heappush(self.free, ends)
         return ends
 
@@ -58,7 +58,7 @@
         for last, at in enumerate(cold):
             while at - cold[first] > rules.overload_window:
                 first += 1
-            warm = self.warmth(max(self.started, at - rules.overload_window), rules)
+            warm = self.slow_start_factor(max(self.started, at - rules.overload_window), rules)
             n = rules.overload_multiple * self.rate * warm * rules.overload_window
             worst = max(worst, (last - first + 1) / (n + 2 * math.sqrt(n) + 2))
         return worst
@@ -234,6 +234,6 @@
 @pytest.mark.parametrize("day", ["most", "small hosts", "small hosts, crowded"])
 def test_the_play_tells_where_cold_hosts_get_too_much(day, monkeypatch):
     """Planted: cold hosts are taken for warm ones."""
-    monkeypatch.setattr(EndpointState, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(EndpointState, "slow_start_factor", lambda *_: 1.0)
     played = Play(1, **DAYS[day] | dict(load=0.95, overload_multiple=1.0))
     assert played.run() > 1.0 and played.told() > 1.0
