--- a/api_gateway/policy/endpoint_load.py
+++ b/api_gateway/policy/endpoint_load.py
@@ -1,6 +1,6 @@
-"""Estimates of load and of serving capacity: rates, latencies, pressure, and what the endpoints can do.
+"""Estimates of load (rates, latencies, pressure) and of the serving capacity of the endpoints.
 
-Times are in seconds of the module's clock, rates are a second.
+Times are in seconds of the module's clock, rates are per second.
 """
 
 from __future__ import annotations
@@ -12,46 +12,47 @@
 from api_gateway.policy.endpoint_table import EndpointState, EndpointTable
 from api_gateway.policy.outlier_detection import HealthEstimator
 
-# Seconds; shortest delay of a check on queued requests and hedges, far below any latency objective.
+# Shortest delay in seconds of a check on queued and hedged requests, far below any latency objective.
 TIMER_RESOLUTION_S = 0.02
 
-# Mean deviations above the mean latency after which an attempt counts as silent.
+# An attempt counts as silent after the mean latency plus this many mean deviations.
 SILENT_AFTER_DEVIATIONS = 4.0
 
-# Answers that a class's first mean and deviation stand for: one answer alone tells no deviation.
+# Number of answers that the initial mean and deviation of a service class count for, because a single answer
+# gives no deviation.
 PRIOR_ANSWERS = 4
 
-# Requests in flight at an endpoint above which it holds more than it works on well.
+# An endpoint with more requests in flight than this is congested: it has accepted more than it handles well.
 CONGESTED_LOAD = 5.0
 
-# Part of answers from congested endpoints above which load is shed.
+# Fraction of answers from congested endpoints above which load is shed.
 SHEDDING_PRESSURE = 0.5
 
-# Seconds over which that part is taken.
+# Time constant in seconds of the moving average of that fraction.
 PRESSURE_TIME_CONSTANT_S = 1.5
 
-# Requests that an endpoint works on at once, when nothing tells more.
+# Requests that an endpoint is assumed to process concurrently, unless a load report gives more detail.
 WORKERS_PER_ENDPOINT = 2.0
 
-# Seconds over which rates of sends and answers are taken.
+# Time constant in seconds of the moving averages of send and answer rates.
 RATE_TIME_CONSTANT_S = 3.0
 
 
 class LoadEstimates:
-    """Estimates load from this gateway's sends and from how its attempts end.
+    """Estimates load from the attempts that this gateway sends and from their results.
 
     Attributes:
-        in_flight: Attempts of this gateway in flight.
-        mean_reported_load: Mean of the requests in flight that load reports tell.
-        has_reports: Whether any load report has come.
-        pressure: Part of the latest answers that came from congested endpoints.
-        pressure_updated_at: When an answer last changed the pressure.
+        in_flight: Number of attempts of this gateway in flight.
+        mean_reported_load: Mean number of requests in flight per endpoint according to load reports.
+        has_reports: Whether any load report has arrived.
+        pressure: Fraction of recent answers that came from congested endpoints.
+        pressure_updated_at: When an answer last updated the pressure.
         mean_latency: Mean latency in seconds, by service class.
-        latency_deviation: Mean deviation of it in seconds, by service class.
+        latency_deviation: Mean deviation of the latency in seconds, by service class.
     """
 
     def __init__(self, table: EndpointTable) -> None:
-        """Begin without any send or answer. The table stays its owner's."""
+        """Initialise without any attempt or answer. `table` belongs to the caller."""
         self.table = table
         self.in_flight = 0
         self.mean_reported_load = 0.0
@@ -70,7 +71,7 @@
         self._all_warm_subset: list[EndpointState] | None = None
 
     def on_settings_change(self, settings: api.Settings) -> None:
-        """Take changed settings: a new class has no history, a removed one keeps its own meanwhile."""
+        """Add estimates for new service classes; a removed class keeps its history in case it returns."""
         self._all_warm_subset = None
         for service_class in settings.classes.values():
             name = service_class.name
@@ -81,29 +82,29 @@
                 self._answer_counts[name] = PRIOR_ANSWERS
 
     def on_table_change(self) -> None:
-        """Drop what was summed up over the endpoints."""
+        """Discard cached sums over the endpoints."""
         self._all_warm_subset = None
 
     def mean_load(self) -> float:
-        """Return the mean of requests in flight at an endpoint, from all gateways."""
+        """Return the mean number of requests in flight per endpoint, from all gateways."""
         if self.has_reports:
             return self.mean_reported_load
         return self.in_flight * self.table.sharing_gateway_count / max(1, len(self.table.available))
 
     def send_rate(self, now: float) -> float:
-        """Return this gateway's attempts a second."""
+        """Return the attempts per second of this gateway."""
         return self._send_rate * math.exp((self._send_rate_updated_at - now) / RATE_TIME_CONSTANT_S)
 
     def answer_rate(self, endpoint: EndpointState, now: float, subset: list[EndpointState]) -> float:
-        """Return what a warm endpoint of this weight answers for this gateway, a second.
+        """Return the answers per second that this gateway gets from a warm endpoint of this weight.
 
-        Sends would count what fails as well, and a mean over all endpoints would count those warming up,
-        which then stay idle because they are.
+        A rate of sent attempts would include those that fail. A mean over all endpoints would include those
+        that are warming up, and their low answer rate would then keep them idle.
 
         Args:
-            endpoint: The endpoint whose weight counts.
-            now: Time.
-            subset: The endpoints that this gateway uses; the same list as before if it hasn't changed.
+            endpoint: The endpoint whose weight is used.
+            now: Current time.
+            subset: The endpoints that this gateway uses; the same list object as before if it hasn't changed.
         """
         if now - self._warm_weight_updated_at > TIMER_RESOLUTION_S:
             self._warm_weight_updated_at = now
@@ -124,12 +125,12 @@
         self._all_warm_subset = subset if len(warm) == len(sample) else None
 
     def silence_threshold(self, class_name: str) -> float:
-        """Return the seconds after which an attempt of a service class counts as silent."""
+        """Return the seconds without an answer after which an attempt of a service class counts as silent."""
         mean = self.mean_latency[class_name]
         return max(TIMER_RESOLUTION_S, mean + SILENT_AFTER_DEVIATIONS * self.latency_deviation[class_name])
 
     def record_send(self, now: float) -> None:
-        """Count an attempt of this gateway."""
+        """Record that this gateway sends an attempt."""
         self.in_flight += 1
         self._send_rate = self.send_rate(now) + 1.0 / RATE_TIME_CONSTANT_S
         self._send_rate_updated_at = now
@@ -137,17 +138,17 @@
     def record_report(
         self, now: float, endpoint: EndpointState, in_flight: int, report: dict[str, float]
     ) -> bool:
-        """Take a load report, and return whether the endpoint is congested.
+        """Record a load report, and return whether the endpoint is congested.
 
         Args:
-            now: Time.
-            endpoint: The endpoint that reports.
-            in_flight: Attempts of this gateway there, of which the answered one is one.
-            report: Its fields, as far as the endpoint gives them.
+            now: Current time.
+            endpoint: The endpoint that sent the report.
+            in_flight: Attempts of this gateway in flight there, including the answered one.
+            report: The fields of the report; any of them may be missing.
         """
-        waiting = report.get("queue", 0.0)
+        queue_length = report.get("queue", 0.0)
         utilization = report.get("util", 0.0)
-        load = report.get("inflight", waiting + WORKERS_PER_ENDPOINT * utilization)
+        load = report.get("inflight", queue_length + WORKERS_PER_ENDPOINT * utilization)
         endpoint.other_gateways_load = max(0.0, load - in_flight)
         endpoint.load_reported_at = now
         self.mean_reported_load += (FAST_MEAN_GAIN if self.has_reports else 1.0) * (
@@ -157,7 +158,7 @@
         return load > CONGESTED_LOAD
 
     def record_pressure(self, now: float, *, is_congested: bool) -> None:
-        """Take an answer, or its lack, as evidence on how many endpoints are congested."""
+        """Update the pressure with an answer or a timeout."""
         gain = max(
             FAST_MEAN_GAIN / 2, 1 - math.exp((self.pressure_updated_at - now) / PRESSURE_TIME_CONSTANT_S)
         )
@@ -165,15 +166,15 @@
         self.pressure_updated_at = now
 
     def record_warm_answer(self, now: float) -> None:
-        """Count an answer of an endpoint that slow start doesn't hold back."""
-        faded = self._warm_answer_rate * math.exp(
+        """Record an answer of an endpoint that slow start doesn't limit."""
+        decayed_rate = self._warm_answer_rate * math.exp(
             (self._warm_answer_rate_updated_at - now) / RATE_TIME_CONSTANT_S
         )
-        self._warm_answer_rate = faded + 1.0 / RATE_TIME_CONSTANT_S
+        self._warm_answer_rate = decayed_rate + 1.0 / RATE_TIME_CONSTANT_S
         self._warm_answer_rate_updated_at = now
 
     def record_latency(self, endpoint: EndpointState, class_name: str, elapsed: float) -> None:
-        """Take the latency of an answer, in seconds, into the means of its endpoint and its class."""
+        """Update the mean latencies of an endpoint and a service class by an answer's latency in seconds."""
         mean = self.mean_latency[class_name]
         endpoint.latency_ratio += FAST_MEAN_GAIN * (
             min(elapsed / max(mean, 1e-6), 10.0) - endpoint.latency_ratio
@@ -187,45 +188,62 @@
 
 
 class ServingCapacity:
-    """Estimates how many endpoints of full capacity all the available ones stand for.
+    """Estimates the serving capacity of the available endpoints.
 
     Attributes:
-        full_capacity_endpoints: That number, as of the last estimate.
+        full_capacity_endpoints: The last estimate, as the equivalent number of full-capacity endpoints.
     """
 
     def __init__(self, table: EndpointTable, health: HealthEstimator) -> None:
-        """Begin with no capacity. Table and health stay their owner's."""
+        """Initialise with no capacity. `table` and `health` belong to the caller."""
         self.table = table
         self.health = health
         self.full_capacity_endpoints = 0.0
 
     def estimate(self, keys: tuple[str, ...], now: float) -> dict[str, float]:
-        """Update `full_capacity_endpoints`, and return the known parts of full capacity by endpoint id.
+        """Update `full_capacity_endpoints`, and return known capacities as fractions of full capacity, by ID.
 
-        Each endpoint counts as a usual one, less what those lack that are warming up or doubted.
+        Each available endpoint is counted with the mean health. The sum is then corrected for endpoints with
+        evidence of their own and for those that are warming up.
 
         Args:
-            keys: Levels at which an endpoint may fail the request, as `HealthEstimator` has them.
-            now: Time.
+            keys: Levels at which an endpoint may fail the request, as in `HealthEstimator`.
+            now: Current time.
         """
         table = self.table
         rules = table.settings.rules
-        usual = self.health.health_score("", keys, now)
-        known = list(self.health.estimates)
-        sample = table.sample(known)
+        mean_health = self.health.health_score("", keys, now)
+        known_ids = list(self.health.estimates)
+        sampled_ids = table.sample(known_ids)
         warming_up = table.sample(list(table.warming_up.values()))
-        here = [
-            x for x in sample if x in table.endpoints and x not in table.departed and x not in table.ejected
+        present_ids = [
+            sampled_id
+            for sampled_id in sampled_ids
+            if sampled_id in table.endpoints
+            and sampled_id not in table.departed
+            and sampled_id not in table.ejected
         ]
         capacities = {
-            x: sound * table.warming_up[x].slow_start_factor(now, rules) if x in table.warming_up else sound
-            for x, sound in zip(here, self.health.health_scores(here, keys, now), strict=True)
+            sampled_id: health * table.warming_up[sampled_id].slow_start_factor(now, rules)
+            if sampled_id in table.warming_up
+            else health
+            for sampled_id, health in zip(
+                present_ids, self.health.health_scores(present_ids, keys, now), strict=True
+            )
         }
-        doubted = (sum(capacities.values()) - usual * len(capacities)) * (len(known) / max(1, len(sample)))
-        warmths = {s.entry.id: s.slow_start_factor(now, rules) for s in warming_up}
-        lacking = sum(x * usual - usual for name, x in warmths.items() if name not in self.health.estimates)
-        unsampled = len(table.warming_up) / max(1, len(warming_up))
-        self.full_capacity_endpoints = usual * len(table.available) + doubted + lacking * unsampled
-        for endpoint_id in [name for name, x in warmths.items() if x == 1.0]:
+        evidence_adjustment = (sum(capacities.values()) - mean_health * len(capacities)) * (
+            len(known_ids) / max(1, len(sampled_ids))
+        )
+        slow_start_factors = {s.entry.id: s.slow_start_factor(now, rules) for s in warming_up}
+        slow_start_adjustment = sum(
+            factor * mean_health - mean_health
+            for warming_id, factor in slow_start_factors.items()
+            if warming_id not in self.health.estimates
+        )
+        sampling_factor = len(table.warming_up) / max(1, len(warming_up))
+        self.full_capacity_endpoints = (
+            mean_health * len(table.available) + evidence_adjustment + slow_start_adjustment * sampling_factor
+        )
+        for endpoint_id in [warming_id for warming_id, factor in slow_start_factors.items() if factor == 1.0]:
             del table.warming_up[endpoint_id]
         return capacities
--- a/api_gateway/policy/outlier_detection.py
+++ b/api_gateway/policy/outlier_detection.py
@@ -1,8 +1,11 @@
-"""How likely an endpoint fails, estimated at the level where it shows: the endpoint, a service class, a plan.
-
-Errors, silence, lost connections and refusals for want of capacity are evidence alike, at each level by how
-much of all endpoints fails there, so that an answer of another kind clears nothing. While many fail, proven
-endpoints are first. Harm: a healthy endpoint that failed by chance gets less until half of that is forgotten.
+"""Passive outlier detection: the probability that an endpoint is failing, by endpoint and by kind of request.
+
+An estimate is kept for the endpoint as a whole, for each service class and for each plan, because an endpoint
+may fail only some kinds of requests. Errors, timeouts, lost connections and rejections for lack of capacity
+all count as evidence. A failure counts at each level in proportion to how common failures are there among all
+endpoints, so that a successful response of another kind doesn't clear it. While many endpoints fail, those
+that are known to work are preferred. The cost is that a healthy endpoint which failed by chance receives less
+traffic until half of that evidence has decayed.
 """
 
 from __future__ import annotations
@@ -11,54 +14,55 @@
 
 from api_gateway.policy.customer_accounts import MEAN_GAIN
 
-# Seconds in which half of the evidence on an endpoint is forgotten, which gives it its next attempts.
+# Seconds in which evidence on an endpoint loses half of its weight. The decay is also what lets an endpoint
+# that failed receive attempts again.
 EVIDENCE_HALF_LIFE_S = 10.0
 
-# Seconds after which an estimate differs from the pool's by less than floats can tell.
+# Seconds after which the difference between an estimate and the mean is below floating-point precision.
 EVIDENCE_MAX_AGE_S = 60 * EVIDENCE_HALF_LIFE_S
 
-# Least part of endpoints that are taken to fail, also before anything is seen.
+# Lower bound of the mean probability of failing, also used before there is any evidence.
 MIN_MEAN_PROBABILITY = 0.02
 
-# Greatest part of endpoints that are taken to fail.
+# Upper bound of the mean probability of failing.
 MAX_MEAN_PROBABILITY = 0.6
 
-# Part of attempts that fail at a failing endpoint.
+# Fraction of attempts that fail at a failing endpoint.
 FAILURE_RATE_IF_FAILING = 0.9
 
-# Part of attempts that fail at a healthy endpoint.
+# Fraction of attempts that fail at a healthy endpoint.
 FAILURE_RATE_IF_HEALTHY = 0.05
 
-# Chance that an endpoint fails, and the time in seconds at which it was estimated. A plain tuple, since a
-# request reads several.
+# Probability that an endpoint is failing, and the time in seconds of that estimate. A plain tuple, because
+# each request reads several.
 Estimate: TypeAlias = tuple[float, float]
 
 
 class HealthEstimator:
-    """Keeps the probability that an endpoint fails, for each endpoint and level.
+    """Estimates the probability that an endpoint is failing, for each endpoint and level.
 
-    A level is a key as "host" (all of the endpoint, the first of all), "class read" or "plan free".
-    Times are in seconds.
+    A level is a key such as "host" (the endpoint as a whole, always the first key), "class read" or
+    "plan free". Times are in seconds.
 
     Attributes:
-        estimates: By endpoint and level; endpoints in order of their latest evidence.
-        pool: Mean probability at each level, which an endpoint without evidence has.
+        estimates: Estimates by endpoint ID and level. Endpoints are ordered by their latest evidence.
+        mean_probability: Mean probability at each level, assumed for an endpoint without evidence.
     """
 
     def __init__(self) -> None:
-        """Begin without evidence."""
+        """Initialise without evidence."""
         self.estimates: dict[str, dict[str, Estimate]] = {}
         self.mean_probability: dict[str, float] = {}
 
     def health_score(self, endpoint_id: str, keys: tuple[str, ...], now: float) -> float:
-        """Return the health at the worst of the levels, from 0, surely failing, to 1."""
+        """Return the health at the worst of the levels, from 0 (certainly failing) to 1."""
         return self.health_scores([endpoint_id], keys, now)[0]
 
     def health_scores(self, endpoint_ids: list[str], keys: tuple[str, ...], now: float) -> list[float]:
-        """Return the health of several endpoints, in their order."""
+        """Return the health scores of several endpoints, in the same order."""
         scores: list[float] = []
         means = [(key, self.mean_probability.get(key, MIN_MEAN_PROBABILITY)) for key in keys]
-        # A request's evidence at all levels is of one time, so what is left of it is worked out once.
+        # One request updates all its levels at the same time, so the decayed weight is computed only once.
         weighted_at = now
         remaining_weight = 1.0
         for endpoint_id in endpoint_ids:
@@ -76,7 +80,7 @@
         return scores
 
     def record(self, endpoint_id: str, keys: tuple[str, ...], failed: bool, now: float) -> None:
-        """Take the end of an attempt as evidence, by Bayes' rule at each level."""
+        """Update the estimates of an endpoint with the result of an attempt, by Bayes' rule at each level."""
         max_mean = max(self.mean_probability.get(key, MIN_MEAN_PROBABILITY) for key in keys)
         known = self.estimates.pop(endpoint_id, {})
         self.estimates[endpoint_id] = known
@@ -89,7 +93,7 @@
                 )
             if failed:
                 probability += (probability_after_failure(probability) - probability) * (mean / max_mean) ** 2
-            else:  # any answer shows that the whole endpoint works, but not that it serves the other kinds
+            else:  # any response shows that the endpoint as a whole works, but not that it serves other kinds
                 probability = 0.0 if key == keys[0] else probability_after_answer(probability)
             known[key] = (probability, now)
             self.mean_probability[key] = min(
@@ -100,12 +104,12 @@
             del self.estimates[oldest]
 
     def forget(self, endpoint_id: str) -> None:
-        """Drop all evidence on an endpoint."""
+        """Discard all evidence on an endpoint."""
         self.estimates.pop(endpoint_id, None)
 
 
 def probability_after_failure(probability: float) -> float:
-    """Return the probability that an endpoint is failing, given it before a failed attempt."""
+    """Return the posterior probability that an endpoint is failing after a failed attempt."""
     return (
         probability
         * FAILURE_RATE_IF_FAILING
@@ -114,7 +118,7 @@
 
 
 def probability_after_answer(probability: float) -> float:
-    """Return the probability that an endpoint is failing, given it before an answered attempt."""
+    """Return the posterior probability that an endpoint is failing after an answered attempt."""
     failing = probability * (1 - FAILURE_RATE_IF_FAILING)
     healthy = (1 - probability) * (1 - FAILURE_RATE_IF_HEALTHY)
     return failing / (failing + healthy)
