--- a/api_gateway/policy/endpoint_table.py
+++ b/api_gateway/policy/endpoint_table.py
@@ -30,7 +30,8 @@
 # briefly.
 DEPARTED_RETENTION_S = 60.0
 
-# Departed endpoints to retain: this number or the number of available endpoints, whichever is larger.
+# Departed endpoints that may be retained at the same time: this number or the number of available endpoints,
+# whichever is larger.
 MIN_DEPARTED_RETAINED = 64
 
 Sampled = TypeVar("Sampled")
@@ -49,7 +50,7 @@
             entry: The endpoint's entry in the list.
             now: Current time.
             send_credit: Number of attempts, from 0 to 1, that may be sent at once while it warms up.
-            started_at: When it listed_start, or 0 if that was long ago or is unknown.
+            started_at: When it started, or 0 if that was long ago or is unknown.
         """
         self.entry = entry
         self.is_listed_up = entry.state == "up"
