--- a/api_gateway/policy/cluster_clock.py
+++ b/api_gateway/policy/cluster_clock.py
@@ -108,7 +108,8 @@
         gateway_count: Number of gateways in the cluster; the engine updates it when settings change.
         offset: Seconds by which the cluster's time is ahead of the engine's clock.
         next_call_at: Time at which `begin_call` is due.
-        is_synchronizing: Whether this gateway's time differs from the cluster's, which it does not know yet.
+        is_synchronizing: Whether this gateway knows that its time is not the cluster's, and is still finding
+            out the cluster's time.
         is_confirmed: Whether this gateway's time is the cluster's.
     """
 
--- a/tests/policy/test_quota_leases.py
+++ b/tests/policy/test_quota_leases.py
@@ -125,12 +125,12 @@
 
 def test_counter_enforces_the_open_attempt_limit_over_all_gateways():
     limited_plan = plan(rate=50.0, burst=100.0, max_concurrent=2)
-    a = EngineHarness(settings(plans=[limited_plan]))
-    b = EngineHarness(settings(plans=[limited_plan], gateway_index=1), seed=2)
-    b.counts = a.counts
+    first = EngineHarness(settings(plans=[limited_plan]))
+    second = EngineHarness(settings(plans=[limited_plan], gateway_index=1), seed=2)
+    second.counts = first.counts
     sends = []
     for _ in range(3):
-        for harness in (a, b):
+        for harness in (first, second):
             sends += [(harness, send) for send in actions_of(harness.request()[1], api.SendAttempt)]
     assert len(sends) == 2
     harness, send = sends[0]
@@ -177,17 +177,17 @@
 
 
 def test_overdraft_is_carried_over_once():
-    a, b = EngineHarness(settings(plans=[plan(burst=40.0, rate=10.0)])), None
-    b = EngineHarness(settings(plans=[plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
-    b.counts = a.counts
+    first, second = EngineHarness(settings(plans=[plan(burst=40.0, rate=10.0)])), None
+    second = EngineHarness(settings(plans=[plan(burst=40.0, rate=10.0)], gateway_index=1), seed=2)
+    second.counts = first.counts
     start = 0.0
     for turn in range(6):
-        for harness in (a, b):
-            harness.now = max(a.now, b.now)
+        for harness in (first, second):
+            harness.now = max(first.now, second.now)
             count_admitted(harness, 60)
-        start = a.engine.accounts["c"].window_started_at
-        a.now = b.now = start + 4.0 + 0.001
-        assert max(a.counts.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was used
+        start = first.engine.accounts["c"].window_started_at
+        first.now = second.now = start + 4.0 + 0.001
+        assert max(first.counts.values()) <= 40 + 10 * 4 + 3, turn  # never more owed than was used
 
 
 def test_even_portion_of_the_open_attempt_limit_needs_no_call():
@@ -237,10 +237,14 @@
         settings(gateway_index=index, plans=[plan(rate=50.0, burst=100.0, max_concurrent=3)])
         for index in (0, 1)
     ]
-    a, b = EngineHarness(configs[0]), EngineHarness(configs[1], seed=2)
-    b.counts = a.counts
+    first, second = EngineHarness(configs[0]), EngineHarness(configs[1], seed=2)
+    second.counts = first.counts
     assert (
-        sum(len(actions_of(harness.request()[1], api.SendAttempt)) for _ in range(3) for harness in (a, b))
+        sum(
+            len(actions_of(harness.request()[1], api.SendAttempt))
+            for _ in range(3)
+            for harness in (first, second)
+        )
         == 3
     )
 
