--- a/api_gateway/experiments/scale/hollow.py
+++ b/api_gateway/experiments/scale/hollow.py
@@ -174,7 +174,7 @@
             "version": self.version,
             "at": self.at,
             "failures": self.discovery.backoff.failure_count,
-            "hosts": len(self.endpoints.known_ids),
+            "hosts": len(self.endpoint_updates.known_ids),
         }
 
 
--- a/api_gateway/gateway/__init__.py
+++ b/api_gateway/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway process: its components, their wiring, its start and its end."""
+"""Wire the components of one gateway process, start them and shut them down."""
--- a/api_gateway/gateway/__main__.py
+++ b/api_gateway/gateway/__main__.py
@@ -1,4 +1,7 @@
-"""Runs one gateway process: `python -m api_gateway.gateway`, with RELAY_CONFIG naming its configuration."""
+"""Run one gateway process: `python -m api_gateway.gateway`.
+
+The environment variable RELAY_CONFIG names the configuration file.
+"""
 
 from __future__ import annotations
 
@@ -23,16 +26,16 @@
     """Serve until SIGTERM or SIGINT, then shut down gracefully.
 
     Raises:
-        OSError: An address cannot be listened on.
+        OSError: The process cannot listen on a configured address.
     """
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     node = GatewayNode(config)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     port = await node.start()
-    gc.freeze()  # what the start made stays for good: no collection needs to visit it again
+    gc.freeze()  # objects created at startup live until exit, so collections need not scan them
     log.info("%s listens on %s:%d", config.name, config.listen[0], port)
     await stop_requested.wait()
     await node.stop()
--- a/api_gateway/gateway/action_executor.py
+++ b/api_gateway/gateway/action_executor.py
@@ -1,4 +1,4 @@
-"""Executes the actions of the decision module that concern no single request, and maps all to handlers."""
+"""Execute actions that do not belong to a single request, and map every action type to its handler."""
 
 from __future__ import annotations
 
@@ -15,14 +15,18 @@
 from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.endpoint_pools import EndpointPools
 
-# Seconds past the end of a timer: the loop's timers tick in milliseconds and may fire early.
+# Seconds added when a timer is rescheduled, because event loop timers have millisecond resolution and may
+# fire early.
 TIMER_SLACK_S = 0.001
 
 log = logging.getLogger(__name__)
 
 
 class ActionExecutor:
-    """Executes health checks, counter calls, timers and calls to discovery, and reports their ends."""
+    """Executes health checks, counter calls, timers and discovery calls.
+
+    The results of health checks, counter calls and timers are dispatched as events.
+    """
 
     def __init__(
         self,
@@ -31,7 +35,7 @@
         discovery: Discovery,
         counter: CounterClient | None,
     ) -> None:
-        """Wire the component; needs a running event loop."""
+        """Store the collaborators; requires a running event loop."""
         self._dispatcher = dispatcher
         self._upstream = upstream
         self._discovery = discovery
@@ -41,7 +45,7 @@
     def handlers(
         self, requests: InFlightRequests, attempts: AttemptRunner, serving: ServingState
     ) -> dict[type[api.Action], ActionHandler]:
-        """Return what carries out each type of action: this component or the owner of what it acts on."""
+        """Return the handler of each action type: a method of this class or of the component concerned."""
         return {
             api.SendAttempt: attempts.send,
             api.RejectRequest: requests.reject,
@@ -59,7 +63,7 @@
         }
 
     def check_health(self, action: api.CheckHealth) -> None:
-        """Send a health check to an endpoint."""
+        """Send a health check to the endpoint and dispatch its result as an event."""
         self._upstream.check_health(action.endpoint_id, self._on_health_check_ended)
 
     def _on_health_check_ended(self, attempt: Attempt) -> None:
@@ -69,11 +73,15 @@
         self._dispatcher.dispatch(ended)
 
     def close_idle_connections(self, action: api.CloseIdleConnections) -> None:
-        """Close the idle connections to an endpoint."""
+        """Close all idle connections to the endpoint."""
         self._upstream.close_idle(action.endpoint_id)
 
     def add_to_counter(self, action: api.AddToCounter) -> None:
-        """Add to an entry of the counter; without a counter that fails, in a later turn of the loop."""
+        """Add an amount to a counter entry.
+
+        If no counter is configured, the call fails with `connect_failed` in a later iteration of the event
+        loop.
+        """
         if self._counter is None:
             self._loop.call_soon(self._on_counter_reply, action.name, "connect_failed", 0.0, 0.0)
         else:
@@ -83,12 +91,15 @@
         self._dispatcher.dispatch(api.CounterReply(name, result, total, elapsed))
 
     def set_timer(self, action: api.SetTimer) -> None:
-        """Report a timer once its delay is over by the clock of events, and never before."""
+        """Start a timer that fires when its delay has elapsed on the event clock, never earlier."""
         ends_at = self._dispatcher.clock() + action.delay
         self._loop.call_later(action.delay, self._on_timer, action.label, ends_at)
 
     def _on_timer(self, label: int, ends_at: float) -> None:
-        """Report a timer, or wait on: the module would take an early one for another and set no further."""
+        """Dispatch the timer event, or wait again if the loop fired early.
+
+        The decision module would mistake an early timer for a different one and would not set another.
+        """
         time_left = ends_at - self._dispatcher.clock()
         if time_left > 0:
             self._loop.call_later(time_left + TIMER_SLACK_S, self._on_timer, label, ends_at)
@@ -96,17 +107,17 @@
             self._dispatcher.dispatch(api.TimerFired(label))
 
     def fetch_endpoints(self, action: api.FetchEndpoints) -> None:
-        """Poll discovery for the complete list, once."""
+        """Request the complete endpoint list from discovery once."""
         self._discovery.fetch_full_list()
 
     def watch_endpoints(self, action: api.WatchEndpoints) -> None:
-        """Begin or end watching discovery."""
+        """Start or stop watching discovery for changes."""
         self._discovery.set_watching(action.enabled)
 
     def resize_subset(self, action: api.ResizeSubset) -> None:
-        """Ask discovery for a larger or smaller subset."""
+        """Request a larger or smaller endpoint subset from discovery."""
         self._discovery.resize_subset(action.endpoint_count)
 
     def log_message(self, action: api.LogMessage) -> None:
-        """Log what the decision module has to say."""
-        log.info("module: %s", action.text)
+        """Write a message from the decision module to the log."""
+        log.info("decision module: %s", action.text)
--- a/api_gateway/gateway/active_config.py
+++ b/api_gateway/gateway/active_config.py
@@ -1,4 +1,4 @@
-"""The configuration in force, which all components of a gateway share."""
+"""Hold the active configuration, which all components of a gateway share."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class ActiveConfig:
-    """Holds the configuration in force. Only the configuration's reload replaces it.
+    """Holds the active configuration. Only `ConfigReloader` replaces it.
 
     Attributes:
-        config: The configuration in force.
-        settings: Its settings; an attribute of its own, since each request reads it.
+        config: The active configuration.
+        settings: The settings of `config`, stored separately because every request reads them.
     """
 
     __slots__ = ("config", "settings")
 
     def __init__(self, config: Config) -> None:
-        """Begin with the configuration of the start."""
+        """Activate the configuration that was read at startup."""
         self.config = config
         self.settings: api.Settings = config.settings
 
     def replace(self, config: Config) -> None:
-        """Bring another configuration into force."""
+        """Activate another configuration."""
         self.config = config
         self.settings = config.settings
--- a/api_gateway/gateway/attempt_runner.py
+++ b/api_gateway/gateway/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts: sends requests to endpoints and takes what comes back."""
+"""Send requests to endpoints as attempts and handle their results."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class AttemptRunner:
-    """Executes the actions on attempts and reports how each attempt ended.
+    """Executes the actions that concern attempts and dispatches an event when an attempt ends.
 
-    Each attempt's `tag` is the request that it belongs to and its number.
+    Each attempt's `context` is a tuple of its request and its attempt number.
     """
 
     def __init__(
         self, requests: InFlightRequests, upstream: EndpointPools, dispatcher: EventDispatcher
     ) -> None:
-        """Wire the component."""
+        """Store the collaborators."""
         self._requests = requests
         self._upstream = upstream
         self._dispatcher = dispatcher
@@ -29,7 +29,8 @@
     def send(self, action: api.SendAttempt) -> None:
         """Send a request to an endpoint.
 
-        One that is late, past the limit of attempts or a hedge where none is allowed ends as moot at once.
+        The attempt ends immediately with the result `moot` if the deadline has passed, the maximum number of
+        attempts is reached, or it would be a hedged request and hedging is not allowed.
         """
         request = self._requests.in_flight.get(action.request_id)
         if request is None or request.is_answered:
@@ -49,30 +50,30 @@
             self.on_attempt_ended,
             (request, number),
             request.body,
-            self._on_value_begins,
+            self._on_value_started,
             action.send_within,
         )
         request.attempts[number] = attempt
         self._upstream.send(attempt, timeout)
 
     def cancel(self, action: api.CancelAttempt) -> None:
-        """Cancel an attempt, where it has not ended."""
+        """Cancel an attempt that has not ended yet."""
         request = self._requests.in_flight.get(action.request_id)
         if request is not None and action.attempt in request.attempts:
             self._upstream.abandon(request.attempts[action.attempt], "cancelled")
 
     def on_attempt_ended(self, attempt: Attempt) -> None:
-        """Answer the client where the attempt brought the answer, and report the end."""
+        """Answer the client if the attempt produced the reply, then dispatch the result of the attempt."""
         request: InFlightRequest
         request, number = attempt.context
         result = attempt.result
-        was_answered = request.is_answered
+        was_already_answered = request.is_answered
         del request.attempts[number]
-        if was_answered and result == "connect_failed":
-            result = "moot"  # cancelled before it was sent, which says nothing of the endpoint
-        elif not was_answered and self._brings_answer(request, attempt):
+        if was_already_answered and result == "connect_failed":
+            result = "moot"  # cancelled before it was sent, so it is no evidence about the endpoint
+        elif not was_already_answered and self._provides_reply(request, attempt):
             self._requests.finish(request, bulk_string(attempt.value))
-        self._requests.forget_if_ended(request)
+        self._requests.remove_if_finished(request)
         self._dispatcher.dispatch(
             api.AttemptEnded(
                 request.id,
@@ -87,32 +88,34 @@
         )
 
     @staticmethod
-    def _brings_answer(request: InFlightRequest, attempt: Attempt) -> bool:
+    def _provides_reply(request: InFlightRequest, attempt: Attempt) -> bool:
         if request.streaming_attempt is None:
             return attempt.result == "ok"
         return request.streaming_attempt is attempt
 
     @staticmethod
     def _make_payload(request: InFlightRequest, time_left: float) -> bytes:
-        """Return what an attempt sends that is about to go out: nothing once its client has disconnected.
+        """Return the bytes that an attempt is about to send, or no bytes if its client has disconnected.
 
-        The loop may not have read of that yet: it is late by its own work, or does not read that client now.
+        The socket is checked here because the event loop may not have noticed the disconnect yet: it may be
+        delayed by other work, or reading from that client may be paused.
         """
         if not request.is_answered:
-            request.slot.connection.detect_disconnect()
+            request.pending_reply.connection.detect_disconnect()
         return b"" if request.is_answered else request.payload(time_left)
 
-    def _on_value_begins(self, attempt: Attempt, length: int) -> bool:
-        """Connect the first attempt that brings a large value with the client.
+    def _on_value_started(self, attempt: Attempt, length: int) -> bool:
+        """Start streaming a large value from the first attempt that receives one to the client.
 
-        From here on the request is this attempt's, and its time does not count any longer.
+        From then on only this attempt can answer the request, and the deadline of the request no longer
+        applies.
 
         Args:
             attempt: The attempt.
-            length: Bytes of the value.
+            length: Length of the value in bytes.
 
         Returns:
-            Whether the value is wanted.
+            Whether the attempt should read the value.
         """
         request: InFlightRequest
         request, number = attempt.context
@@ -120,17 +123,17 @@
         if request.is_answered or request.streaming_attempt is not None or connection is None:
             return False
         request.streaming_attempt = attempt
-        slot = request.slot
+        pending_reply = request.pending_reply
         if request.guard is not None:
             request.guard.cancel()
-        attempt.is_value_blocked = slot.is_blocked
-        slot.on_writable = connection.resume_value
-        head = b"$%d\r\n" % length
+        attempt.is_value_blocked = pending_reply.is_blocked
+        pending_reply.on_writable = connection.resume_value
+        header = b"$%d\r\n" % length
 
         def write_piece(data: bytes) -> None:
-            nonlocal head
-            slot.write_piece(head + data)
-            head = b""
+            nonlocal header
+            pending_reply.write_piece(header + data)
+            header = b""
 
         attempt.value_sink = write_piece
         started = api.ResponseStarted(request.id, number, attempt.endpoint_id, attempt.response_time())
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -1,4 +1,4 @@
-"""Reads the configuration of a gateway: environment and JSON file to one checked `Config`."""
+"""Read the gateway configuration from the environment and a JSON file into a validated `Config`."""
 
 from __future__ import annotations
 
@@ -22,37 +22,37 @@
 
 BYTES_PER_MB = 2**20
 
-# A JSON object of any shape.
+# A JSON object with arbitrary keys.
 Document = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """One checked configuration.
+    """A validated configuration.
 
     Attributes:
-        name: The gateway's name, which its processes share.
-        listen: Where clients connect.
-        inherited_socket: The descriptor of a socket that listens there already.
-        control: Where operators call; None where none may.
-        shared_folder: The folder that processes of this gateway share.
-        discovery: The discovery service.
-        counter: The counter.
-        seed: Of the random draws.
-        max_descriptors: File descriptors that the processes of this gateway may hold.
-        max_memory_bytes: Memory that they may take.
-        initial_list: The endpoints as this gateway last had them; the list may be old.
-        settings: What the decision module goes by.
-        connect_timeout: Seconds for a connect to an endpoint.
+        name: The name of the gateway, which all its processes share.
+        listen: The address that clients connect to.
+        inherited_socket: The descriptor of an inherited socket that already listens on that address.
+        control: The address of the control API; None disables it.
+        shared_folder: The folder for files that the processes of this gateway share.
+        discovery: The address of the discovery service.
+        counter: The address of the counter; None if there is no counter.
+        seed: The seed of the random number generators.
+        max_descriptors: Maximum number of file descriptors open in all processes of this gateway.
+        max_memory_bytes: Maximum memory used by all processes of this gateway.
+        initial_list: The last known endpoint list of this gateway, which may be out of date.
+        settings: The settings of the decision module.
+        connect_timeout: Timeout in seconds for connecting to an endpoint.
         endpoint_idle_close: Seconds after which endpoints close an idle connection.
-        max_in_flight: Requests in flight at once.
-        other_replicas: More replicas of the discovery service.
-        saves_list: Whether the endpoint list outlasts the process.
-        has_replicas: Whether the file has the key for these two.
-        edge: Limits on new connections of clients; None: none.
-        membership: The cluster where this process takes part; None: nowhere.
-        subset: The subset of the endpoints that is used; None: all of them.
-        tree: The file itself: a later one must be as complete.
+        max_in_flight: Maximum number of requests in flight.
+        other_replicas: Addresses of further replicas of the discovery service.
+        saves_list: Whether the endpoint list is saved to a file that the next process reads.
+        has_replicas: Whether the file contains the `replicas` section, which configures the previous two.
+        edge: Limits on new client connections; None if there are no limits.
+        membership: The cluster that this process joins; None if it joins none.
+        subset: Configuration of the subset of endpoints that is used; None to use all endpoints.
+        document: The parsed file. A reloaded file must contain at least the same keys.
     """
 
     name: str
@@ -80,10 +80,10 @@
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> Config:
-    """Read the configuration of a start from the file that RELAY_CONFIG names and from the environment.
+    """Read the startup configuration from the file named by RELAY_CONFIG and from the environment.
 
     Raises:
-        ConfigError: The variable is not set, or the file cannot be used.
+        ConfigError: RELAY_CONFIG is not set, or the file is unreadable or invalid.
     """
     path = env.get("RELAY_CONFIG")
     if not path:
@@ -92,25 +92,25 @@
         return build_config(json.load(file), env)
 
 
-def reread_config(last: Config, env: Mapping[str, str] = os.environ) -> Config:
-    """Read what the file says now.
+def reread_config(previous: Config, env: Mapping[str, str] = os.environ) -> Config:
+    """Read the configuration file again for a reload.
 
-    The environment of a running program cannot change, so here the file counts and not RELAY_DISCOVERY; what
-    is listened on stays.
+    The environment of a running program cannot change, so the file takes precedence over RELAY_DISCOVERY
+    here. The listening addresses stay the same.
 
     Raises:
-        ConfigError: The file cannot be used, or lacks a key that the last one had.
+        ConfigError: The file is unreadable or invalid, or lacks a key that the previous one contained.
     """
     path = env.get("RELAY_CONFIG", "")
     with config_errors_in_one_line(path), open(path, encoding="utf-8") as file:
         document = json.load(file)
-        require_complete(dict.fromkeys(last.document), document, "the file")
-        require_complete(last.document["settings"], document["settings"], "settings")
-        return rebuild_config(last, document)
+        require_complete(dict.fromkeys(previous.document), document, "the file")
+        require_complete(previous.document["settings"], document["settings"], "settings")
+        return rebuild_config(previous, document)
 
 
-def rebuild_config(last: Config, document: Document) -> Config:
-    """Return what a document says; what a running process cannot change stays as it is.
+def rebuild_config(previous: Config, document: Document) -> Config:
+    """Build a configuration from a document, keeping the values that a running process cannot change.
 
     Raises:
         ValueError: A value of the document is not allowed.
@@ -118,59 +118,59 @@
     """
     return replace(
         build_config(document, {}),
-        name=last.name,
-        listen=last.listen,
-        inherited_socket=last.inherited_socket,
-        control=last.control,
-        shared_folder=last.shared_folder,
-        seed=last.seed,
-        initial_list=last.initial_list,
-        other_replicas=last.other_replicas,
-        saves_list=last.saves_list,
-        has_replicas=last.has_replicas,
-        edge=last.edge,
-        membership=last.membership,
-        subset=last.subset,
+        name=previous.name,
+        listen=previous.listen,
+        inherited_socket=previous.inherited_socket,
+        control=previous.control,
+        shared_folder=previous.shared_folder,
+        seed=previous.seed,
+        initial_list=previous.initial_list,
+        other_replicas=previous.other_replicas,
+        saves_list=previous.saves_list,
+        has_replicas=previous.has_replicas,
+        edge=previous.edge,
+        membership=previous.membership,
+        subset=previous.subset,
     )
 
 
-def require_complete(last: Any, fresh: Any, name: str) -> None:
-    """Check that a value has each key that the last one had, and values of the same kinds.
+def require_complete(previous: Any, new: Any, name: str) -> None:
+    """Check that a JSON value contains every key of the previous one, with values of the same kind.
 
-    Of the objects in a list each needs what all of them had.
+    Each object in a list must contain the keys that all objects of the previous list had in common.
 
     Args:
-        last: The JSON value that was read last.
-        fresh: The JSON value that is in its place now.
-        name: The place, for the error's text.
+        previous: The value in the previous configuration.
+        new: The value in the same place of the new configuration.
+        name: The path of the value, for the error message.
 
     Raises:
-        ValueError: A key is missing, or a value is of another kind.
+        ValueError: A key is missing, or a value is of a different kind.
     """
-    if last is None:
+    if previous is None:
         return
-    if json_kind(last) != json_kind(fresh):
-        raise ValueError(f"{name} is {json_kind(fresh)} and not {json_kind(last)}")
-    if isinstance(last, dict):
-        for key, value in last.items():
-            if key not in fresh:
+    if json_kind(previous) != json_kind(new):
+        raise ValueError(f"{name} is {json_kind(new)} and not {json_kind(previous)}")
+    if isinstance(previous, dict):
+        for key, value in previous.items():
+            if key not in new:
                 raise ValueError(f"{name}: {key!r} is missing")
-            require_complete(value, fresh[key], f"{name}.{key}")
-    elif isinstance(last, list) and last and all(isinstance(entry, dict) for entry in last):
-        common = {key: value for key, value in last[0].items() if all(key in entry for entry in last)}
-        for number, entry in enumerate(fresh):
+            require_complete(value, new[key], f"{name}.{key}")
+    elif isinstance(previous, list) and previous and all(isinstance(entry, dict) for entry in previous):
+        common = {key: value for key, value in previous[0].items() if all(key in entry for entry in previous)}
+        for number, entry in enumerate(new):
             require_complete(common, entry, f"{name}.{number}")
 
 
 def json_kind(value: Any) -> str:
-    """Return the kind of a JSON value, in the words of an error's text."""
+    """Return the kind of a JSON value as it is named in error messages."""
     if isinstance(value, bool):
         return "true or false"
     return "a number" if isinstance(value, int | float) else type(value).__name__
 
 
 def build_config(document: Document, env: Mapping[str, str]) -> Config:
-    """Build the configuration from a document and the environment, which goes first.
+    """Build the configuration from a document and the environment, which takes precedence.
 
     Raises:
         ValueError: A value is not allowed.
@@ -214,11 +214,11 @@
 
 
 def _read_listening_descriptor(text: str) -> int:
-    """Return the number of a descriptor.
+    """Return the number of the inherited descriptor after checking that it is a listening socket.
 
     Raises:
-        ValueError: It is no number, or that of a socket which does not listen.
-        OSError: It is not that of a socket.
+        ValueError: The text is not a number, or the socket does not listen.
+        OSError: The descriptor is not an open socket.
     """
     with socket.socket(fileno=os.dup(int(text))) as sock:
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -227,10 +227,10 @@
 
 
 def _read_replicas(document: Document) -> tuple[tuple[Address, ...], bool]:
-    """Return the other replicas of discovery, and whether the endpoint list is saved.
+    """Return the other discovery replicas, and whether the endpoint list is saved.
 
     Raises:
-        ValueError: The document holds more than `others`, a list of addresses, and `keep`.
+        ValueError: The document has keys other than `others` and `keep`, or a value has the wrong type.
     """
     others = document.get("others", [])
     keep = document.get("keep", False)
@@ -239,7 +239,7 @@
     return tuple(read_address(text) for text in others), keep
 
 
-# Optional parts: each is imported only where the document has its key.
+# Modules of optional features are imported only if the document contains their key.
 
 
 def _read_membership(document: Any) -> MembershipConfig:
--- a/api_gateway/gateway/config_reload.py
+++ b/api_gateway/gateway/config_reload.py
@@ -1,4 +1,4 @@
-"""Brings another configuration into force in all components of a gateway."""
+"""Activate a new configuration in all components of a gateway."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class ConfigReloader:
-    """The one place that replaces the configuration in force. Whether it may is decided before, elsewhere."""
+    """Replaces the active configuration, which no other component does.
+
+    The caller has already checked that the new configuration may be activated.
+    """
 
     def __init__(
         self,
@@ -26,7 +29,7 @@
         counter: CounterClient | None,
         limits: ProcessLimits,
     ) -> None:
-        """Wire the component."""
+        """Store the collaborators."""
         self._active = active
         self._dispatcher = dispatcher
         self._upstream = upstream
@@ -34,26 +37,26 @@
         self._counter = counter
         self._limits = limits
 
-    def adopt(self, fresh: Config, listing: EndpointListing | None) -> None:
-        """Bring a checked configuration into force.
+    def adopt(self, new_config: Config, listing: EndpointListing | None) -> None:
+        """Activate a validated configuration.
 
-        Requests in flight keep the settings that they began with.
+        Requests in flight keep the settings under which they were admitted.
 
         Args:
-            fresh: The configuration.
-            listing: What its discovery service has answered, where that is another one than before.
+            new_config: The configuration.
+            listing: The endpoint list from the new discovery service, if its address changed.
         """
-        last = self._active.config
-        self._active.replace(fresh)
-        self._upstream.reconfigure(fresh.connect_timeout, fresh.endpoint_idle_close)
-        self._dispatcher.dispatch(api.SettingsChanged(fresh.settings))
-        if (grace := agent_drain_grace(fresh)) is not None:
+        previous_config = self._active.config
+        self._active.replace(new_config)
+        self._upstream.reconfigure(new_config.connect_timeout, new_config.endpoint_idle_close)
+        self._dispatcher.dispatch(api.SettingsChanged(new_config.settings))
+        if (grace := agent_drain_grace(new_config)) is not None:
             self._discovery.set_drain_grace(grace)
-        self._discovery.relocate_subset(fresh.settings.gateway_index, fresh.settings.zone)
-        if fresh.discovery != last.discovery:
-            self._discovery.move_to(fresh.discovery, listing)
-        if self._counter and fresh.counter:
-            self._counter.reconfigure(fresh.counter, fresh.settings.counter_timeout)
+        self._discovery.relocate_subset(new_config.settings.gateway_index, new_config.settings.zone)
+        if new_config.discovery != previous_config.discovery:
+            self._discovery.move_to(new_config.discovery, listing)
+        if self._counter and new_config.counter:
+            self._counter.reconfigure(new_config.counter, new_config.settings.counter_timeout)
         self._limits.apply()
-        if fresh.max_descriptors < last.max_descriptors:
+        if new_config.max_descriptors < previous_config.max_descriptors:
             self._limits.close_excess()
--- a/api_gateway/gateway/discovery_setup.py
+++ b/api_gateway/gateway/discovery_setup.py
@@ -1,4 +1,7 @@
-"""Builds the discovery client that a configuration asks for. What it does not ask for is not imported."""
+"""Build the discovery client for a configuration.
+
+Modules of optional features are imported only if the configuration enables them.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoverySetup:
-    """A discovery client, and the list to begin with until it has another."""
+    """A discovery client, and the endpoint list to use until the client receives one."""
 
     client: Discovery
     initial_list: EndpointListing
 
 
 def agent_drain_grace(config: Config) -> float | None:
-    """Return the drain grace in seconds where lists are pushed to an agent beside this process."""
+    """Return the drain grace in seconds, or None if no local agent receives pushed lists for this process."""
     settings = config.settings
     has_agent = settings.discovery_mode == "push" and not config.has_replicas
     return settings.rules.drain_grace if has_agent else None
@@ -38,10 +41,10 @@
     """Build the discovery client.
 
     Args:
-        config: The configuration of the start.
-        clock: The time of events, in seconds.
-        on_list: Gets each list.
-        on_poll_failed: Called after each poll that failed.
+        config: The startup configuration.
+        clock: Returns the time of events in seconds.
+        on_list: Called with each endpoint list.
+        on_poll_failed: Called after each failed poll.
     """
     if config.has_replicas:
         return _build_replicas(config, clock, on_list, on_poll_failed)
@@ -53,7 +56,7 @@
         config.settings.gateway_count,
         config.seed,
         agent_drain_grace(config),
-        _subset(config),
+        _build_subset(config),
     )
     return DiscoverySetup(client, config.initial_list)
 
@@ -77,24 +80,24 @@
         config.settings.gateway_count,
         config.seed,
         None,
-        _subset(config),
+        _build_subset(config),
     )
     client.clock = clock
     return DiscoverySetup(client, client.load_cached_list() or config.initial_list)
 
 
 def _known_version(config: Config) -> int | None:
-    """Return the version of the list that need not be sent again; None where a complete one is wanted.
+    """Return the version of the initial list, or None to request a complete one.
 
-    Where lists are pushed a poll costs nothing, so a complete one it is.
+    If lists are pushed, a poll costs nothing, so a complete list is always requested.
     """
-    known = config.initial_list.endpoint_list
-    has_version = known.endpoints and config.settings.discovery_mode == "ask"
-    return known.version if has_version else None
+    initial = config.initial_list.endpoint_list
+    has_version = initial.endpoints and config.settings.discovery_mode == "ask"
+    return initial.version if has_version else None
 
 
-def _subset(config: Config) -> EndpointSubset | None:
-    """Return the subset of the endpoints that is used; None where that is all of them."""
+def _build_subset(config: Config) -> EndpointSubset | None:
+    """Return the subset of endpoints to use, or None to use all endpoints."""
     if config.subset is None:
         return None
     from api_gateway.discovery.subsets import EndpointSubset
--- a/api_gateway/gateway/endpoint_updates.py
+++ b/api_gateway/gateway/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: brings each into the upstream pools and before the decision module."""
+"""Apply endpoint lists to the upstream pools and pass them to the decision module."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class EndpointUpdates:
-    """Applies endpoint lists and remembers which endpoints the last one had.
+    """Applies endpoint lists and tracks which endpoints are listed.
 
     Attributes:
-        known_ids: The endpoints of the last list, whatever their state but down.
+        known_ids: The ids of all listed endpoints whose state is not down.
     """
 
     def __init__(self, upstream: EndpointPools, dispatcher: EventDispatcher, serving: ServingState) -> None:
-        """Wire the component; no list is known yet."""
+        """Store the collaborators; no list is known yet."""
         self._upstream = upstream
         self._dispatcher = dispatcher
         self._serving = serving
@@ -26,8 +26,9 @@
     def apply(self, listing: EndpointListing) -> None:
         """Apply a complete list or a delta.
 
-        The module gets it between the pools of new endpoints and the end of those that departed: what ends
-        with a departed endpoint is then not sent there once more.
+        The pools of new endpoints are opened first, then the decision module receives the list, and then the
+        pools of removed endpoints are closed. So attempts that end because their endpoint was removed are not
+        retried there.
         """
         endpoints = listing.endpoint_list.endpoints
         is_delta = listing.endpoint_list.mode == "delta"
@@ -46,11 +47,11 @@
         self._serving.update_readiness()
 
     def on_poll_failed(self, settings: api.Settings, version: int | None) -> None:
-        """Tell the module of a poll that failed; failed watches are the discovery client's own matter.
+        """Report a failed poll to the decision module; the discovery client handles failed watches itself.
 
         Args:
-            settings: The settings in force.
-            version: The version of the last list, where there is one.
+            settings: The active settings.
+            version: The version of the last list, or None if there is none.
         """
         if settings.discovery_mode == "ask":
             self._dispatcher.dispatch(api.EndpointList("failed", version or 0, ()))
--- a/api_gateway/gateway/event_dispatcher.py
+++ b/api_gateway/gateway/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands events to the decision module one after another, and each action to its handler."""
+"""Pass events to the decision module one at a time, and each returned action to its handler."""
 
 from __future__ import annotations
 
@@ -13,57 +13,60 @@
 
 
 class Engine(Protocol):
-    """What the dispatcher needs of a decision module."""
+    """The interface of a decision module that the dispatcher uses."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Return the actions for an event that happened at `now`, in seconds of the gateway's clock."""
+        """Return the actions for an event that occurred at `now`, in seconds of the gateway's clock."""
         ...
 
 
-# A handler takes the one type of action that it stands for in the map of handlers, which a map cannot say.
+# Each handler accepts only the action type that is its key in the handler map. The type of a dict cannot
+# express this.
 ActionHandler = Callable[[Any], object]
 
 
 class EventDispatcher:
-    """Knows events and actions only, and nothing of sockets or requests.
+    """Dispatches events and actions without any knowledge of sockets or requests.
 
     Attributes:
         engine: The decision module.
-        clock: The time of events, in seconds.
-        handlers: What carries out each type of action; filled by the composition root.
-        on_engine_failure: Called with an event on which the decision module failed.
+        clock: Returns the time of events in seconds.
+        handlers: The handler of each action type; set by the composition root.
+        on_engine_failure: Called with an event for which the decision module raised an exception.
     """
 
     def __init__(self, engine: Engine, clock: Callable[[], float]) -> None:
-        """Begin without handlers, which the composition root adds."""
+        """Create a dispatcher without handlers; the composition root adds them."""
         self.engine = engine
         self.clock = clock
         self.handlers: dict[type[api.Action], ActionHandler] = {}
         self.on_engine_failure: Callable[[api.Event], None] = lambda event: None
-        self._waiting: deque[api.Event] = deque()
+        self._pending_events: deque[api.Event] = deque()
         self._is_dispatching = False
 
     def dispatch(self, event: api.Event) -> None:
-        """Hand an event over; one that an action causes waits until the actions before it are done."""
-        self._waiting.append(event)
+        """Process an event. An event caused by an action is queued until the pending actions are executed."""
+        self._pending_events.append(event)
         if self._is_dispatching:
             return
         self._is_dispatching = True
         try:
-            while self._waiting:
-                self._handle(self._waiting.popleft())
+            while self._pending_events:
+                self._handle(self._pending_events.popleft())
         finally:
             self._is_dispatching = False
 
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.engine.handle(self.clock(), event)
-        except Exception:  # one request must not take the others along
-            log.exception("the module failed on %r", event)
+        except Exception:  # an error for one request must not affect the others
+            log.exception("decision module failed event=%r", event)
             self.on_engine_failure(event)
             return
         for action in actions:
             try:
                 self.handlers[type(action)](action)
-            except Exception:  # nor one action the rest; the request's guard answers what it was for
-                log.exception("%r could not be carried out", action)
+            except (
+                Exception
+            ):  # the other actions still run, and the guard timer answers the request concerned
+                log.exception("action failed action=%r", action)
--- a/api_gateway/gateway/in_flight.py
+++ b/api_gateway/gateway/in_flight.py
@@ -1,4 +1,4 @@
-"""Requests in flight: each from its admission to its one final answer."""
+"""Track requests in flight from their admission to their final answer."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.endpoint_pools import EndpointPools
 
-# Seconds before the client gives up by which a request is failed, whatever the decision module does.
+# Seconds before the client's deadline at which an unanswered request is failed without the decision module.
 GUARD_MARGIN_S = 0.01
-# Bytes of small bodies in flight past which requests are rejected.
+# Total bytes of small request bodies in flight above which requests are rejected.
 MAX_SMALL_BODY_BYTES = 16 * 1024 * 1024
 
 FAILED_REPLY = b"-ERR failed\r\n"
@@ -31,29 +31,30 @@
 
 
 def bulk_string(data: bytes | bytearray) -> bytes:
-    """Return `data` as a bulk string of RESP2."""
+    """Encode `data` as a RESP2 bulk string."""
     return b"$%d\r\n%s\r\n" % (len(data), data)
 
 
 class InFlightRequest:
-    """A request that was admitted: where its answer goes, and its attempts.
+    """An admitted request, its pending reply and its attempts.
 
     Attributes:
-        id: The request's id, as the client chose it.
-        slot: The place of the answer on the client's connection.
+        id: The request id chosen by the client.
+        pending_reply: The reply to this request on the client's connection.
         command: The command as the client sent it; a large body is a bytearray.
-        deadline: When the client gives up, in seconds of the monotonic clock.
-        limits: Those of the settings that the request began under.
-        guard: Timer that fails the request where nothing else answers it.
-        attempt_count: Attempts so far.
+        deadline: When attempts have to end, ANSWER_RESERVE_S before the client's deadline, in seconds of the
+            monotonic clock.
+        limits: The limits from the settings under which the request was admitted.
+        guard: Timer that fails the request if nothing else answers it before the deadline.
+        attempt_count: Number of attempts started so far.
         attempts: Attempts that have not ended, by number.
-        is_answered: Whether the request has its final answer.
-        streaming_attempt: The attempt whose value goes to the client in pieces.
+        is_answered: Whether the request has received its final answer.
+        streaming_attempt: The attempt whose value is being streamed to the client.
     """
 
     __slots__ = (
         "id",
-        "slot",
+        "pending_reply",
         "command",
         "deadline",
         "limits",
@@ -67,14 +68,14 @@
     def __init__(
         self,
         id: str,
-        slot: PendingReply,
+        pending_reply: PendingReply,
         command: list[bytes | bytearray],
         deadline: float,
         limits: api.Limits,
     ) -> None:
-        """Begin without attempts and without an answer."""
+        """Create a request without attempts or an answer."""
         self.id = id
-        self.slot = slot
+        self.pending_reply = pending_reply
         self.command = command
         self.deadline = deadline
         self.limits = limits
@@ -86,24 +87,24 @@
 
     @property
     def body(self) -> bytearray | None:
-        """The body where it is a large one, which has a place in the body budget."""
+        """The body if it is a large one, which counts towards the body budget; None otherwise."""
         last = self.command[-1]
         return last if isinstance(last, bytearray) else None
 
     def payload(self, time_left: float) -> bytes:
-        """Return the command as the client sent it, but for its deadline `d`.
+        """Encode the command as the client sent it, with the deadline field `d` replaced.
 
-        A large body follows by itself, so that no copy of it is made.
+        A large body is not included. The caller sends it separately, so it is never copied.
 
         Args:
-            time_left: Seconds that this attempt's answer is waited for.
+            time_left: Seconds that the gateway waits for the reply to this attempt.
         """
-        terms = self.command[3]
-        start = (b"," + terms).index(b",d=") + 2
-        end = terms.find(b",", start)
-        rest = terms[end:] if end >= 0 else b""
-        forwarded_terms = b"%s%d%s" % (terms[:start], max(1, int(time_left * 1000)), rest)
-        parts = [*self.command[:3], forwarded_terms, *self.command[4:]]
+        fields = self.command[3]
+        start = (b"," + fields).index(b",d=") + 2
+        end = fields.find(b",", start)
+        rest = fields[end:] if end >= 0 else b""
+        forwarded_fields = b"%s%d%s" % (fields[:start], max(1, int(time_left * 1000)), rest)
+        parts = [*self.command[:3], forwarded_fields, *self.command[4:]]
         if self.body is not None:
             head = b"".join([bulk_string(part) for part in parts[:4]])
             return b"*5\r\n%s$%d\r\n" % (head, len(parts[4]))
@@ -111,15 +112,16 @@
 
 
 class InFlightRequests:
-    """Owns the requests in flight, admits commands, and gives each request its one final answer.
+    """Owns the requests in flight, admits commands and sends each request exactly one final answer.
 
-    It is the handler of the clients' server: `command` and `gone` are called by client connections.
+    It is the command handler of the client server: client connections call `handle_command` and
+    `on_client_disconnected`.
 
     Attributes:
-        in_flight: The requests by id: each until it is answered and its last attempt has ended.
-        small_body_bytes: Bytes of the small bodies of these requests.
-        body_budget: The clients' budget for large bodies; set by the composition root.
-        is_rejecting_all: Whether the process is at its end and forwards nothing more.
+        in_flight: The requests by id. Each is removed when it is answered and its last attempt has ended.
+        small_body_bytes: Total bytes of the small bodies of these requests.
+        body_budget: The budget for large client bodies; set by the composition root.
+        is_rejecting_all: Whether all new requests are rejected because the process is about to exit.
     """
 
     body_budget: BodyBudget
@@ -131,7 +133,7 @@
         upstream: EndpointPools,
         is_serving: Callable[[], bool],
     ) -> None:
-        """Wire the component; needs a running event loop."""
+        """Store the collaborators; requires a running event loop."""
         self._active = active
         self._dispatcher = dispatcher
         self._upstream = upstream
@@ -143,22 +145,22 @@
 
     # Called by client connections
 
-    def handle_command(self, slot: PendingReply, command: object) -> None:
-        """Answer a command, or admit it. Whatever fails here costs this command alone."""
+    def handle_command(self, pending_reply: PendingReply, command: object) -> None:
+        """Answer a command, or admit it as a request. An error here affects this command only."""
         if command == [b"PING"] or command == [b"ping"]:
-            slot.complete(PONG_REPLY if self._is_serving() else NOT_READY_REPLY)
+            pending_reply.complete(PONG_REPLY if self._is_serving() else NOT_READY_REPLY)
             return
         try:
-            self.admit(slot, command)
+            self.admit(pending_reply, command)
         except BadRequestError as err:
-            slot.complete(b"-ERR %s\r\n" % str(err).encode())
+            pending_reply.complete(b"-ERR %s\r\n" % str(err).encode())
         except Exception:
-            log.exception("a command could not be taken")
-            slot.complete(FAILED_REPLY)
+            log.exception("unexpected error while handling a command")
+            pending_reply.complete(FAILED_REPLY)
 
-    def on_client_disconnected(self, slot: PendingReply) -> None:
-        """Forward nothing more for a request whose client has disconnected."""
-        request = slot.request
+    def on_client_disconnected(self, pending_reply: PendingReply) -> None:
+        """End a request whose client has disconnected, so nothing more is forwarded for it."""
+        request = pending_reply.request
         if request is not None and not request.is_answered:
             self.finish(request, b"")
             self._dispatcher.dispatch(api.ClientDisconnected(request.id))
@@ -167,24 +169,24 @@
 
     # Admission
 
-    def admit(self, slot: PendingReply, command: object) -> None:
-        """Take a request in and hand it to the decision module, or reject it where limits are reached.
+    def admit(self, pending_reply: PendingReply, command: object) -> None:
+        """Admit a request and pass it to the decision module, or reject it if a limit is reached.
 
         Raises:
-            BadRequestError: The command is not a request, or its id is in flight already.
+            BadRequestError: The command is not a valid request, or its id is already in flight.
         """
         now = time.monotonic()
-        request = self.parse(command, now - slot.connection.last_read_at)
+        request = self.parse(command, now - pending_reply.connection.last_read_at)
         if request.request_id in self.in_flight:
             raise BadRequestError("this id is in work")
         if self._is_full():
-            slot.complete(BUSY_REPLY)
+            pending_reply.complete(BUSY_REPLY)
             return
-        assert isinstance(command, list)  # or else parse() had raised
+        assert isinstance(command, list)  # otherwise parse() would have raised
         admitted = InFlightRequest(
-            request.request_id, slot, command, now + request.time_left, self._active.settings.limits
+            request.request_id, pending_reply, command, now + request.time_left, self._active.settings.limits
         )
-        slot.request = admitted
+        pending_reply.request = admitted
         self.in_flight[request.request_id] = admitted
         if admitted.body is None:
             self.small_body_bytes += len(command[-1])
@@ -192,9 +194,9 @@
         admitted.guard = self._loop.call_later(guard_delay, self._on_overdue, admitted)
         self._dispatcher.dispatch(request)
 
-    def parse(self, command: object, waited: float) -> api.Request:
-        """Parse a command by the settings in force; see `parse_request`."""
-        return parse_request(command, self._active.settings, waited)
+    def parse(self, command: object, elapsed: float) -> api.Request:
+        """Parse a command under the active settings; see `parse_request`."""
+        return parse_request(command, self._active.settings, elapsed)
 
     def _is_full(self) -> bool:
         return (
@@ -206,11 +208,13 @@
     # The final answer
 
     def finish(self, request: InFlightRequest, answer: bytes) -> None:
-        """Give a request its final answer; nothing happens where it has one. No other place does this.
+        """Send the final answer of a request, unless it already has one.
+
+        All final answers are sent by this method.
 
         Args:
             request: The request.
-            answer: The bytes for the client; none where the client has disconnected.
+            answer: The bytes to send; empty if the client has disconnected.
         """
         if request.is_answered:
             return
@@ -218,49 +222,49 @@
         if request.guard is not None:
             request.guard.cancel()
         if request.streaming_attempt is not None and not request.streaming_attempt.is_value_complete:
-            request.slot.abort()
+            request.pending_reply.abort()
         elif answer:
-            request.slot.complete(answer if request.streaming_attempt is None else b"")
+            request.pending_reply.complete(answer if request.streaming_attempt is None else b"")
         for attempt in list(request.attempts.values()):
-            if not attempt.is_written:  # after the final answer nothing more is sent
+            if not attempt.is_written:  # no attempt is sent after the final answer
                 self._upstream.abandon(attempt, "cancelled")
-        self.forget_if_ended(request)
+        self.remove_if_finished(request)
 
     def reject(self, action: api.RejectRequest) -> None:
-        """Answer a request with BUSY, and when to retry where the decision module says so."""
+        """Answer a request with BUSY, including a retry delay if the decision module set one."""
         request = self.in_flight.get(action.request_id)
         if request is None:
             return
         retry_after_ms = math.ceil(action.retry_after * 1000)
         if action.overloaded:
-            request.slot.connection.on_overload()
+            request.pending_reply.connection.on_overload()
         self.finish(request, b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else BUSY_REPLY)
 
     def fail(self, action: api.FailRequest) -> None:
-        """Answer a request with an error."""
+        """Answer a request with an error reply."""
         request = self.in_flight.get(action.request_id)
         if request is not None:
             self.finish(request, FAILED_REPLY)
 
     def abandon(self, request: InFlightRequest) -> None:
-        """Fail a request without the decision module, cancel its attempts and let the module forget it."""
+        """Fail a request without a decision, cancel its attempts and make the decision module discard it."""
         self.finish(request, FAILED_REPLY)
         for attempt in list(request.attempts.values()):
             self._upstream.abandon(attempt, "cancelled")
         self._dispatcher.dispatch(api.ClientDisconnected(request.id))
 
     def abandon_all(self) -> None:
-        """Abandon what is in flight, and reject all that comes from here on."""
+        """Abandon all requests in flight."""
         for request in list(self.in_flight.values()):
             self.abandon(request)
 
     def on_engine_failure(self, event: api.Event) -> None:
-        """Abandon the request that an event was about on which the decision module failed."""
+        """Abandon the request that the event belongs to, because the decision module raised an exception."""
         if isinstance(event, api.Request | api.AttemptEnded) and event.request_id in self.in_flight:
             self.abandon(self.in_flight[event.request_id])
 
-    def forget_if_ended(self, request: InFlightRequest) -> None:
-        """Release a request, and the bytes of its body, once it is answered and no attempt is left."""
+    def remove_if_finished(self, request: InFlightRequest) -> None:
+        """Remove a request and release the bytes of its body if it is answered and no attempt is left."""
         if not request.is_answered or request.attempts:
             return
         if self.in_flight.pop(request.id, None) is None:
@@ -271,7 +275,7 @@
             self.small_body_bytes -= len(request.command[-1])
 
     def _on_overdue(self, request: InFlightRequest) -> None:
-        """Guard the client's deadline against a decision module that decides nothing."""
+        """Fail a request that the decision module has left unanswered until shortly before the deadline."""
         if not request.is_answered:
             log.warning("no decision before the deadline request=%s", request.id)
             self.abandon(request)
--- a/api_gateway/gateway/instances.py
+++ b/api_gateway/gateway/instances.py
@@ -1,4 +1,7 @@
-"""Which processes of this gateway run: there are two while a new version takes over from the last one."""
+"""Track the running processes of one gateway.
+
+Two processes run while a new version takes over from the previous one.
+"""
 
 from __future__ import annotations
 
@@ -11,37 +14,39 @@
 
 log = logging.getLogger(__name__)
 
-# No descriptor is open.
-CLOSED = -1
+# Value of a descriptor attribute when no file is open.
+NO_DESCRIPTOR = -1
 
 
 class GatewayInstances:
-    """The processes of one gateway, each known to the others by a file of its own that it locks.
+    """Registers this process and counts the other processes of the same gateway.
 
-    The lock ends with the process, however that ends. `NAME-life-*` are the files; `NAME-starting-*` is one
-    before it is locked.
+    Each process holds a lock on its own file `NAME-life-*`. The kernel releases the lock when the process
+    ends, however it ends. Until the file is locked its name is `NAME-starting-*`.
     """
 
     def __init__(self, folder: Path | None, name: str) -> None:
-        """Name the files, without making one.
+        """Store the file names without creating a file.
 
         Args:
-            folder: Where the processes of this gateway keep their files; None: they don't know each other.
-            name: The gateway's.
+            folder: The folder that the processes of this gateway share; None if they share none and cannot
+                detect each other.
+            name: The name of the gateway.
         """
         self.folder = folder
         self.name = name
         self.prefix = f"{name}-life-"
-        self.lock_descriptor = CLOSED
+        self.lock_descriptor = NO_DESCRIPTOR
         self.path = ""
         self.last_count = 0
 
     def register(self) -> None:
-        """Make this process known; where its file cannot be made it serves all the same."""
+        """Register this process. If its file cannot be created, the process serves clients nevertheless."""
         if self.folder is None:
             return
         try:
-            # Locked before it has the name by which others find it: they would remove it as a dead one's.
+            # The file is locked before it gets its final name, because other processes would remove an
+            # unlocked file as one of a process that has ended.
             self.lock_descriptor, new_path = tempfile.mkstemp(
                 prefix=f"{self.name}-starting-", dir=self.folder
             )
@@ -52,9 +57,9 @@
             log.error("process not registered folder=%s error=%s", self.folder, err)
 
     def count_others(self) -> int:
-        """Return how many other processes run, and remove the files of those that ended.
+        """Return the number of other running processes and remove the files of those that have ended.
 
-        As many as last time where that cannot be seen, as without a descriptor.
+        If they cannot be counted, for instance because no descriptor is free, the last count is returned.
         """
         if self.folder is None:
             return 0
@@ -66,14 +71,17 @@
         return self.last_count
 
     def is_running(self, path: Path) -> bool:
-        """Return whether the process of this file runs, and remove the file if not.
+        """Return whether the process that owns this file is running, and remove the file if not.
 
         Raises:
-            OSError: It cannot be seen.
+            OSError: The file cannot be opened or locked for another reason.
         """
         try:
             descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
-        except (FileNotFoundError, PermissionError):  # it has just ended, or is none of this gateway's
+        except (
+            FileNotFoundError,
+            PermissionError,
+        ):  # the process has just ended or is not part of this gateway
             return False
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -86,10 +94,10 @@
             os.close(descriptor)
 
     def unregister(self) -> None:
-        """Let the others know that this process ends; twice is no harm."""
-        if self.lock_descriptor == CLOSED:
+        """Remove the registration of this process; further calls have no effect."""
+        if self.lock_descriptor == NO_DESCRIPTOR:
             return
         with contextlib.suppress(OSError):
             os.unlink(self.path)
         os.close(self.lock_descriptor)
-        self.lock_descriptor = CLOSED
+        self.lock_descriptor = NO_DESCRIPTOR
--- a/api_gateway/gateway/node.py
+++ b/api_gateway/gateway/node.py
@@ -1,8 +1,8 @@
-"""Builds the components of one gateway process, starts them and ends them.
+"""Build the components of one gateway process, start them and shut them down.
 
-Nothing here decides: `event_dispatcher` hands what happens to the decision module, and `action_executor` maps
-each of its actions to the component that carries it out. Each event and action of `interface` has its place
-but for PeerMessage: a gateway has no peers.
+This module makes no decisions: `event_dispatcher` passes events to the decision module, and `action_executor`
+maps each returned action to the component that executes it. All events and actions of `interface` are handled
+except PeerMessage, because a gateway has no peers.
 """
 
 from __future__ import annotations
@@ -49,24 +49,24 @@
     """The composition root of one gateway process.
 
     Attributes:
-        active: The configuration in force.
-        module: The decision module.
-        dispatcher: Takes events to the module and its actions to their handlers.
+        active: The active configuration.
+        engine: The decision module.
+        dispatcher: Passes events to the decision module and its actions to their handlers.
         serving: Whether clients are served.
-        requests: Requests in flight.
-        attempts: Their attempts at endpoints.
-        endpoints: Applies endpoint lists.
-        overrides: Operators' overrides of endpoints.
+        requests: The requests in flight.
+        attempts: Runs the attempts of these requests.
+        endpoint_updates: Applies endpoint lists.
+        overrides: Endpoint overrides set by operators.
         limits: This process's part of the gateway's limits.
-        watch: Polls for what sibling processes did.
-        control: The control address; None where no operator may call.
-        changes: Changes of the configuration; None until the first one is needed.
-        member: This process's membership of a cluster; None where it is in none.
-        counter: The counter's client; None where there is no counter.
+        sibling_watch: Polls for changes made by sibling processes and for steps of the wall clock.
+        control: The control server; None if the control API is disabled.
+        changes: Applies configuration changes; None until it is first needed.
+        member: This process's membership of a cluster; None if it joins none.
+        counter: The counter client; None if there is no counter.
     """
 
     def __init__(self, config: Config) -> None:
-        """Build all components; needs a running event loop. Nothing is started yet."""
+        """Build all components without starting them; requires a running event loop."""
         self.active = ActiveConfig(config)
         shares_clock = config.control is not None or config.saves_list
         self.clock = GatewayClock(config.shared_folder if shares_clock else None, config.name)
@@ -79,7 +79,7 @@
         self.clients = ClientServer(self.requests, 0)
         self.requests.body_budget = self.clients.body_budget
         self.attempts = AttemptRunner(self.requests, self.upstream, self.dispatcher)
-        self.endpoints = EndpointUpdates(self.upstream, self.dispatcher, self.serving)
+        self.endpoint_updates = EndpointUpdates(self.upstream, self.dispatcher, self.serving)
         self.limits = ProcessLimits(self.active, self.clients, self.upstream)
         self.overrides = OperatorOverrides(
             HostOverrides(config.shared_folder, config.name),
@@ -87,7 +87,9 @@
             self.dispatcher,
             self._is_known_endpoint,
         )
-        self.watch = SiblingWatch(self.clock, self.dispatcher, self.overrides, self.siblings, self.limits)
+        self.sibling_watch = SiblingWatch(
+            self.clock, self.dispatcher, self.overrides, self.siblings, self.limits
+        )
         self.control: ControlServer | None = None
         self.changes: ConfigChanges | None = None
         self.member: MembershipService | None = None
@@ -113,7 +115,7 @@
         return upstream
 
     def _connect_components(self) -> None:
-        """Connect what exists only once all components are built."""
+        """Connect components that need each other, once all of them are built."""
         self.dispatcher.handlers = self.executor.handlers(self.requests, self.attempts, self.serving)
         self.dispatcher.on_engine_failure = self.requests.on_engine_failure
         callers = [self.upstream, self.discovery.fetcher, *(self.counter.connections if self.counter else ())]
@@ -121,16 +123,16 @@
             caller.reclaim_descriptor = self.limits.reclaim_descriptor
 
     async def start(self) -> int:
-        """Start to serve.
+        """Start all components and serve clients.
 
-        Before the first client connects the module knows its endpoints, and all that takes long is done: what
-        came meanwhile would wait past its time.
+        Slow steps finish and the decision module knows its endpoints before the first client can connect.
+        Otherwise requests would arrive during a slow step and wait past their deadlines.
 
         Returns:
             The port that clients connect to.
 
         Raises:
-            OSError: An address cannot be listened on.
+            OSError: The process cannot listen on a configured address.
         """
         config = self.config
         if config.control:
@@ -141,14 +143,14 @@
         if config.control:
             self.config_changes().start()
         self.on_endpoint_list(self.discovery.adopt_known_list(self._initial_list))
-        self.watch.poll()
+        self.sibling_watch.poll()
         self.upstream.start_maintenance()
         if self.counter:
             self.counter.start()
             await self.serving.check_cluster_clock()
         if self.settings.discovery_mode == "push":
             self.discovery.set_watching(True)
-        if agent_drain_grace(self.config) is not None:  # what it has counts as told from the first moment
+        if agent_drain_grace(self.config) is not None:  # its lists count as delivered from the start
             await self.discovery.wait_for_first_list()
         port = await self.clients.listen(*config.listen, config.inherited_socket, config.edge)
         if config.membership:
@@ -158,45 +160,45 @@
         if config.control:
             self.control = ControlServer(self)
             control_port = await self.control.listen(config.control)
-            self.watch.history = self.changes
+            self.sibling_watch.history = self.changes
             log.info("calls are taken at %s:%d", config.control[0], control_port)
         return port
 
     async def stop(self) -> None:
-        """End gracefully, after SIGTERM. Called once."""
+        """Shut down gracefully after SIGTERM. May only be called once."""
         await shut_down(self)
 
     # Events
 
     def on_endpoint_list(self, listing: EndpointListing) -> None:
-        """Apply an endpoint list."""
-        self.endpoints.apply(listing)
+        """Apply an endpoint list from discovery; see `EndpointUpdates.apply`."""
+        self.endpoint_updates.apply(listing)
 
     def _on_poll_failed(self) -> None:
-        self.endpoints.on_poll_failed(self.settings, self.discovery.version)
+        self.endpoint_updates.on_poll_failed(self.settings, self.discovery.version)
 
     def _is_known_endpoint(self, endpoint_id: str) -> bool:
-        return endpoint_id in self.endpoints.known_ids or self.discovery.may_have_endpoint(endpoint_id)
+        return endpoint_id in self.endpoint_updates.known_ids or self.discovery.may_have_endpoint(endpoint_id)
 
     def probe(self, action: api.CheckHealth) -> None:
         """Send a health check to an endpoint; see `ActionExecutor.check_health`."""
         self.executor.check_health(action)
 
-    # What the control address and changes of the configuration need of a gateway
+    # Interface for the control server and for configuration changes
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The active configuration."""
         return self.active.config
 
     @property
     def settings(self) -> api.Settings:
-        """The settings in force."""
+        """The active settings."""
         return self.active.settings
 
     @property
     def state(self) -> str:
-        """The state that operators see: active, standby or stopping."""
+        """The state reported to operators: active, standby or stopping."""
         return self.serving.state
 
     @property
@@ -208,18 +210,18 @@
         """Return the answer of `GET /status`."""
         return gateway_status(self)
 
-    def set_override(self, host: str, out: bool) -> None:
-        """Eject an endpoint, or let it be used again; see `OperatorOverrides.set_override`."""
-        self.overrides.set_override(host, ejected=out)
+    def set_override(self, endpoint_id: str, ejected: bool) -> None:
+        """Eject an endpoint or end its ejection; see `OperatorOverrides.set_override`."""
+        self.overrides.set_override(endpoint_id, ejected=ejected)
 
-    def set_draining(self, on: bool) -> bool:
-        """Send clients away, or take them back; False where the process is at its end."""
-        return self.serving.set_draining(on, self.clients)
+    def set_draining(self, enabled: bool) -> bool:
+        """Start or stop draining clients. Return False if the process is shutting down."""
+        return self.serving.set_draining(enabled, self.clients)
 
     def config_changes(self) -> ConfigChanges:
-        """Return what brings configurations into force, made by the first call.
+        """Return the component that applies configuration changes, creating it on the first call.
 
-        The history of configurations is kept where operators can ask for it.
+        The history of configurations is stored only if the control API, which reports it, is enabled.
         """
         if self.changes is None:
             from api_gateway.control.config_changes import ConfigChanges
@@ -228,17 +230,17 @@
         return self.changes
 
     def reload(self) -> None:
-        """Follow the configuration file after SIGHUP. One that cannot be used changes nothing."""
+        """Reload the configuration file after SIGHUP. An invalid file changes nothing."""
         self.config_changes().reload()
 
-    def adopt_config(self, fresh: Config, listing: EndpointListing | None) -> None:
-        """Bring a configuration into force; see `ConfigReloader.adopt`."""
-        self.reloader.adopt(fresh, listing)
+    def adopt_config(self, new_config: Config, listing: EndpointListing | None) -> None:
+        """Activate a configuration; see `ConfigReloader.adopt`."""
+        self.reloader.adopt(new_config, listing)
 
-    def capacity_shortage(self, fresh: Config) -> str:
-        """Say what a configuration's limits are too small for; see `ProcessLimits.shortage`."""
-        return self.limits.shortage(fresh)
+    def capacity_shortage(self, new_config: Config) -> str:
+        """Return why a configuration's limits are too small, if they are; see `ProcessLimits.shortage`."""
+        return self.limits.shortage(new_config)
 
-    def call_later(self, delay: float, act: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call `act` in `delay` seconds."""
-        return asyncio.get_running_loop().call_later(delay, act)
+    def call_later(self, delay: float, callback: Callable[[], None]) -> asyncio.TimerHandle:
+        """Call `callback` in `delay` seconds."""
+        return asyncio.get_running_loop().call_later(delay, callback)
--- a/api_gateway/gateway/operator_overrides.py
+++ b/api_gateway/gateway/operator_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides: endpoints that they ejected, or let back, whatever the endpoint list says."""
+"""Apply operator overrides, which eject or readmit endpoints regardless of the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class OperatorOverrides:
-    """Owns the overrides in force in this process and their copy in the file that sibling processes share.
+    """Owns the active overrides of this process and saves them to the file shared with sibling processes.
 
     Attributes:
-        latest: The latest override of each endpoint that ever had one, by endpoint.
-        unsaved: Those of them made here that could not be written to the file yet.
+        latest: The latest override of each endpoint that ever had one, by endpoint id.
+        unsaved: The overrides set in this process that are not written to the file yet.
     """
 
     def __init__(
@@ -29,13 +29,13 @@
         dispatcher: EventDispatcher,
         is_known: Callable[[str], bool],
     ) -> None:
-        """Wire the component.
+        """Store the collaborators.
 
         Args:
             store: The shared file.
-            upstream: The pools, which close and reopen with an override.
-            dispatcher: Takes each override to the decision module.
-            is_known: Tells whether an endpoint list has named an endpoint.
+            upstream: The endpoint pools, which are closed or reopened by an override.
+            dispatcher: Passes each override to the decision module.
+            is_known: Returns whether an endpoint is known from an endpoint list.
         """
         self._store = store
         self._upstream = upstream
@@ -45,12 +45,12 @@
         self.unsaved: dict[str, api.EndpointOverride] = {}
 
     def set_override(self, endpoint_id: str, *, ejected: bool) -> None:
-        """Eject an endpoint by an operator's call, or let it be used again. A repeat changes nothing.
+        """Eject an endpoint on behalf of an operator, or end its ejection. Repeated calls have no effect.
 
         Raises:
-            UnknownHost: No list has named the endpoint.
-            OSError: The override could not be saved for the processes beside and after this one. It is in
-                force here all the same, and is saved once that can be done.
+            UnknownHostError: The endpoint is not known from any endpoint list.
+            OSError: The override could not be saved for sibling and later processes. It is active in this
+                process nevertheless, and saving is retried later.
         """
         self.load()
         if endpoint_id not in self.latest and not self._is_known(endpoint_id):
@@ -63,31 +63,32 @@
         self.save()
 
     def load(self) -> None:
-        """Apply what sibling processes have written since the last time."""
+        """Apply the overrides that sibling processes have written since the last call."""
         if self._store.has_changed():
             for override in self._store.read().values():
                 self.apply(override)
 
     def save(self) -> None:
-        """Write down what operators said here and could not be saved so far.
+        """Write the unsaved overrides to the shared file.
 
         Raises:
-            OSError: An override could not be written; it and those behind it stay unsaved.
+            OSError: An override could not be written. It and those after it stay unsaved.
         """
         for endpoint_id, override in list(self.unsaved.items()):
             self._store.store(override)
             del self.unsaved[endpoint_id]
 
     def apply(self, override: api.EndpointOverride) -> None:
-        """Bring an override into force in this process. A repeat changes nothing."""
+        """Activate an override in this process, unless it is active already."""
         if self.latest.get(override.endpoint_id) == override:
             return
         self.latest[override.endpoint_id] = override
-        # Another process may have made it by another wall clock.
+        # Another process may have set the timestamp by a different wall clock.
         override = replace(override, overridden_at=self._dispatcher.clock())
         if override.ejected:
             log.info("endpoint ejected by operator override endpoint=%s", override.endpoint_id)
-            # The module first: what ends with the connections is not to be sent there once more.
+            # The decision module is notified first, so that attempts on the closed connections are not
+            # retried at this endpoint.
             self._dispatcher.dispatch(override)
             self._upstream.set_ejected(override.endpoint_id, True)
         else:
--- a/api_gateway/gateway/process_limits.py
+++ b/api_gateway/gateway/process_limits.py
@@ -1,4 +1,4 @@
-"""Limits of descriptors and memory, which the processes of one gateway share."""
+"""Divide the descriptor and memory limits of a gateway among its processes."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 from api_gateway.gateway.config import Config
 from api_gateway.upstream.endpoint_pools import EndpointPools
 
-# Bytes that a process takes by itself.
+# Memory that a process uses without any connections or bodies.
 PROCESS_BASE_BYTES = 32 * 1024 * 1024
-# Fraction of the other bytes for large bodies: connections and pieces of values take some, too.
+# Fraction of the remaining memory for large bodies. Connections and chunks of values need memory, too.
 LARGE_BODY_FRACTION = 0.5
-# Descriptors that are neither clients' nor endpoints' connections.
+# Descriptors reserved for everything other than connections to clients and endpoints.
 RESERVED_DESCRIPTORS = 64
 
 
 def resident_bytes() -> int:
-    """Return the bytes of memory that this process has."""
+    """Return the resident set size of this process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * resource.getpagesize()
 
 
 def descriptor_limit() -> float:
-    """Return the number from which on this process may open no descriptor."""
+    """Return the lowest descriptor number that this process may not open, infinity if there is no limit."""
     limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return math.inf if limit == resource.RLIM_INFINITY else limit
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """What one process may hold.
+    """The part of the limits that one process may use.
 
     Attributes:
-        connections: Connections of clients, and as many to endpoints.
-        large_body_bytes: Bytes of large bodies.
+        connections: Maximum number of client connections, and likewise of connections to endpoints.
+        large_body_bytes: Maximum total size of large bodies.
     """
 
     connections: int
@@ -47,21 +47,21 @@
 
 
 class ProcessLimits:
-    """Partitions a gateway's limits among its processes and sets this one's part on its connections.
+    """Divides a gateway's limits equally among its processes and applies this process's part.
 
     Attributes:
-        process_count: Processes of this gateway, as of the last check.
+        process_count: Number of processes of this gateway at the previous check.
     """
 
     def __init__(self, active: ActiveConfig, clients: ClientServer, upstream: EndpointPools) -> None:
-        """Wire the component; no limit is set until the first `apply`."""
+        """Store the collaborators; no limit is set until the first `apply`."""
         self._active = active
         self._clients = clients
         self._upstream = upstream
         self.process_count = 1
 
     def capacity(self, config: Config) -> Capacity:
-        """Return what this process may hold under a configuration."""
+        """Return the part of a configuration's limits that this process may use."""
         descriptors = (
             max(config.max_descriptors - RESERVED_DESCRIPTORS, config.max_descriptors // 2)
             // self.process_count
@@ -71,22 +71,22 @@
         return Capacity(descriptors // 2, max(MAX_VALUE_BYTES, large_body_bytes))
 
     def apply(self) -> None:
-        """Set this process's part of the limits in force."""
+        """Apply this process's part of the active limits."""
         capacity = self.capacity(self._active.config)
         self._clients.capacity = capacity.connections
         self._clients.body_budget.capacity_bytes = capacity.large_body_bytes
         self._upstream.max_connections = capacity.connections
 
     def close_excess(self) -> None:
-        """Close idle connections past the limits."""
+        """Close idle connections that exceed the limits."""
         self._clients.shrink_to_capacity()
         self._upstream.close_excess_idle()
 
     def reclaim_descriptor(self) -> bool:
-        """End one connection for its descriptor, where none can be opened without; tell whether one ended.
+        """Close one connection to free its descriptor if none is available; return whether one was closed.
 
-        A descriptor from the process's limit on can't be used again, as after the limit was lowered: its end
-        would only take a connection away that serves.
+        After the limit of the process was lowered, descriptors at or above it cannot be reused. Closing them
+        would free nothing and lose working connections, so they are left open.
         """
         limit = descriptor_limit()
         return (
@@ -95,18 +95,20 @@
             or self._clients.close_fresh_idle(limit)
         )
 
-    def shortage(self, fresh: Config) -> str:
-        """Say what smaller limits would leave no capacity for. Idle connections don't count: they can close.
+    def shortage(self, new_config: Config) -> str:
+        """Return why lowered limits are too small for what is in use now.
+
+        Idle connections are not counted, because they can be closed.
 
         Args:
-            fresh: A configuration that may come into force.
+            new_config: The configuration that is about to be activated.
 
         Returns:
-            The reason; empty where there is none, as where the limits are not smaller.
+            The reason, or an empty string if the limits suffice or are not lowered.
         """
-        capacity = self.capacity(fresh)
-        last = self._active.config
-        if fresh.max_descriptors < last.max_descriptors:
+        capacity = self.capacity(new_config)
+        previous_config = self._active.config
+        if new_config.max_descriptors < previous_config.max_descriptors:
             busy = {
                 "clients": len(self._clients.connections) - len(self._clients.closable_connections()),
                 "hosts": self._upstream.connection_count - self._upstream.idle_count(),
@@ -114,15 +116,15 @@
             for kind, count in busy.items():
                 if count > capacity.connections:
                     return f"{count} connections of {kind} are in use, {capacity.connections} may be open"
-        if fresh.max_memory_bytes < last.max_memory_bytes:
-            return self._memory_shortage(fresh, capacity)
+        if new_config.max_memory_bytes < previous_config.max_memory_bytes:
+            return self._memory_shortage(new_config, capacity)
         return ""
 
-    def _memory_shortage(self, fresh: Config, capacity: Capacity) -> str:
+    def _memory_shortage(self, new_config: Config, capacity: Capacity) -> str:
         body_bytes = self._clients.body_budget.reserved_bytes
         if body_bytes > capacity.large_body_bytes:
             return f"large bodies hold {body_bytes} bytes, {capacity.large_body_bytes} may be"
-        memory_limit = fresh.max_memory_bytes / self.process_count
+        memory_limit = new_config.max_memory_bytes / self.process_count
         if (resident := resident_bytes()) > memory_limit:
             return f"the process has {resident} bytes, {int(memory_limit)} may be"
         return ""
--- a/api_gateway/gateway/request_parser.py
+++ b/api_gateway/gateway/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses the commands of clients into the requests that the decision module knows."""
+"""Parse client commands into requests for the decision module."""
 
 from __future__ import annotations
 
@@ -6,69 +6,70 @@
 
 from api_gateway import interface as api
 
-# Seconds before the client gives up by which the decision module has to be done.
+# Seconds before the client's deadline by which the decision module must have settled a request.
 ANSWER_RESERVE_S = 0.03
-# Seconds; a client that says it will wait for longer is in error.
-LONGEST_CLIENT_WAIT_S = 3600.0
-# Customers are numbers below this one.
+# Longest deadline in seconds that a client may set.
+MAX_CLIENT_DEADLINE_S = 3600.0
+# Customer ids are below this number.
 CUSTOMER_ID_LIMIT = 2**33
 
 READ_VERB = b"API.READ"
 WRITE_VERB = b"API.WRITE"
-# Verb, customer, request id and terms; a write has its body behind them.
+# Verb, customer, request id and fields. A write has a body as a further argument.
 READ_ARGUMENT_COUNT = 4
 
-_matches_plain_number = re.compile(rb"(?:[0-9]+\.?[0-9]*|\.[0-9]+)(?:[eE][+-]?[0-9]+)?").fullmatch
-_matches_customer = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
+_match_plain_number = re.compile(rb"(?:[0-9]+\.?[0-9]*|\.[0-9]+)(?:[eE][+-]?[0-9]+)?").fullmatch
+_match_customer = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
 
 
 class BadRequestError(Exception):
-    """A command that cannot be taken. Its text goes to the client behind `-ERR`."""
+    """An invalid command. The message is sent to the client after `-ERR`."""
 
 
-def parse_request(command: object, settings: api.Settings, waited: float) -> api.Request:
-    """Parse a client's command.
+def parse_request(command: object, settings: api.Settings, elapsed: float) -> api.Request:
+    """Parse a client command.
 
     Args:
-        command: What the RESP reader gave: a list of bytes where the command is a well-formed one.
-        settings: The settings in force.
-        waited: Seconds since the command's bytes came.
+        command: The value from the RESP reader; a list of bytes if the command is well-formed.
+        settings: The active settings.
+        elapsed: Seconds since the bytes of the command were read.
 
     Returns:
-        The request, with the time that is left for it now.
+        The request, with the time that is left until its deadline.
 
     Raises:
-        BadRequestError: The command is not one of the protocol, or a value of it is out of range.
+        BadRequestError: The command does not follow the protocol, or a value is out of range.
     """
-    arguments, is_write = _check_shape(command)
-    _, customer, name, terms = arguments[:READ_ARGUMENT_COUNT]
+    arguments, is_write = _validate_arguments(command)
+    _, customer, name, encoded_fields = arguments[:READ_ARGUMENT_COUNT]
     try:
-        fields = dict(term.split(b"=", 1) for term in terms.split(b","))
+        fields = dict(field.split(b"=", 1) for field in encoded_fields.split(b","))
         service_class = settings.classes.get(fields[b"c"].decode())
         plan = fields[b"t"].decode()
         integers = fields[b"d"], fields[b"spread"], fields[b"first"]
         milliseconds, spread, first = map(int, integers)
         units = float(fields[b"units"])
-        # int() and float() take +1 and 1_0, too.
-        if not b"".join(integers).isdigit() or not _matches_plain_number(fields[b"units"]):
-            raise ValueError("no plain number")
-        if not _matches_customer(customer) or int(customer, 16) >= CUSTOMER_ID_LIMIT or not name:
-            raise ValueError("customer or id")
-        if len(fields) != terms.count(b",") + 1:  # endpoints would get both
-            raise ValueError("a field that stands twice")
+        # int() and float() also accept +1 and 1_0, which are invalid here.
+        if not b"".join(integers).isdigit() or not _match_plain_number(fields[b"units"]):
+            raise ValueError("number is not in plain decimal notation")
+        if not _match_customer(customer) or int(customer, 16) >= CUSTOMER_ID_LIMIT or not name:
+            raise ValueError("invalid customer or request id")
+        if len(fields) != encoded_fields.count(b",") + 1:  # a duplicate field would be forwarded to endpoints
+            raise ValueError("duplicate field")
     except (KeyError, ValueError, OverflowError) as err:
         raise BadRequestError("missing or odd field") from err
     if service_class is None or plan not in settings.plans:
         raise BadRequestError("unknown class or plan")
-    if not _suits_command(service_class, is_write, fields):
+    if not _is_allowed_for_command(service_class, is_write, fields):
         raise BadRequestError("class does not go with this command")
-    # The module weighs a request by its units against the mean of all: one of 1e12 spoils that for long.
-    is_in_range = 0 < units <= settings.max_request_units and milliseconds <= 1000 * LONGEST_CLIENT_WAIT_S
+    # The decision module compares the units of a request with the mean of all requests. One request of 1e12
+    # units would distort that mean for a long time.
+    is_in_range = 0 < units <= settings.max_request_units and milliseconds <= 1000 * MAX_CLIENT_DEADLINE_S
     if not is_in_range or not 1 <= spread <= settings.gateway_count or first >= settings.gateway_count:
         raise BadRequestError("field out of range")
     return api.Request(
         request_id=name.decode("latin-1"),
-        time_left=milliseconds / 1000 - ANSWER_RESERVE_S - waited,
+        time_left=milliseconds / 1000 - ANSWER_RESERVE_S - elapsed,
         customer=customer.decode(),
         plan=plan,
         service_class=service_class.name,
@@ -80,15 +81,17 @@
     )
 
 
-def _suits_command(service_class: api.ServiceClass, is_write: bool, fields: dict[bytes, bytes]) -> bool:
-    """Tell whether requests of a class come by this verb, and with an idempotency key where it needs one."""
+def _is_allowed_for_command(
+    service_class: api.ServiceClass, is_write: bool, fields: dict[bytes, bytes]
+) -> bool:
+    """Return whether the class may use this verb, and whether the idempotency key is set if it needs one."""
     if is_write == (service_class.idempotency == "safe"):
         return False
     return service_class.idempotency != "keyed" or bool(fields.get(b"k"))
 
 
-def _check_shape(command: object) -> tuple[list[bytes], bool]:
-    """Return the arguments of a well-formed command, verb included, and whether it writes."""
+def _validate_arguments(command: object) -> tuple[list[bytes], bool]:
+    """Check the number and types of arguments; return them with the verb, and whether it is a write."""
     if not isinstance(command, list) or {type(part) for part in command} - {bytes, bytearray}:
         raise BadRequestError("not an array of bulk strings")
     verb = command[0] if command else b""
--- a/api_gateway/gateway/serving_state.py
+++ b/api_gateway/gateway/serving_state.py
@@ -1,4 +1,4 @@
-"""Whether this process serves clients: its readiness, standby and its end."""
+"""Track whether this process serves clients: its readiness, standby and shutdown."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from api_gateway.gateway.instances import GatewayInstances
 from api_gateway.upstream.endpoint_pools import EndpointPools
 
-# Seconds that a start waits for the counter to tell the cluster's time.
-CLUSTER_CLOCK_WAIT_S = 0.1
+# Seconds to wait at startup for the counter to return the cluster's time.
+CLUSTER_CLOCK_TIMEOUT_S = 0.1
 
 ACTIVE = "active"
 STANDBY = "standby"
@@ -23,13 +23,13 @@
 
 
 class ServingState:
-    """Owns the state that the health check of the clients' address and the operators' status tell.
+    """Owns the state that client health checks (PING) and the operators' status report.
 
     Attributes:
-        state: "active"; "standby" while clients are sent away; "stopping", which is for good.
-        is_ready: Whether there are endpoints and the cluster's time is known, as far as the counter tells it.
-            Once it is so, it stays so.
-        is_synchronizing: Whether this gateway may have another time than its cluster, as far as is known.
+        state: "active", "standby" while clients are being drained, or "stopping", which is final.
+        is_ready: Whether endpoints are known and the clock has been compared with the cluster's or the wait
+            for it has timed out. Once true, it stays true.
+        is_synchronizing: Whether this gateway's clock may still differ from the cluster's.
     """
 
     def __init__(
@@ -39,53 +39,53 @@
         upstream: EndpointPools,
         siblings: GatewayInstances,
     ) -> None:
-        """Wire the component; the gateway is active, and not ready yet."""
+        """Store the collaborators; the gateway starts out active but not ready."""
         self._active = active
         self._dispatcher = dispatcher
         self._upstream = upstream
         self._siblings = siblings
-        self._clock_checked = asyncio.Event()
+        self._cluster_clock_checked = asyncio.Event()
         self.state = ACTIVE
         self.is_ready = False
         self.is_synchronizing = active.config.counter is not None and active.settings.gateway_count > 1
 
     def is_serving(self) -> bool:
-        """Tell whether the clients' address serves: while this process ends, another one may serve there."""
+        """Return whether the client address is served, during shutdown by a successor of this process."""
         return self.is_ready and (self.state == ACTIVE or (self.state == STOPPING and self.has_successor()))
 
     def has_successor(self) -> bool:
-        """Tell whether another process serves the same inherited socket."""
+        """Return whether another process of this gateway serves the same inherited socket."""
         return self._active.config.inherited_socket is not None and self._siblings.count_others() > 0
 
     def update_readiness(self) -> None:
-        """Become ready where all that a start waits for is there."""
+        """Set `is_ready` once all startup conditions are met."""
         self.is_ready = self.is_ready or (bool(self._upstream.pools) and not self.is_synchronizing)
 
     def on_cluster_clock_changed(self, action: api.ClusterClockChanged) -> None:
-        """Note whether this gateway's clock is being set to the cluster's."""
+        """Record whether this gateway's clock is being synchronized with the cluster's."""
         self.is_synchronizing = action.synchronizing
-        self._clock_checked.set()
+        self._cluster_clock_checked.set()
         self.update_readiness()
 
     async def check_cluster_clock(self) -> None:
-        """Compare this clock with the cluster's; wait for CLUSTER_CLOCK_WAIT_S at most.
+        """Compare this clock with the cluster's and wait for the result for up to CLUSTER_CLOCK_TIMEOUT_S.
 
-        The counter may be silent, and a gateway has to start all the same.
+        A gateway has to start even if the counter does not respond.
         """
         self._dispatcher.dispatch(api.ClusterClockNeeded())
         if not self.is_synchronizing:
             return
         try:
-            async with asyncio.timeout(CLUSTER_CLOCK_WAIT_S):
-                await self._clock_checked.wait()
+            async with asyncio.timeout(CLUSTER_CLOCK_TIMEOUT_S):
+                await self._cluster_clock_checked.wait()
         except TimeoutError:
             self.on_cluster_clock_changed(api.ClusterClockChanged(False))
 
     def set_draining(self, draining: bool, clients: ClientServer) -> bool:
-        """Send clients away, or take them back. A repeat changes nothing.
+        """Start or stop draining clients. Repeated calls have no effect.
 
         Returns:
-            False where the process is at its end, and nothing changes.
+            False if the process is shutting down, in which case nothing changes.
         """
         if self.state == STOPPING:
             return False
--- a/api_gateway/gateway/shutdown.py
+++ b/api_gateway/gateway/shutdown.py
@@ -1,14 +1,16 @@
-"""The graceful shutdown of a gateway's process after SIGTERM.
+"""Shut down a gateway process gracefully after SIGTERM.
 
-SIGKILL comes no sooner than the longest deadline (KILL_DELAY_S at most) and 0.7 s after SIGTERM. Until then:
+SIGKILL follows SIGTERM after the longest deadline (at most KILL_DELAY_S) plus 0.7 s at the earliest. Until
+then:
 
-1. For ACCEPT_PERIOD_S new connections keep coming, and are served.
-2. The listener closes, once what waits in its backlog is accepted.
-3. Each connection closes when all its requests are answered; idle ones close at once.
-4. FINISH_PERIOD_S past the longest deadline no connection is read any longer. What is in flight then fails.
+1. New connections are accepted and served for ACCEPT_PERIOD_S.
+2. The connections in the backlog are accepted, then the listener closes.
+3. Each connection closes once all its requests are answered. Idle connections close immediately.
+4. FINISH_PERIOD_S after the longest deadline, reading from connections stops and requests in flight fail.
 5. All connections close.
 
-Where another process serves the same socket the first two steps are skipped: what comes is for that one.
+If another process serves the same socket, the first two steps are skipped, because that process accepts the
+new connections.
 """
 
 from __future__ import annotations
@@ -23,66 +25,67 @@
 if TYPE_CHECKING:
     from api_gateway.gateway.node import GatewayNode
 
-# Seconds after SIGTERM in which connections still come.
+# Seconds after SIGTERM during which new connections are accepted.
 ACCEPT_PERIOD_S = 0.45
-# Seconds past that for those that wait in the backlog.
+# Further seconds for accepting the connections in the backlog.
 BACKLOG_PERIOD_S = 0.1
-# Seconds after SIGTERM at which SIGKILL may come, where no deadline is shorter; and 0.7 s more.
+# SIGKILL follows SIGTERM after the longest deadline, or this many seconds if that is shorter, plus 0.7 s.
 KILL_DELAY_S = 3.0
-# Seconds past that by which everything is answered: a gateway may be held up for 0.15 s.
+# Seconds after that delay by which all requests are answered. It is less than the 0.7 s, because the gateway
+# may be stalled for 0.15 s.
 FINISH_PERIOD_S = 0.5
-# Seconds between two checks whether all has ended.
-POLL_INTERVAL_S = 0.02
+# Seconds between checks whether all requests and connections have ended.
+CHECK_INTERVAL_S = 0.02
 
 
 async def shut_down(node: GatewayNode) -> None:
-    """Answer what was admitted, as far as there is time, and release all that the process holds."""
-    began = time.monotonic()
+    """Answer the admitted requests as far as time permits, then release all resources of the process."""
+    started_at = time.monotonic()
     node.serving.state = STOPPING
     longest_deadline = max(service_class.deadline for service_class in node.settings.classes.values())
-    end = began + min(KILL_DELAY_S, longest_deadline) + FINISH_PERIOD_S
+    give_up_at = started_at + min(KILL_DELAY_S, longest_deadline) + FINISH_PERIOD_S
     if not node.serving.has_successor():
         await asyncio.sleep(ACCEPT_PERIOD_S)
         await node.clients.accept_backlog(BACKLOG_PERIOD_S)
     node.dispatcher.dispatch(api.DrainChanged(True))
-    node.clients.begin_shutdown(end - time.monotonic())
-    if not await wait_until_answered(node, end):
+    node.clients.begin_shutdown(give_up_at - time.monotonic())
+    if not await wait_until_answered(node, give_up_at):
         await fail_remaining(node)
     await release(node)
 
 
-async def wait_until_answered(node: GatewayNode, end: float) -> bool:
+async def wait_until_answered(node: GatewayNode, give_up_at: float) -> bool:
     """Wait until nothing is in flight and no client is connected.
 
     Args:
         node: The gateway.
-        end: When to give up, in seconds of the monotonic clock.
+        give_up_at: When to stop waiting, in seconds of the monotonic clock.
 
     Returns:
-        False where something is left at the end.
+        Whether all requests and connections ended in time.
     """
     while node.in_flight or node.clients.connections:
-        if time.monotonic() >= end:
+        if time.monotonic() >= give_up_at:
             return False
-        await asyncio.sleep(POLL_INTERVAL_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
     return True
 
 
 async def fail_remaining(node: GatewayNode) -> None:
-    """Fail what is in flight. What is read from here on is rejected: there is no time to serve it."""
+    """Fail the requests in flight and reject commands read from now on, as no time is left to serve them."""
     node.requests.is_rejecting_all = True
     node.clients.stop_reading()
     node.requests.abandon_all()
-    await asyncio.sleep(0)  # the last answers are written at the end of this turn
+    await asyncio.sleep(0)  # the last answers are written at the end of this event loop iteration
 
 
 async def release(node: GatewayNode) -> None:
-    """Close sockets, timers and files."""
+    """Close all sockets, timers and files."""
     node.clients.close()
     if node.control:
         node.control.close()
         node.config_changes().close()
-    node.watch.close()
+    node.sibling_watch.close()
     if node.member:
         node.member.close()
     node.upstream.close()
--- a/api_gateway/gateway/sibling_watch.py
+++ b/api_gateway/gateway/sibling_watch.py
@@ -1,4 +1,4 @@
-"""The regular check of the wall clock and of what this gateway's other processes did."""
+"""Poll periodically for wall clock steps and for changes made by sibling processes of this gateway."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class SharedHistory(Protocol):
-    """The history of configurations that the processes of a gateway share."""
+    """The configuration history that the processes of a gateway share."""
 
     def poll(self) -> None:
-        """Follow the version in force where another process has changed it."""
+        """Activate the current version if another process has changed it."""
         ...
 
 
@@ -31,9 +31,9 @@
     """Polls for wall clock steps, overrides, configurations and the number of sibling processes.
 
     Attributes:
-        clock: The gateway's clock, which sees the wall clock step.
-        timer: Of the next poll; None before the first one.
-        history: Followed from when operators may call on.
+        clock: The gateway's clock, which detects steps of the wall clock.
+        timer: The timer of the next poll; None before the first poll.
+        history: The shared configuration history; None until the control server is listening.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         siblings: GatewayInstances,
         limits: ProcessLimits,
     ) -> None:
-        """Wire the component; polls begin with the first `poll`."""
+        """Store the collaborators; the first call of `poll` starts the polling."""
         self.clock = clock
         self._dispatcher = dispatcher
         self._overrides = overrides
@@ -54,13 +54,13 @@
         self.history: SharedHistory | None = None
 
     def poll(self) -> None:
-        """Check once, and again every POLL_INTERVAL_S."""
+        """Check for changes now and schedule the next poll in POLL_INTERVAL_S."""
         self.timer = asyncio.get_running_loop().call_later(POLL_INTERVAL_S, self.poll)
         if self.clock.has_wall_clock_stepped():
             offset = self.clock.wall_offset
             log.warning("wall clock differs from the gateway's clock offset_s=%+.1f", offset)
             self._dispatcher.dispatch(api.WallClockStepped(offset))
-        with suppress(OSError):  # tried again with the next poll
+        with suppress(OSError):  # the next poll tries again
             self._overrides.save()
         self._overrides.load()
         if self.history is not None:
@@ -69,6 +69,6 @@
         self._limits.apply()
 
     def close(self) -> None:
-        """Stop polling."""
+        """Cancel the next poll."""
         if self.timer is not None:
             self.timer.cancel()
--- a/api_gateway/gateway/status.py
+++ b/api_gateway/gateway/status.py
@@ -1,4 +1,4 @@
-"""What operators and other members of the cluster see of a gateway."""
+"""Build the status of a gateway for operators and its metadata for other cluster members."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def gateway_status(node: GatewayNode) -> dict[str, Any]:
-    """Return the answer of `GET /status`; its keys are a wire form."""
+    """Return the response to `GET /status`. Its keys are part of the control API."""
     listener = node.clients.listener
     status: dict[str, Any] = {
         "ready": node.serving.is_ready and node.serving.state == ACTIVE and listener is not None,
@@ -29,7 +29,7 @@
 
 
 def member_metadata(node: GatewayNode) -> dict[str, str]:
-    """Return what this process tells the other members of its cluster; its keys are a wire form."""
+    """Return the metadata sent to the other members of the cluster. Its keys are part of the protocol."""
     metadata = {"kind": "gateway", "listen": format_address(node.config.listen)}
     if node.config.control:
         metadata["control"] = format_address(node.config.control)
--- a/api_gateway/gateway/wall_clock.py
+++ b/api_gateway/gateway/wall_clock.py
@@ -1,4 +1,4 @@
-"""The clock of a gateway's decisions, which never steps, and how far the machine's wall clock is from it."""
+"""Provide the clock for a gateway's decisions, which never steps, and its offset from the wall clock."""
 
 from __future__ import annotations
 
@@ -10,60 +10,68 @@
 
 from api_gateway.base.shared_file import SharedFile
 
-# Seconds; a wall clock that moves by more between two checks has been stepped.
+# A change of the wall clock offset by more than this many seconds between two checks counts as a step.
 STEP_THRESHOLD_S = 0.25
-# Holds another text after each boot of the machine, when the monotonic clock begins anew.
+# The content changes with each boot of the machine, which also restarts the monotonic clock.
 BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 log = logging.getLogger(__name__)
 
 
 def read_boot_id() -> str:
-    """Return what tells this boot of the machine from others. Raises OSError."""
+    """Return the identifier of the current boot of the machine.
+
+    Raises:
+        OSError: The identifier cannot be read.
+    """
     return BOOT_ID_PATH.read_text(encoding="ascii").strip()
 
 
 def read_epoch(shared_file: SharedFile, boot_id: str) -> float | None:
-    """Return the epoch that a process stored since this boot; None where there is none to be read.
+    """Return the epoch that a process has stored since this boot, or None if there is no valid one.
 
     Raises:
         OSError: The file cannot be read.
     """
     try:
-        raw = json.loads(shared_file.read() or "{}")
-        return float(raw["zero"]) if raw["boot"] == boot_id else None
+        stored = json.loads(shared_file.read() or "{}")
+        return float(stored["zero"]) if stored["boot"] == boot_id else None
     except (ValueError, KeyError, TypeError):
         return None
 
 
 class GatewayClock:
-    """Seconds of Unix time as the wall clock had it when the gateway's first process began, monotonic since.
+    """Monotonic Unix time in seconds, set from the wall clock when the gateway's first process starts.
 
-    With a folder the processes of one gateway on this machine share that epoch, so that times which one of
-    them stores mean the same to the next, however the wall clock was stepped between them.
+    The processes of one gateway on this machine share the epoch through a file in their shared folder. So
+    timestamps stored by one process are valid in the next, even if the wall clock was stepped in between.
     """
 
     def __init__(self, folder: Path | None = None, name: str = "") -> None:
-        """Take the stored epoch or store a new one; what cannot be stored is this process's own.
+        """Load the stored epoch or store a new one, which is private to this process if storing fails.
 
         Args:
-            folder: Where the processes of this gateway keep their files; None: nothing is shared.
-            name: The gateway's, which begins the file's name.
+            folder: The folder that the processes of this gateway share; None to share no epoch.
+            name: The name of the gateway, which is the prefix of the file name.
         """
         # Unix time in seconds at which the monotonic clock was 0.
         self.epoch = time.time() - time.monotonic()
-        # Seconds by which the wall clock was ahead of this one at the last check.
+        # Seconds by which the wall clock was ahead of this clock at the last check.
         self.wall_offset = 0.0
         self.shared_file = SharedFile(folder / f"{name}-clock.json" if folder else None)
         with suppress(OSError):
-            self.share_epoch()
+            self.load_or_store_epoch()
 
     def __call__(self) -> float:
-        """Return the time in seconds."""
+        """Return the current time in seconds of Unix time."""
         return self.epoch + time.monotonic()
 
-    def share_epoch(self) -> None:
-        """Take the epoch that is stored, or store this one. Raises OSError."""
+    def load_or_store_epoch(self) -> None:
+        """Load the stored epoch, or store this one if there is none.
+
+        Raises:
+            OSError: The boot identifier or the shared file cannot be accessed.
+        """
         if self.shared_file.path is None:
             return
         boot_id = read_boot_id()
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -524,7 +524,7 @@
         assert (await config(old))["pending"] is None and old.node.changes.confirmation_timer is None
         assert (await apply(old, await candidate(old, settings__plans__0__rate=6.0), within=1))[0] == 200
         old.node.changes.close()  # it dies: the other sees to the end of the time
-        old.node.watch.timer.cancel()
+        old.node.sibling_watch.timer.cancel()
         await wait_until(lambda: new.node.changes.current.origin == "expiry")
         assert new.node.settings.plans["p"].rate == 5.0 and new.node.changes.current.restored == 2
 
@@ -534,7 +534,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as old:
         assert (await apply(old, await candidate(old, settings__plans__0__rate=5.0), within=1))[0] == 200
         old.node.changes.close()
-        old.node.watch.timer.cancel()
+        old.node.sibling_watch.timer.cancel()
         pending = old.node.changes.history.pending
         await wait_until(lambda: old.node.clock() > pending.deadline)
         async with Node(host, path=tmp_path, sibling=old) as new:
--- a/tests/control/test_host_overrides.py
+++ b/tests/control/test_host_overrides.py
@@ -134,15 +134,15 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         for n in range(50):
             node.discovery.change([entry(host, f"x{n}")])
-            await wait_until(lambda n=n: f"x{n}" in node.node.endpoints.known_ids)
+            await wait_until(lambda n=n: f"x{n}" in node.node.endpoint_updates.known_ids)
             if n == 7:
                 assert (await node.call_control("POST /maintenance/enter?host=x7"))[0] == 200
             node.discovery.change([entry(host, f"x{n}", "removed")])
-            await wait_until(lambda n=n: f"x{n}" not in node.node.endpoints.known_ids)
-        assert node.node.endpoints.known_ids == {"h1"}
+            await wait_until(lambda n=n: f"x{n}" not in node.node.endpoint_updates.known_ids)
+        assert node.node.endpoint_updates.known_ids == {"h1"}
         assert (await node.call_control("POST /maintenance/enter?host=x8"))[0] == 404
         assert (await node.call_control("POST /maintenance/exit?host=x7"))[0] == 200
         assert (await node.call_control("POST /maintenance/enter?host=x7"))[0] == 200
         node.discovery.servers = [entry(host, "h2")]
         node.node.discovery.fetch_full_list()
-        await wait_until(lambda: node.node.endpoints.known_ids == {"h2"})
+        await wait_until(lambda: node.node.endpoint_updates.known_ids == {"h2"})
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -510,7 +510,7 @@
                 node.file.write_text(json.dumps(tree | {"discovery": f"127.0.0.1:{place.port}"}))
                 node.node.reload()
                 await wait_until(lambda known=known: pools(node) == viewed(known, 12))
-                assert node.node.endpoints.known_ids == set(pools(node))
+                assert node.node.endpoint_updates.known_ids == set(pools(node))
                 assert (node.node.discovery.subset.shelf is None) == (place is serving)
             changed = [known[0] | {"state": "draining"}, *known[1:]]
             if place is serving:
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -214,7 +214,7 @@
     """Its end stands behind bytes that nobody reads."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         held(node)
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         stall_before(why, node, monkeypatch)
         peer = Peer(node.port)
         peer.send(command(b"r1", LONG) + command(b"r2", LONG) + (UPLOAD if why == "body" else b""))
@@ -322,7 +322,7 @@
 @on_loop
 async def test_past_the_limit_one_that_only_lingers_goes_first(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         node.node.clients.capacity = 2
         lingers, rests = Peer(node.port), await node.connect()
         await wait_until(lambda: len(node.node.clients.connections) == 2)
@@ -337,7 +337,7 @@
 async def test_a_burst_past_the_limit_ends_one_that_lingers_for_each(tmp_path):
     """An end takes effect a turn later: one and the same would be ended for all that come in a turn."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         peers = [Peer(node.port) for _ in range(10)]
         for n, peer in enumerate(peers):
             peer.send(command(b"r%d" % n))
@@ -369,7 +369,7 @@
 @on_loop
 async def test_a_request_that_had_come_before_its_connection_is_evicted_is_served(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         node.node.clients.capacity = 1
         peer, joined = Peer(node.port), client_server.ClientServer.add_connection
         await wait_until(lambda: node.node.clients.connections)
@@ -472,7 +472,7 @@
     """Neither the one that comes in its place, nor those whose time is up in the same look."""
     monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         peers, look = [await node.connect() for _ in range(3)], clients.ClientConnection.has_unread_bytes
         await wait_until(lambda: len(node.node.clients.connections) == 3)
         spoilt = next(iter(node.node.clients.connections))
@@ -497,7 +497,7 @@
 @on_loop
 async def test_of_many_that_are_to_go_at_once_a_part_lingers_but_for_a_drain(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         server = node.node.clients
         for drain, most in ((False, 10), (True, 40)):
             peers = [Peer(node.port) for _ in range(40)]
@@ -526,7 +526,7 @@
         client_server.ClientServer, "add_connection", lambda *args: (joined(*args), come.append(args))
     )
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         server, peers = node.node.clients, []
         set_in_flight_limit(node.node, 100.0)
         node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
@@ -556,7 +556,7 @@
                 yield client
 
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         server = node.node.clients
         peers = [Peer(node.port) for _ in range(100)]
         for peer in peers:
--- a/tests/downstream/test_client_disconnect.py
+++ b/tests/downstream/test_client_disconnect.py
@@ -82,7 +82,7 @@
         await wait_until(lambda: one.commands or two.commands)
         work = node.node.in_flight["r1"]
         (attempt,) = work.attempts.values()
-        client, pool = work.slot.connection, node.node.upstream.pools[other(attempt)]
+        client, pool = work.pending_reply.connection, node.node.upstream.pools[other(attempt)]
         work.limits = replace(work.limits, can_hedge=True)
         if paused:
             client.pause_writing()
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -173,7 +173,7 @@
 async def test_a_body_that_is_only_announced_holds_no_place(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "BODY_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         node.node.clients.body_budget.capacity_bytes = len(BIG)
         head = upload()[: -len(BIG) - 2]
         reader, writer = await node.connect()
@@ -191,7 +191,7 @@
 @on_loop
 async def test_a_body_without_room_waits_unread_until_there_is_some(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         budget = node.node.clients.body_budget
         budget.capacity_bytes = len(BIG)
         first, first_writer = await node.connect()
@@ -268,7 +268,7 @@
 @on_loop
 async def test_past_the_limit_a_connection_whose_body_is_coming_does_not_go(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.node.watch.timer.cancel()
+        node.node.sibling_watch.timer.cancel()
         node.node.clients.capacity = 2
         reader, writer = await node.connect()
         writer.write(upload()[:90000])
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -179,8 +179,8 @@
     async def __aexit__(self, *_):
         for writer in self.writers:
             writer.close()
-        if self.node.watch.timer:
-            self.node.watch.timer.cancel()
+        if self.node.sibling_watch.timer:
+            self.node.sibling_watch.timer.cancel()
         self.node.clients.begin_shutdown()
         self.node.clients.close()
         self.node.control.close()
--- a/tests/policy/test_quota_leases_cluster.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -82,7 +82,7 @@
             json.dumps(gateway_config(listed, discovery_port, self.counter.port, settings | {"index": index}))
         )
         node = GatewayNode(read_config({"RELAY_CONFIG": str(config_file)}))
-        node.clock = node.dispatcher.clock = node.watch.clock = self.clock
+        node.clock = node.dispatcher.clock = node.sibling_watch.clock = self.clock
         # All gateways use one clock, which the scenarios advance.
         node.engine.cluster_clock.start = lambda now: None
         set_in_flight_limit(node, 1000.0)  # the host has capacity for all requests
@@ -92,7 +92,7 @@
         return node
 
     async def stop(self, node):
-        node.watch.timer.cancel()
+        node.sibling_watch.timer.cancel()
         node.clients.begin_shutdown()
         node.clients.close()
         node.upstream.close()
