--- a/tests/gateway/test_gateway_process.py
+++ b/tests/gateway/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The program as the platform runs it: configuration, readiness, signals."""
+"""Tests the gateway program as a separate process: configuration, readiness, signals and upgrades."""
 
 import asyncio
 import itertools
@@ -35,37 +35,41 @@
 PROGRAM = [sys.executable, "-B", "-m", "api_gateway.gateway"]
 
 
-def spoilt(**kw):
-    return json.dumps(gateway_config([], 1, 2) | kw)
+def config_with(**overrides):
+    return json.dumps(gateway_config([], 1, 2) | overrides)
 
 
 @pytest.mark.parametrize(
-    "text, word",
+    "text, expected_text",
     [
         (None, "RELAY_CONFIG"),
         ("{", "Expecting"),
         ("[]", "list"),
         ("{}", "settings"),
-        (spoilt(seed="xyz"), "xyz"),
-        (spoilt(listen="nowhere"), "nowhere"),
-        (spoilt(counter=""), "counter"),
-        (spoilt(settings={}), "limits"),
-        (spoilt(known={"version": 1}), "list of hosts"),
-        (spoilt(listen="127.0.0.1:99999999"), "99999999"),
+        (config_with(seed="xyz"), "xyz"),
+        (config_with(listen="nowhere"), "nowhere"),
+        (config_with(counter=""), "counter"),
+        (config_with(settings={}), "limits"),
+        (config_with(known={"version": 1}), "list of hosts"),
+        (config_with(listen="127.0.0.1:99999999"), "99999999"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(text, word, tmp_path):
+def test_an_invalid_configuration_is_reported_in_one_line(text, expected_text, tmp_path):
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
     if text is not None:
         (tmp_path / "config.json").write_text(text)
         env["RELAY_CONFIG"] = str(tmp_path / "config.json")
-    ended = subprocess.run(PROGRAM, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
-    assert ended.returncode != 0
-    assert ended.stderr.startswith("api_gateway: ") and ended.stderr.count("\n") == 1 and word in ended.stderr
+    completed = subprocess.run(PROGRAM, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60)
+    assert completed.returncode != 0
+    assert (
+        completed.stderr.startswith("api_gateway: ")
+        and completed.stderr.count("\n") == 1
+        and expected_text in completed.stderr
+    )
 
 
 @on_loop
-async def test_sigterm_ends_the_program_after_what_it_has_taken(tmp_path):
+async def test_sigterm_ends_the_program_after_it_has_answered_admitted_requests(tmp_path):
     async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
@@ -82,7 +86,7 @@
         program.send_signal(signal.SIGTERM)
         ping_reader, ping_writer = await asyncio.open_connection("127.0.0.1", port)
         ping_writer.write(PING)
-        while await read_reply(ping_reader) == b"+PONG\r\n":  # until it has heard of its end
+        while await read_reply(ping_reader) == b"+PONG\r\n":  # until the process has handled the signal
             ping_writer.write(PING)
         host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
         assert await read_reply(reader) == SERVED
@@ -90,8 +94,11 @@
 
 
 @on_loop
-async def test_signals_that_come_while_the_program_ends_lose_nothing(tmp_path):
-    """A second SIGTERM, and a SIGHUP with a file that drops the class of the request in work."""
+async def test_signals_during_the_shutdown_lose_no_request(tmp_path):
+    """Guard against a lost request when a second SIGTERM and a SIGHUP arrive during the shutdown.
+
+    The reloaded file no longer contains the class of the request in flight.
+    """
     async with StubHost(None) as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
@@ -119,11 +126,11 @@
 
 
 @on_loop
-async def test_a_killed_gateway_starts_again_at_its_address(tmp_path):
+async def test_a_killed_gateway_can_restart_at_the_same_address(tmp_path):
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config, port = tmp_path / "config.json", 0
-        for life in (b"first", b"second"):
+        for request_id in (b"first", b"second"):
             text = gateway_config([entry(host)], discovery.port, counter.port) | {
                 "listen": f"127.0.0.1:{port}"
             }
@@ -133,23 +140,23 @@
             )
             port = int((await program.stderr.readline()).decode().rsplit(":", 1)[1])
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(command(life))
+            writer.write(command(request_id))
             assert await read_reply(reader) == SERVED
             program.kill()
             assert await program.wait() == -signal.SIGKILL
 
 
 @on_loop
-async def test_sighup_moves_discovery_and_the_counter_and_a_bad_file_moves_nothing(tmp_path):
+async def test_sighup_changes_discovery_and_the_counter_unless_the_file_is_invalid(tmp_path):
     async with (
         StubHost() as host,
-        StubHost() as late,
+        StubHost() as new_host,
         StubCounter() as counter,
         StubDiscovery() as discovery,
         StubCounter() as new_counter,
         StubDiscovery() as new_discovery,
     ):
-        discovery.servers, new_discovery.servers = [entry(host)], [entry(late, "h2")]
+        discovery.servers, new_discovery.servers = [entry(host)], [entry(new_host, "h2")]
         config = tmp_path / "config.json"
         config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port)))
         env = {**os.environ, "RELAY_CONFIG": str(config), "RELAY_DISCOVERY": f"127.0.0.1:{discovery.port}"}
@@ -164,7 +171,8 @@
         config.write_text(json.dumps(gateway_config([], new_discovery.port, new_counter.port)))
         program.send_signal(signal.SIGHUP)
         number = 1
-        while not (new_counter.calls and late.commands):  # each customer's first request needs the counter
+        # Each customer's first request needs the counter.
+        while not (new_counter.calls and new_host.commands):
             writer.write(command(b"n%d" % number, terms(t="small"), customer=b"%016x" % number))
             await read_reply(reader)
             number += 1
@@ -172,18 +180,22 @@
         assert await program.wait() == 0
 
 
-def changed(**kw):
-    tree = json.loads(json.dumps(gateway_config([], 1, 2)))
-    for path, value in kw.items():
-        node = tree
-        *parents, leaf = [int(p) if p.isdigit() else p for p in path.split("__")]
-        for part in parents:
-            node = node[part]
+def config_with_values(**values):
+    """Return a configuration with values set at the given paths, whose parts are joined by two underscores.
+
+    None deletes a key.
+    """
+    document = json.loads(json.dumps(gateway_config([], 1, 2)))
+    for path, value in values.items():
+        parent = document
+        *parent_keys, leaf = [int(part) if part.isdigit() else part for part in path.split("__")]
+        for key in parent_keys:
+            parent = parent[key]
         if value is None:
-            del node[leaf]
+            del parent[leaf]
         else:
-            node[leaf] = value
-    return json.dumps(tree)
+            parent[leaf] = value
+    return json.dumps(document)
 
 
 @pytest.mark.parametrize(
@@ -194,40 +206,46 @@
         "null",
         "[]",
         "{}",
-        changed()[:-9],
-        changed(discovery=None),
-        changed(counter=None),
-        changed(settings=None),
-        changed(settings__services=None),
-        changed(settings__services__0__deadline=None),
-        changed(settings__services__0__effect=None),
-        changed(settings__plans__0__rate=None),
-        changed(settings__limits__max_attempts=None),
-        changed(settings__specifics__counter_timeout=None),
-        *(changed(settings__limits__max_attempts=bad) for bad in (0, -1, "3", True, [3], float("nan"))),
-        *(changed(settings__services__0__deadline=bad) for bad in (0, -1, "soon", False, {}, float("inf"))),
-        changed(settings__services=[]),
-        changed(settings__services__0__effect="odd"),
-        changed(counter="nowhere"),
+        config_with_values()[:-9],
+        config_with_values(discovery=None),
+        config_with_values(counter=None),
+        config_with_values(settings=None),
+        config_with_values(settings__services=None),
+        config_with_values(settings__services__0__deadline=None),
+        config_with_values(settings__services__0__effect=None),
+        config_with_values(settings__plans__0__rate=None),
+        config_with_values(settings__limits__max_attempts=None),
+        config_with_values(settings__specifics__counter_timeout=None),
+        *(
+            config_with_values(settings__limits__max_attempts=bad)
+            for bad in (0, -1, "3", True, [3], float("nan"))
+        ),
+        *(
+            config_with_values(settings__services__0__deadline=bad)
+            for bad in (0, -1, "soon", False, {}, float("inf"))
+        ),
+        config_with_values(settings__services=[]),
+        config_with_values(settings__services__0__effect="odd"),
+        config_with_values(counter="nowhere"),
     ],
 )
-def test_of_a_broken_file_nothing_is_taken(text, tmp_path):
+def test_reread_rejects_an_invalid_file(text, tmp_path):
     path = tmp_path / "config.json"
-    path.write_text(changed())
+    path.write_text(config_with_values())
     env = {"RELAY_CONFIG": str(path)}
-    last = read_config(env)
+    previous = read_config(env)
     path.write_text(text)
     with pytest.raises(ConfigError):
-        reread_config(last, env)
+        reread_config(previous, env)
 
 
-def test_a_whole_file_is_taken_but_for_what_is_listened_on(tmp_path):
+def test_reread_applies_a_valid_file_except_for_the_listening_addresses(tmp_path):
     path = tmp_path / "config.json"
-    path.write_text(changed())
-    last = read_config({"RELAY_CONFIG": str(path), "RELAY_NAME": "n7", "RELAY_DISCOVERY": "127.0.0.1:9"})
+    path.write_text(config_with_values())
+    previous = read_config({"RELAY_CONFIG": str(path), "RELAY_NAME": "n7", "RELAY_DISCOVERY": "127.0.0.1:9"})
     extra = SETTINGS["services"][0] | {"name": "extra", "effect": "side_effect"}
     path.write_text(
-        changed(
+        config_with_values(
             discovery="127.0.0.1:7",
             counter="127.0.0.1:8",
             listen="127.0.0.1:5",
@@ -235,14 +253,14 @@
             settings__services=[extra],
         )
     )
-    fresh = reread_config(last, {"RELAY_CONFIG": str(path)})
-    assert fresh.discovery[1] == 7 and fresh.counter[1] == 8 and fresh.name == "n7"
-    assert fresh.listen == last.listen and fresh.settings.limits.max_attempts == 1
-    assert list(fresh.settings.classes) == ["extra"]
+    reread = reread_config(previous, {"RELAY_CONFIG": str(path)})
+    assert reread.discovery[1] == 7 and reread.counter[1] == 8 and reread.name == "n7"
+    assert reread.listen == previous.listen and reread.settings.limits.max_attempts == 1
+    assert list(reread.settings.classes) == ["extra"]
 
 
-class Platform:
-    """Holds the clients' socket and starts processes that inherit it."""
+class SocketOwner:
+    """Owns the listening socket for clients and starts gateway processes that inherit it."""
 
     def __init__(self, folder, config):
         self.folder, self.config, self.programs = folder, config, []
@@ -252,7 +270,7 @@
         self.port = self.sock.getsockname()[1]
 
     async def start(self):
-        """A process that is ready; where its second address is."""
+        """Start a process, wait until it is ready, and return it with its control port."""
         env = {
             **os.environ,
             "RELAY_CONFIG": str(self.config),
@@ -265,14 +283,14 @@
             *PROGRAM, cwd=ROOT, env=env, stderr=subprocess.PIPE, pass_fds=[self.sock.fileno()]
         )
         self.programs.append(program)
-        second = 0
+        control_port = 0
         while line := await program.stderr.readline():
             if b"calls are taken at" in line:
-                second = int(line.decode().rsplit(":", 1)[1])
+                control_port = int(line.decode().rsplit(":", 1)[1])
             if b"listens on" in line:
                 break
-        assert (await call_control(second, "GET /status"))[0] == 200
-        return program, second
+        assert (await call_control(control_port, "GET /status"))[0] == 200
+        return program, control_port
 
     async def __aenter__(self):
         return self
@@ -292,90 +310,90 @@
         config = tmp_path / "config.json"
         config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port)))
         (tmp_path / "n0-life-of-an-earlier-one").write_text("")
-        async with Platform(tmp_path, config) as platform:
-            old, second = await platform.start()
-            idle, idle_writer = await asyncio.open_connection("127.0.0.1", platform.port)
+        async with SocketOwner(tmp_path, config) as socket_owner:
+            old, control_port = await socket_owner.start()
+            idle, idle_writer = await asyncio.open_connection("127.0.0.1", socket_owner.port)
             idle_writer.write(PING)
             assert await read_reply(idle) == b"+PONG\r\n"
-            busy, busy_writer = await asyncio.open_connection("127.0.0.1", platform.port)
+            busy, busy_writer = await asyncio.open_connection("127.0.0.1", socket_owner.port)
             busy_writer.write(command(b"busy"))
             await host.arrived.get()
-            assert (await call_control(second, "POST /maintenance/enter?host=h1"))[0] == 200
-            new, new_second = await platform.start()
-            assert (await call_control(new_second, "GET /status"))[1]["hosts_out"] == ["h1"]
+            assert (await call_control(control_port, "POST /maintenance/enter?host=h1"))[0] == 200
+            new, new_control_port = await socket_owner.start()
+            assert (await call_control(new_control_port, "GET /status"))[1]["hosts_out"] == ["h1"]
             old.send_signal(signal.SIGTERM)
             assert await idle.read() == b""
             host.writers[0].write(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n")
             assert await busy.read() == SERVED
             assert await old.wait() == 0
-            reader, writer = await asyncio.open_connection("127.0.0.1", platform.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", socket_owner.port)
             writer.write(PING)
             assert await read_reply(reader) == b"+PONG\r\n"
-            for end in (idle_writer, busy_writer, writer):
-                end.close()
+            for open_writer in (idle_writer, busy_writer, writer):
+                open_writer.close()
             assert new.returncode is None
 
 
 @pytest.mark.parametrize("more", [{"edge": {}}, {}])
 @on_loop
-async def test_an_upgrade_in_a_rush_of_connections_loses_nothing(more, tmp_path):
+async def test_an_upgrade_under_many_connections_loses_no_request(more, tmp_path):
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
         config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port) | more))
-        async with Platform(tmp_path, config) as platform:
-            old, _ = await platform.start()
-            ended, answers, lost, numbers = asyncio.Event(), [], [], itertools.count()
+        async with SocketOwner(tmp_path, config) as socket_owner:
+            old, _ = await socket_owner.start()
+            stopped, replies, lost, numbers = asyncio.Event(), [], [], itertools.count()
 
-            async def ask():
-                """Five commands on one connection; what its end leaves unread is sent once more."""
-                left = [command(b"r%d" % next(numbers), customer=b"%016x" % n) for n in range(5)]
+            async def send_commands():
+                """Send five commands on one connection and resend the unanswered ones once if it closes."""
+                unanswered = [command(b"r%d" % next(numbers), customer=b"%016x" % n) for n in range(5)]
                 for _ in range(2):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", platform.port)
-                    writer.write(b"".join(left))
+                    reader, writer = await asyncio.open_connection("127.0.0.1", socket_owner.port)
+                    writer.write(b"".join(unanswered))
                     try:
-                        while left and (reply := await read_reply(reader)):
-                            answers.append(reply[:1])
-                            left.pop(0)
+                        while unanswered and (reply := await read_reply(reader)):
+                            replies.append(reply[:1])
+                            unanswered.pop(0)
                     except OSError:
                         pass
                     writer.close()
-                lost.extend(left)
+                lost.extend(unanswered)
 
-            async def keep_asking():
-                while not ended.is_set():
-                    await ask()
+            async def keep_sending():
+                while not stopped.is_set():
+                    await send_commands()
 
-            rush = [asyncio.create_task(keep_asking()) for _ in range(40)]
-            await wait_until(lambda: len(answers) > 200)
-            await platform.start()
+            clients = [asyncio.create_task(keep_sending()) for _ in range(40)]
+            await wait_until(lambda: len(replies) > 200)
+            await socket_owner.start()
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
-            seen = len(answers)
-            await wait_until(lambda: len(answers) > seen + 200)
-            ended.set()
-            await asyncio.gather(*rush)
-            assert not lost and set(answers) <= {b"$", b"-"}
+            previous_count = len(replies)
+            await wait_until(lambda: len(replies) > previous_count + 200)
+            stopped.set()
+            await asyncio.gather(*clients)
+            assert not lost and set(replies) <= {b"$", b"-"}
 
 
 @on_loop
-async def test_the_new_process_serves_on_when_the_old_one_dies_midway(tmp_path):
+async def test_the_new_process_keeps_serving_if_the_old_one_is_killed(tmp_path):
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         config = tmp_path / "config.json"
         config.write_text(json.dumps(gateway_config([entry(host)], discovery.port, counter.port)))
-        async with Platform(tmp_path, config) as platform:
-            old, _ = await platform.start()
-            new, _ = await platform.start()
+        async with SocketOwner(tmp_path, config) as socket_owner:
+            old, _ = await socket_owner.start()
+            new, _ = await socket_owner.start()
             old.kill()
             await old.wait()
             for n in range(5):
-                reader, writer = await asyncio.open_connection("127.0.0.1", platform.port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", socket_owner.port)
                 writer.write(command(b"r%d" % n))
                 assert await read_reply(reader) == SERVED
                 writer.close()
-            new.send_signal(signal.SIGTERM)  # alone: it still serves what comes for a while
-            reader, writer = await asyncio.open_connection("127.0.0.1", platform.port)
+            new.send_signal(signal.SIGTERM)  # the only process: it serves new connections for a while
+            reader, writer = await asyncio.open_connection("127.0.0.1", socket_owner.port)
             writer.write(command(b"last"))
             assert await read_reply(reader) == SERVED
             writer.close()
@@ -383,10 +401,10 @@
 
 
 @pytest.mark.parametrize("fd", ["x", "99"])
-def test_a_descriptor_that_is_none_ends_the_start_in_one_line(fd, tmp_path):
-    (tmp_path / "config.json").write_text(changed())
+def test_an_invalid_inherited_descriptor_is_reported_in_one_line(fd, tmp_path):
+    (tmp_path / "config.json").write_text(config_with_values())
     env = {k: v for k, v in os.environ.items() if not k.startswith("RELAY_")}
-    ended = subprocess.run(
+    completed = subprocess.run(
         PROGRAM,
         cwd=ROOT,
         env=env
@@ -395,13 +413,17 @@
         text=True,
         timeout=60,
     )
-    assert ended.returncode == 2 and ended.stderr.count("\n") == 1
+    assert completed.returncode == 2 and completed.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("view", [False, True])
-def test_nothing_that_takes_long_is_imported_while_clients_wait(view, tmp_path):
-    """With a second address and membership the loop was away for most of a start, the clients' listener
-    open: requests that came were read past their time. What views need is there with that key only."""
+def test_slow_modules_are_imported_before_the_client_listener_opens(view, tmp_path):
+    """Slow modules must be imported before the client listener opens.
+
+    With the control address and membership configured, these imports once blocked the event loop for most of
+    the start while the listener was already open, so requests were read after their deadlines. The modules
+    for subsets must be imported only if the configuration has the key `view`.
+    """
     code = (
         "import sys, api_gateway.downstream.client_server as clients\n"
         "from api_gateway.gateway.__main__ import main\n"
@@ -410,17 +432,17 @@
         " raise OSError('seen')\n"
         "clients.ClientServer.listen = listen; main()"
     )
-    tree = gateway_config([], 1, 2) | {
+    document = gateway_config([], 1, 2) | {
         "control": "127.0.0.1:0",
         "membership": {"cluster": "c", "listen": "127.0.0.1:0"},
     }
-    tree |= {"view": {"size": 20}} if view else {}
-    (tmp_path / "config.json").write_text(json.dumps(tree))
-    ended = subprocess.run(
+    document |= {"view": {"size": 20}} if view else {}
+    (tmp_path / "config.json").write_text(json.dumps(document))
+    completed = subprocess.run(
         [sys.executable, "-c", code],
         capture_output=True,
         text=True,
         timeout=60,
         env={**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json"), "TMPDIR": str(tmp_path)},
     )
-    assert ended.stdout == f"True True {view} {view}\n" and "seen" in ended.stderr
+    assert completed.stdout == f"True True {view} {view}\n" and "seen" in completed.stderr
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process, with deadlines so short that SIGKILL comes soon after SIGTERM."""
+"""Tests the shutdown with deadlines so short that SIGKILL follows soon after SIGTERM."""
 
 import asyncio
 import random
@@ -27,24 +27,27 @@
 from api_gateway.emulators.host import VALUE
 from api_gateway.gateway import shutdown
 
-S = 1_000_000_000
-CLIENTS, PAUSE = 200, 0.03  # connections; s for which each rests at most between two requests
+NANOSECONDS_PER_S = 1_000_000_000
+CLIENTS, MAX_PAUSE_S = 200, 0.03  # client connections; longest pause of each between two requests
 
 
 class SlowHost(StubHost):
-    """Answers after a while, and some commands never."""
+    """Answers after up to 50 ms, and a tenth of the commands never."""
 
-    async def answer_to(self, got):
+    async def answer_to(self, arguments):
         await asyncio.sleep(random.uniform(0.0, 0.05))
         return VALUE if random.random() < 0.9 else None
 
 
 @pytest.mark.parametrize("deadline", [0.15, 0.4])
 @on_loop
-async def test_clients_that_send_to_the_end_lose_nothing_that_was_forwarded(deadline, tmp_path):
-    """Each rests for a moment between two requests, and the kill comes at the page's earliest."""
-    times = {"deadline": int(deadline * S), "slo": int(deadline * S / 2)}
-    services = [cls | times for cls in SETTINGS["services"]]
+async def test_no_forwarded_request_is_lost_if_clients_send_until_sigkill(deadline, tmp_path):
+    """Guard against forwarded requests that are lost when SIGKILL comes at the earliest specified time.
+
+    The clients keep sending during the shutdown, with short pauses between requests.
+    """
+    times = {"deadline": int(deadline * NANOSECONDS_PER_S), "slo": int(deadline * NANOSECONDS_PER_S / 2)}
+    services = [service_class | times for service_class in SETTINGS["services"]]
     async with SlowHost() as one, SlowHost() as two, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(one, "h1"), entry(two, "h2")]
         tree = gateway_config(
@@ -66,38 +69,41 @@
                     except OSError:
                         break
                     unanswered.discard(name)
-                    await asyncio.sleep(random.uniform(0.0, PAUSE))
+                    await asyncio.sleep(random.uniform(0.0, MAX_PAUSE_S))
                 writer.close()
 
             sending = [asyncio.create_task(send(number)) for number in range(CLIENTS)]
             await asyncio.sleep(0.5)
-            began = time.monotonic()
+            signalled_at = time.monotonic()
             process.signal(signal.SIGTERM)
-            while process.process.returncode is None and time.monotonic() - began < deadline + 0.7:
+            while process.process.returncode is None and time.monotonic() - signalled_at < deadline + 0.7:
                 await asyncio.sleep(0.01)
             process.signal(signal.SIGKILL)
             await asyncio.gather(*sending)
-        forwarded = {got[2] for host in (one, two) for got in host.commands}
+        forwarded = {arguments[2] for host in (one, two) for arguments in host.commands}
     assert not unanswered & forwarded
 
 
-@pytest.mark.parametrize("more", [{}, {"edge": {}}], ids=["", "edge"])
+@pytest.mark.parametrize("config_overrides", [{}, {"edge": {}}], ids=["", "edge"])
 @on_loop
-async def test_a_command_that_becomes_whole_as_the_process_gives_up_is_not_forwarded(
-    more, tmp_path, monkeypatch
+async def test_a_command_completed_after_the_shutdown_timeout_is_not_forwarded(
+    config_overrides, tmp_path, monkeypatch
 ):
-    """Its connection is open, as half of it had come; no time is left in which it could be answered."""
+    """A command must not be forwarded if it is completed when no time is left to answer it.
+
+    Its connection is still open then, because the first half had arrived earlier.
+    """
     monkeypatch.setattr(shutdown, "KILL_DELAY_S", 0.2)
     monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
-    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=more) as node:
-        for _ in range(2):  # connections to the host that rest
+    async with StubHost() as host, Node(host, path=tmp_path, config_overrides=config_overrides) as node:
+        for _ in range(2):  # leaves idle connections to the host
             await asyncio.gather(*(node.send_command(command(b"r%d" % number)) for number in range(4)))
         await wait_until_settled(node.node.upstream.pools["h1"])
         host.answer = None
         while not host.arrived.empty():
             host.arrived.get_nowait()
         _, busy = await node.connect()
-        late = socket.create_connection(("127.0.0.1", node.port))  # what it sends is there at once
+        late = socket.create_connection(("127.0.0.1", node.port))  # a blocking socket: sends at once
         busy.write(command(b"busy"))
         await host.arrived.get()
         text = command(b"late")
@@ -107,11 +113,11 @@
         )
         abandon = node.node.requests.abandon
 
-        def abandoned(work):
+        def send_rest_and_abandon(request):
             late.sendall(text[30:])
-            abandon(work)
+            abandon(request)
 
-        node.node.requests.abandon = abandoned
+        node.node.requests.abandon = send_rest_and_abandon
         await node.node.stop()
         late.close()
-    assert b"late" not in [got[2] for got in host.commands]
+    assert b"late" not in [arguments[2] for arguments in host.commands]
--- a/tests/gateway/test_start_shortage.py
+++ b/tests/gateway/test_start_shortage.py
@@ -1,4 +1,4 @@
-"""A start that meets a shortage of a moment waits it out: a process that ends there serves nobody."""
+"""Tests that a start waits out a short shortage of descriptors or memory instead of ending the process."""
 
 import asyncio
 import errno
@@ -22,12 +22,12 @@
 from api_gateway.base import descriptors
 from api_gateway.base.accepting import open_listening_socket
 
-SHORTAGE_ENDS_S = 1.5  # after the process began: its sockets are opened well before that
+SHORTAGE_ENDS_S = 1.5  # after the start of the process, which opens its sockets well before that
 
 
 @pytest.mark.parametrize("code", ["ENOBUFS", "EMFILE", "ENFILE", "ENOMEM"])
 @on_loop
-async def test_a_gateway_that_can_open_no_socket_for_a_moment_starts_all_the_same(code, tmp_path):
+async def test_a_gateway_starts_after_a_short_shortage_of_sockets(code, tmp_path):
     async with StubHost() as host, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(host)]
         tree = gateway_config([entry(host)], discovery.port, counter.port)
@@ -41,40 +41,40 @@
             writer.close()
 
 
-class Shortage:
-    """Opens a socket after so many failures."""
+class FailingOpener:
+    """Opens a socket after the given number of failures."""
 
     def __init__(self, failures, code):
-        self.failures, self.code, self.calls = failures, code, 0
+        self.failure_count, self.code, self.calls = failures, code, 0
 
     async def __call__(self):
         self.calls += 1
-        if self.calls <= self.failures:
+        if self.calls <= self.failure_count:
             raise OSError(self.code, os.strerror(self.code))
         return "socket"
 
 
 @on_loop
-async def test_a_shortage_is_waited_out_and_no_other_error():
-    short = Shortage(3, errno.ENFILE)
-    assert await descriptors.retry_in_shortage(short) == "socket" and short.calls == 4
-    taken = Shortage(3, errno.EADDRINUSE)
+async def test_only_a_shortage_is_retried():
+    opener = FailingOpener(3, errno.ENFILE)
+    assert await descriptors.retry_in_shortage(opener) == "socket" and opener.calls == 4
+    address_in_use = FailingOpener(3, errno.EADDRINUSE)
     with pytest.raises(OSError, match="in use"):
-        await descriptors.retry_in_shortage(taken)
-    assert taken.calls == 1
+        await descriptors.retry_in_shortage(address_in_use)
+    assert address_in_use.calls == 1
 
 
 @on_loop
-async def test_a_shortage_that_lasts_is_told(monkeypatch):
+async def test_a_lasting_shortage_is_raised(monkeypatch):
     monkeypatch.setattr(descriptors, "START_SHORTAGE_TIMEOUT_S", 0.1)
-    short = Shortage(10_000, errno.EMFILE)
+    opener = FailingOpener(10_000, errno.EMFILE)
     with pytest.raises(OSError, match="Too many open files"):
-        await descriptors.retry_in_shortage(short)
-    assert short.calls > 1
+        await descriptors.retry_in_shortage(opener)
+    assert opener.calls > 1
 
 
 @on_loop
-async def test_an_address_that_is_taken_is_told_at_once():
-    with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(OSError) as told_of:
+async def test_an_address_in_use_is_raised_immediately():
+    with socket.create_server(("127.0.0.1", 0)) as other, pytest.raises(OSError) as raised:
         await open_listening_socket(other.getsockname()[:2], 1)
-    assert told_of.value.errno == errno.EADDRINUSE
+    assert raised.value.errno == errno.EADDRINUSE
--- a/tests/gateway/test_strict_readers.py
+++ b/tests/gateway/test_strict_readers.py
@@ -1,8 +1,8 @@
-"""What is read from clients, hosts, the counter and discovery: nothing is stepped over unseen, wherever the
-stream is cut.
+"""Tests that the parsers of all inputs reject whatever the protocol does not allow.
 
-Each reader is held against a plain slow one that is written here from the protocol's page: it reads a whole
-stream at once, and takes nothing that it does not know."""
+Each parser is compared with a simple reference implementation of the protocol in this module, which reads the
+whole input at once. Inputs are mutated by a byte, and streams are split at arbitrary positions.
+"""
 
 import asyncio
 import json
@@ -14,8 +14,7 @@
 import pytest
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
-from netkit import SETTINGS, Node, StubHost, command, on_loop, write_command
-from netkit import gateway_config as configured
+from netkit import SETTINGS, Node, StubHost, command, gateway_config, on_loop, write_command
 
 from api_gateway import interface as api
 from api_gateway.base import resp
@@ -24,83 +23,84 @@
 from api_gateway.control import config_candidate as candidate
 from api_gateway.control import config_history
 from api_gateway.control.host_overrides import decode_overrides
-from api_gateway.counter_client import MAX_ANSWER_BYTES, Call
-from api_gateway.counter_client import CounterConnection as CounterLine
+from api_gateway.counter_client import MAX_ANSWER_BYTES, Call, CounterConnection
 from api_gateway.discovery.fetcher import BrokenConnectionError, FetchConnection, Fetcher
 from api_gateway.gateway.request_parser import ANSWER_RESERVE_S, BadRequestError, parse_request
-from api_gateway.membership.messages import decode_datagram as read_datagram
+from api_gateway.membership.messages import decode_datagram
 from api_gateway.settings_parser import read_settings
 from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.connection import read_reply
 from api_gateway.upstream.load_report import parse_load_report
 
-ENDS = b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n"  # the value's end is no end
+REPLY_WITHOUT_TERMINATOR = b"*3\r\n$4\r\nabcdef$-1\r\n$-1\r\n"  # no CRLF follows the value
 DIGITS = set(b"0123456789")
 
 seeded = settings(derandomize=True, deadline=None, database=None, max_examples=250)
 
 
-class Cut(StubHost):
-    """Answers in two pieces."""
+class SplitReplyHost(StubHost):
+    """Sends its reply in two parts."""
 
-    at = 0
+    split_at = 0
 
-    async def answer_to(self, got):
-        self.writers[-1].write(ENDS[: self.at])
-        await asyncio.sleep(0.01 if self.at else 0)
-        return ENDS[self.at :]
+    async def answer_to(self, arguments):
+        self.writers[-1].write(REPLY_WITHOUT_TERMINATOR[: self.split_at])
+        await asyncio.sleep(0.01 if self.split_at else 0)
+        return REPLY_WITHOUT_TERMINATOR[self.split_at :]
 
 
-@pytest.mark.parametrize("ask", [command(), write_command(service_class=b"note")], ids=["read", "note"])
-@pytest.mark.parametrize("at", [0, 9, 12, 13, 14, 15, 17, 22])
+@pytest.mark.parametrize(
+    "request_command", [command(), write_command(service_class=b"note")], ids=["read", "note"]
+)
+@pytest.mark.parametrize("split_at", [0, 9, 12, 13, 14, 15, 17, 22])
 @on_loop
-async def test_a_value_whose_end_is_no_end_is_not_served(ask, at, tmp_path):
-    async with Cut() as host, Node(host, path=tmp_path) as node:
-        host.at = at
-        answer = await node.send_command(ask)
+async def test_a_value_without_its_terminator_is_not_served(request_command, split_at, tmp_path):
+    async with SplitReplyHost() as host, Node(host, path=tmp_path) as node:
+        host.split_at = split_at
+        answer = await node.send_command(request_command)
         assert answer.startswith(b"-") and host.commands, answer
 
 
-class BrokenOff(StubHost):
-    """Breaks off in a large value, right behind a piece that looks like its end."""
+class TruncatingHost(StubHost):
+    """Closes the connection within a large value, right after a piece that looks like its terminator."""
 
-    async def answer_to(self, got):
-        out = self.writers[-1]
+    async def answer_to(self, arguments):
+        writer = self.writers[-1]
         for piece in (b"*3\r\n$70000\r\n" + b"v" * 100, b"\r\n"):
-            out.write(piece)
+            writer.write(piece)
             await asyncio.sleep(0.05)
         return b""
 
 
 @on_loop
-async def test_a_large_value_that_breaks_off_is_not_whole(tmp_path):
-    async with BrokenOff() as host, Node(host, path=tmp_path) as node:
-        outcomes, feed = [], node.node.dispatcher.dispatch
-        node.node.dispatcher.dispatch = lambda event: (outcomes.append(event), feed(event))
+async def test_a_truncated_large_value_is_not_complete(tmp_path):
+    async with TruncatingHost() as host, Node(host, path=tmp_path) as node:
+        events, dispatch = [], node.node.dispatcher.dispatch
+        node.node.dispatcher.dispatch = lambda event: (events.append(event), dispatch(event))
         reader, writer = await node.connect()
         writer.write(command())
-        assert await reader.read() == b"$70000\r\n" + b"v" * 100 + b"\r\n"  # and the end of the connection
-        assert [event.result for event in outcomes if isinstance(event, api.AttemptEnded)] == ["reset"]
+        assert await reader.read() == b"$70000\r\n" + b"v" * 100 + b"\r\n"  # then the connection closes
+        assert [event.result for event in events if isinstance(event, api.AttemptEnded)] == ["reset"]
 
 
-def pieces_of(stream, cuts):
-    at = [0, *sorted(cut % (len(stream) + 1) for cut in cuts), len(stream)]
-    return [stream[a:b] for a, b in zip(at, at[1:], strict=False)]
+def split_stream(stream, cuts):
+    offsets = [0, *sorted(cut % (len(stream) + 1) for cut in cuts), len(stream)]
+    return [stream[start:end] for start, end in zip(offsets, offsets[1:], strict=False)]
 
 
-def bytewise(stream):
-    """The first bytes one by one."""
-    return [stream[at : at + 1] for at in range(300)] + [stream[300:]]
+def split_into_bytes(stream):
+    """Return the first 300 bytes one by one, and the rest."""
+    return [stream[offset : offset + 1] for offset in range(300)] + [stream[300:]]
 
 
-def altered(stream, change):
-    """With a byte more, less or another one."""
-    kind, at, byte = change
-    at %= len(stream) + 1
+def mutate(stream, change):
+    """Insert, remove or replace one byte, or change nothing."""
+    kind, offset, byte = change
+    offset %= len(stream) + 1
     return (
-        stream[:at]
-        + {"more": byte, "less": b"", "other": byte, "none": stream[at : at + 1]}[kind]
-        + (stream[at if kind == "more" else at + 1 :])
+        stream[:offset]
+        + {"more": byte, "less": b"", "other": byte, "none": stream[offset : offset + 1]}[kind]
+        + (stream[offset if kind == "more" else offset + 1 :])
     )
 
 
@@ -111,93 +111,107 @@
 
 # RESP2
 
-MOST, SMALL, LARGE = 700, 600, 900  # as in resp.py, where a test would be slow with them
+# Smaller than in resp.py, whose limits would make the tests slow.
+MAX_STRING_BYTES, THRESHOLD_BYTES, MAX_LARGE_STRING_BYTES = 700, 600, 900
+
 
+class MalformedStreamError(Exception):
+    """The stream does not follow the protocol."""
 
-class Bad(Exception):
-    """The stream is not what the page allows."""
 
+class IncompleteStreamError(Exception):
+    """The stream ends within a value."""
 
-class More(Exception):
-    """The stream ends too early."""
 
+class ReferenceReader:
+    """Reads all values of a RESP stream at once.
 
-class SlowReader:
-    """All values of a stream; then `bad` if it cannot go on; what of large strings was passed on, and how
-    many of them were whole."""
+    Attributes:
+        values: The complete values.
+        large_data: The bytes of large strings, which are passed on and replaced by empty strings.
+        complete_count: Number of complete large strings.
+        is_malformed: Whether the stream does not follow the protocol after these values.
+    """
 
     def __init__(self, stream, large):
-        self.stream, self.at, self.large, self.nested = stream, 0, large, False
-        self.values, self.passed, self.whole, self.bad = [], b"", 0, False
+        self.stream, self.offset, self.large, self.is_nested = stream, 0, large, False
+        self.values, self.large_data, self.complete_count, self.is_malformed = [], b"", 0, False
         try:
             while True:
                 self.values.append(self.value(None))
-        except Bad:
-            self.bad = True
-        except More:
+        except MalformedStreamError:
+            self.is_malformed = True
+        except IncompleteStreamError:
             pass
 
-    def value(self, place):
-        end = self.stream.find(b"\r\n", self.at)
-        line = self.stream[self.at : end if end >= 0 else None]
+    def value(self, position):
+        end = self.stream.find(b"\r\n", self.offset)
+        line = self.stream[self.offset : end if end >= 0 else None]
         if len(line) > resp.MAX_LINE_BYTES + (end < 0):
-            raise Bad
+            raise MalformedStreamError
         if end < 0:
-            raise More
-        self.at = end + 2
+            raise IncompleteStreamError
+        self.offset = end + 2
         kind, text = line[:1], line[1:]
         if kind in (b"+", b"-"):
             if b"\r" in text or b"\n" in text:
-                raise Bad
+                raise MalformedStreamError
             return ("error", text.decode("utf-8", "replace")) if kind == b"-" else text
         if kind == b":":
             return self.number(text, -(2**63), 2**63 - 1)
         if kind == b"$":
-            large = place == self.large and not self.nested
-            return self.string(self.number(text, -1, LARGE if large else MOST), large)
+            may_be_large = position == self.large and not self.is_nested
+            return self.string(
+                self.number(text, -1, MAX_LARGE_STRING_BYTES if may_be_large else MAX_STRING_BYTES),
+                may_be_large,
+            )
         if kind == b"*":
             count = self.number(text, -1, resp.MAX_ARRAY_PARTS)
-            self.nested = place is not None  # nothing behind an inner one is large, even if that is empty
-            inner = [(count, n) if place is None else (-1, -1) for n in range(count)]
-            return None if count < 0 else [self.value(one) for one in inner]
-        raise Bad
+            # No string after a nested array can be large, even if that array is empty.
+            self.is_nested = position is not None
+            positions = [(count, n) if position is None else (-1, -1) for n in range(count)]
+            return None if count < 0 else [self.value(part_position) for part_position in positions]
+        raise MalformedStreamError
 
-    def number(self, text, least, most):
+    def number(self, text, minimum, maximum):
         digits = text.removeprefix(b"-")
-        plain = digits and set(digits) <= DIGITS and (digits[:1] != b"0" or text == b"0")
-        if not plain or not least <= int(text) <= most:
-            raise Bad
+        is_plain = digits and set(digits) <= DIGITS and (digits[:1] != b"0" or text == b"0")
+        if not is_plain or not minimum <= int(text) <= maximum:
+            raise MalformedStreamError
         return int(text)
 
-    def string(self, length, large):
+    def string(self, length, may_be_large):
         if length < 0:
             return None
         text, end = (
-            self.stream[self.at : self.at + length],
-            self.stream[self.at + length : self.at + length + 2],
+            self.stream[self.offset : self.offset + length],
+            self.stream[self.offset + length : self.offset + length + 2],
         )
-        passed = large and length > SMALL
-        self.passed += text if passed else b""
+        is_large = may_be_large and length > THRESHOLD_BYTES
+        self.large_data += text if is_large else b""
         if not b"\r\n".startswith(end):
-            raise Bad
+            raise MalformedStreamError
         if len(end) < 2:
-            raise More
-        self.passed, self.whole = self.passed + (end if passed else b""), self.whole + passed
-        self.at += length + 2
-        return b"" if passed else text
+            raise IncompleteStreamError
+        self.large_data, self.complete_count = (
+            self.large_data + (end if is_large else b""),
+            self.complete_count + is_large,
+        )
+        self.offset += length + 2
+        return b"" if is_large else text
 
 
 def read_pieces(pieces, large):
-    """The same of the program's reader, and the pieces of large strings."""
-    reader, values, passed = RespReader(MOST, large), [], []
+    """Read the pieces with `RespReader`; return the values, the large string data and `is_malformed`."""
+    reader, values, large_data = RespReader(MAX_STRING_BYTES, large), [], []
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(resp, "STREAMING_THRESHOLD_BYTES", SMALL)
-        patch.setattr(resp, "MAX_VALUE_BYTES", LARGE)
-        return values, passed, feed(reader, pieces, values, passed)
+        patch.setattr(resp, "STREAMING_THRESHOLD_BYTES", THRESHOLD_BYTES)
+        patch.setattr(resp, "MAX_VALUE_BYTES", MAX_LARGE_STRING_BYTES)
+        return values, large_data, feed(reader, pieces, values, large_data)
 
 
-def feed(reader, pieces, values, passed):
-    """Whether the stream cannot go on."""
+def feed(reader, pieces, values, large_data):
+    """Feed the pieces to the reader and return whether the stream is malformed."""
     try:
         for piece in pieces:
             reader.feed(piece)
@@ -206,15 +220,15 @@
                     values.append(value)
                 if not reader.large_string_bytes:
                     break
-                reader.pass_on(passed.append)
+                reader.pass_on(large_data.append)
     except hiredis.ProtocolError:
         return True
     return False
 
 
-def plain(value):
+def normalize(value):
     if isinstance(value, list):
-        return [plain(part) for part in value]
+        return [normalize(part) for part in value]
     return ("error", str(value)) if isinstance(value, hiredis.ReplyError) else value
 
 
@@ -239,7 +253,7 @@
 ANSWERS = st.tuples(STRINGS.map(bulk), PARTS, PARTS).map(array)
 ODDITIES = st.sampled_from(
     [
-        ENDS,
+        REPLY_WITHOUT_TERMINATOR,
         b"PING\r\n",
         b"$04\r\nabcd\r\n",
         b"$-2\r\n",
@@ -256,46 +270,51 @@
 
 @given(STREAMS, CHANGES, CUTS, st.sampled_from([(3, 0), (3, 2), (0, -1)]))
 @seeded
-def test_resp_is_read_as_a_slow_reader_does_wherever_it_is_cut(stream, change, cuts, large):
-    stream = altered(stream, change)
-    slow = SlowReader(stream, large)
-    for pieces in ([stream], pieces_of(stream, cuts), bytewise(stream)):
-        values, passed, bad = read_pieces(pieces, large)
-        assert (plain(values), b"".join(passed), bad) == (slow.values, slow.passed, slow.bad)
-        assert passed.count(b"\r\n") == slow.whole  # by that the end of a large string is known
+def test_resp_streams_are_parsed_like_the_reference_for_any_split(stream, change, cuts, large):
+    stream = mutate(stream, change)
+    reference = ReferenceReader(stream, large)
+    for pieces in ([stream], split_stream(stream, cuts), split_into_bytes(stream)):
+        values, large_data, is_malformed = read_pieces(pieces, large)
+        assert (normalize(values), b"".join(large_data), is_malformed) == (
+            reference.values,
+            reference.large_data,
+            reference.is_malformed,
+        )
+        # The CRLF at the end of a large string is passed on as a piece, by which its end is recognized.
+        assert large_data.count(b"\r\n") == reference.complete_count
 
 
 @given(ANSWERS | ARRAYS, CHANGES)
 @seeded
-def test_only_an_array_of_value_figures_and_report_is_an_answer(stream, change):
-    values, _, _ = read_pieces([altered(stream, change)], (0, -1))
+def test_only_an_array_of_value_usage_and_load_report_is_a_reply(stream, change):
+    values, _, _ = read_pieces([mutate(stream, change)], (0, -1))
     for value in values:
         attempt = Attempt("h", b"", lambda _: None)
-        sound = (
+        is_valid = (
             isinstance(value, list)
             and len(value) == 3
             and isinstance(value[0], bytes)
             and not isinstance(value[1], hiredis.ReplyError)
             and not isinstance(value[2], hiredis.ReplyError | list)
         )
-        assert (read_reply(attempt, value) == "ok") == sound
-        assert attempt.value == (value[0] if sound else b"")
+        assert (read_reply(attempt, value) == "ok") == is_valid
+        assert attempt.value == (value[0] if is_valid else b"")
 
 
-# What stands in commands and answers
+# Fields of commands and replies
 
 
-def slow_number(text):
-    """A number without sign; None where it is none."""
-    return None if text[:1] in ("+", "-") or not text.isascii() else slow_total(text.encode())
+def reference_number(text):
+    """Return a number without sign, or None if the text is not one."""
+    return None if text[:1] in ("+", "-") or not text.isascii() else reference_total(text.encode())
 
 
-def slow_count(text):
+def reference_count(text):
     return int(text) if text and set(text.encode()) <= DIGITS else None
 
 
-def slow_request(customer, id, verb, text):
-    """What a command asks for; None where it is none that a client may send."""
+def reference_request(customer, id, verb, text):
+    """Return the values of a command, or None if a client may not send it."""
     fields = {}
     for pair in text.split(","):
         name, equals, value = pair.partition("=")
@@ -304,24 +323,24 @@
         fields[name] = value
     if len(customer) != 16 or set(customer) - set("0123456789abcdefABCDEF") or not id:
         return None
-    left, units = slow_count(fields.get("d", "")), slow_number(fields.get("units", ""))
-    first, spread = slow_count(fields.get("first", "")), slow_count(fields.get("spread", ""))
-    if None in (left, units, first, spread) or int(customer, 16) >= 2**33 or left > 3_600_000:
+    deadline_ms, units = reference_count(fields.get("d", "")), reference_number(fields.get("units", ""))
+    first, spread = reference_count(fields.get("first", "")), reference_count(fields.get("spread", ""))
+    if None in (deadline_ms, units, first, spread) or int(customer, 16) >= 2**33 or deadline_ms > 3_600_000:
         return None
     if fields.get("c") not in ("read", "write", "note") or fields.get("t") not in ("p", "small"):
         return None
     if (verb == "API.WRITE") != (fields["c"] != "read") or fields["c"] == "write" and not fields.get("k"):
         return None
     if (
-        not 0 < units <= SET.max_request_units
-        or not 1 <= spread <= SET.gateway_count
-        or not 0 <= first < SET.gateway_count
+        not 0 < units <= PARSED_SETTINGS.max_request_units
+        or not 1 <= spread <= PARSED_SETTINGS.gateway_count
+        or not 0 <= first < PARSED_SETTINGS.gateway_count
     ):
         return None
-    return fields["c"], fields["t"], left, units, first, spread, fields.get("r") == "1"
+    return fields["c"], fields["t"], deadline_ms, units, first, spread, fields.get("r") == "1"
 
 
-SET = read_settings(SETTINGS)
+PARSED_SETTINGS = read_settings(SETTINGS)
 NUMBERS = st.sampled_from(
     [
         "0",
@@ -350,7 +369,7 @@
         "3600001",
     ]
 )
-PAIRS = st.one_of(
+FIELD_PAIRS = st.one_of(
     st.tuples(st.sampled_from(["d", "units", "spread", "first"]), NUMBERS),
     st.tuples(st.just("c"), st.sampled_from(["read", "write", "note", "odd", ""])),
     st.tuples(st.just("t"), st.sampled_from(["p", "small", "odd"])),
@@ -370,77 +389,81 @@
         "00000000b4d6552g",
     ]
 )
-START = [("c", "read"), ("t", "p"), ("d", "480"), ("units", "1"), ("spread", "1"), ("first", "0")]
+DEFAULT_FIELDS = [("c", "read"), ("t", "p"), ("d", "480"), ("units", "1"), ("spread", "1"), ("first", "0")]
 
 
 @given(
-    CUSTOMERS, st.sampled_from(["API.READ", "API.WRITE"]), st.lists(PAIRS, max_size=3), st.booleans(), CHANGES
+    CUSTOMERS,
+    st.sampled_from(["API.READ", "API.WRITE"]),
+    st.lists(FIELD_PAIRS, max_size=3),
+    st.booleans(),
+    CHANGES,
 )
 @seeded
-def test_a_command_is_read_as_a_slow_reader_does(customer, verb, pairs, added, change):
-    """Nothing stands twice, and a number is what a client may write for one: hosts get it as it came."""
-    named = dict(pairs)
-    listed = (
-        [*START, *pairs]
-        if added
-        else [*((name, named.pop(name, value)) for name, value in START), *named.items()]
+def test_commands_are_parsed_like_the_reference(customer, verb, pairs, are_appended, change):
+    """Duplicate fields and unusual numbers must be rejected, because hosts receive the fields unchanged."""
+    overrides = dict(pairs)
+    fields = (
+        [*DEFAULT_FIELDS, *pairs]
+        if are_appended
+        else [*((name, overrides.pop(name, value)) for name, value in DEFAULT_FIELDS), *overrides.items()]
     )
-    text = altered(",".join(f"{name}={value}" for name, value in listed).encode(), change)
+    text = mutate(",".join(f"{name}={value}" for name, value in fields).encode(), change)
     try:
-        slow = slow_request(customer, "r1", verb, text.decode())
+        expected = reference_request(customer, "r1", verb, text.decode())
     except UnicodeDecodeError:
         return
-    command = [verb.encode(), customer.encode(), b"r1", text, *([b"BODY"] if verb == "API.WRITE" else [])]
+    arguments = [verb.encode(), customer.encode(), b"r1", text, *([b"BODY"] if verb == "API.WRITE" else [])]
     try:
-        read = parse_request(command, SET, 0.0)
+        request = parse_request(arguments, PARSED_SETTINGS, 0.0)
     except BadRequestError:
-        assert slow is None
+        assert expected is None
         return
-    assert slow == (
-        read.service_class,
-        read.plan,
-        round(1000 * (read.time_left + ANSWER_RESERVE_S)),
-        read.units,
-        read.first_gateway,
-        read.gateway_spread,
-        read.is_retry,
+    assert expected == (
+        request.service_class,
+        request.plan,
+        round(1000 * (request.time_left + ANSWER_RESERVE_S)),
+        request.units,
+        request.first_gateway,
+        request.gateway_spread,
+        request.is_retry,
     )
 
 
 NAMES = {"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency"}
 
 
-def slow_report(text):
-    """The fields that are known and have a value; none where it is no report."""
-    found, names = {}, []
+def reference_load_report(text):
+    """Return the known fields that have a value, or no field if the report is invalid."""
+    report, names = {}, []
     for pair in text.split(","):
         name, equals, value = pair.partition("=")
         if not equals or name in names:
             return {}
-        number = slow_number(value) if value else 0.0
+        number = reference_number(value) if value else 0.0
         if name in NAMES and number is None:
             return {}
         names.append(name)
         if name in NAMES and value:
-            found[NAMES[name]] = number / 1000 if name == "avg_ms" else number
-    return found
+            report[NAMES[name]] = number / 1000 if name == "avg_ms" else number
+    return report
 
 
 @given(st.lists(st.tuples(st.sampled_from([*NAMES, "odd"]), NUMBERS), max_size=4), CHANGES)
 @seeded
-def test_a_load_report_is_read_as_a_slow_reader_does(pairs, change):
-    text = altered(",".join(f"{name}={value}" for name, value in pairs).encode(), change)
-    assert parse_load_report(text) == slow_report(text.decode("utf-8", "replace"))
+def test_load_reports_are_parsed_like_the_reference(pairs, change):
+    text = mutate(",".join(f"{name}={value}" for name, value in pairs).encode(), change)
+    assert parse_load_report(text) == reference_load_report(text.decode("utf-8", "replace"))
 
 
 # The counter
 
 
-def slow_total(text):
-    """The number of a total, as a person would read it; None where it is none."""
+def reference_total(text):
+    """Return a number in plain decimal or exponent notation, or None if the text is not one."""
     mantissa, *exponent = text.replace(b"E", b"e").split(b"e")
-    whole, *fraction = mantissa[mantissa[:1] in (b"+", b"-") :].split(b".")
-    digits = whole + b"".join(fraction)
+    integer, *fraction = mantissa[mantissa[:1] in (b"+", b"-") :].split(b".")
+    digits = integer + b"".join(fraction)
     power = exponent[0][exponent[0][:1] in (b"+", b"-") :] if exponent else b"0"
     if len(exponent) > 1 or len(fraction) > 1 or not digits or not power:
         return None
@@ -448,45 +471,45 @@
     return total if math.isfinite(total) else None
 
 
-def slow_answers(stream, calls):
-    """What the calls are told by a stream, and whether it is spoilt."""
-    told = []
+def reference_counter_results(stream, calls):
+    """Return the results of the calls, and whether the stream is malformed."""
+    results = []
     while (end := stream.find(b"\n")) >= 0:
         line, stream = stream[:end], stream[end + 1 :]
         text = line.removesuffix(b"\r")
         if len(line) > MAX_ANSWER_BYTES or text == line or not calls:
-            return told, True
+            return results, True
         name, *calls = calls
         if text == b"pong" and name < 0:
-            told.append((name, "ok", 0.0))
-        elif name >= 0 and text.startswith(b"ok ") and (total := slow_total(text[3:])) is not None:
-            told.append((name, "ok", total))
+            results.append((name, "ok", 0.0))
+        elif name >= 0 and text.startswith(b"ok ") and (total := reference_total(text[3:])) is not None:
+            results.append((name, "ok", total))
         elif name >= 0 and (text == b"busy" or text == b"error" or text.startswith(b"error ")):
-            told.append((name, "full", 0.0))
+            results.append((name, "full", 0.0))
         else:
-            return told, True
-    return told, len(stream) > MAX_ANSWER_BYTES
+            return results, True
+    return results, len(stream) > MAX_ANSWER_BYTES
 
 
-class Spoilt(Exception):
+class MalformedAnswerError(Exception):
     pass
 
 
-class Heard(CounterLine):
+class RaisingCounterConnection(CounterConnection):
     def abort_after_malformed_answer(self):
-        raise Spoilt
+        raise MalformedAnswerError
 
 
-def hear(pieces, calls):
-    line, told = Heard(("127.0.0.1", 1)), []
+def read_counter_answers(pieces, calls):
+    connection, results = RaisingCounterConnection(("127.0.0.1", 1)), []
     for name in calls:
-        line.unanswered_calls.append(Call(name, b"", lambda *said: told.append(said[:3])))
+        connection.unanswered_calls.append(Call(name, b"", lambda *result: results.append(result[:3])))
     try:
         for piece in pieces:
-            line.data_received(piece)
-    except Spoilt:
-        return told, True
-    return told, False
+            connection.data_received(piece)
+    except MalformedAnswerError:
+        return results, True
+    return results, False
 
 
 TOTALS = st.one_of(
@@ -520,7 +543,7 @@
         ]
     ),
 )
-SAID = st.one_of(
+ANSWER_LINES = st.one_of(
     TOTALS.map(lambda total: b"ok " + total),
     st.sampled_from(
         [
@@ -539,42 +562,42 @@
         ]
     ),
 )
-TALK = st.lists(st.tuples(SAID, st.sampled_from([b"\r\n"] * 9 + [b"\n"])).map(b"".join), max_size=4).map(
-    b"".join
-)
+COUNTER_STREAMS = st.lists(
+    st.tuples(ANSWER_LINES, st.sampled_from([b"\r\n"] * 9 + [b"\n"])).map(b"".join), max_size=4
+).map(b"".join)
 
 
-@given(TALK, CHANGES, CUTS, st.lists(st.sampled_from([-1, 1, 2, 3, 4, 5]), max_size=5))
+@given(COUNTER_STREAMS, CHANGES, CUTS, st.lists(st.sampled_from([-1, 1, 2, 3, 4, 5]), max_size=5))
 @seeded
-def test_the_counter_is_read_as_a_slow_reader_does_wherever_it_is_cut(stream, change, cuts, calls):
-    stream = altered(stream, change)
-    for pieces in ([stream], pieces_of(stream, cuts), bytewise(stream)):
-        assert hear(pieces, calls) == slow_answers(stream, calls)
+def test_counter_answers_are_parsed_like_the_reference_for_any_split(stream, change, cuts, calls):
+    stream = mutate(stream, change)
+    for pieces in ([stream], split_stream(stream, cuts), split_into_bytes(stream)):
+        assert read_counter_answers(pieces, calls) == reference_counter_results(stream, calls)
 
 
 # Discovery
 
 
-def slow_chunks(body):
-    """A chunked body that is whole; None where it is not."""
-    found = b""
+def reference_chunked_body(body):
+    """Return the content of a complete chunked body, or None if it is incomplete or malformed."""
+    content = b""
     while True:
-        head, end, rest = body.partition(b"\r\n")
-        if b"\n" in head:  # h11 ends a line of a head there, and refuses it
+        header, end, rest = body.partition(b"\r\n")
+        if b"\n" in header:  # h11 ends a header line at LF and then rejects it
             return None
-        size = head.split(b";")[0].rstrip(b" \t") if b";" not in head else head.split(b";")[0]
+        size = header.split(b";")[0].rstrip(b" \t") if b";" not in header else header.split(b";")[0]
         if not end or not 0 < len(size) <= 20 or not set(size) <= set(b"0123456789abcdefABCDEF"):
             return None
         length = int(size, 16)
         if not length:
-            return found if rest.startswith((b"\r\n", b"\n")) else None  # as HTTP lets a reader take that
+            return content if rest.startswith((b"\r\n", b"\n")) else None  # HTTP permits accepting a bare LF
         if rest[length : length + 2] != b"\r\n":
             return None
-        found, body = found + rest[:length], rest[length + 2 :]
+        content, body = content + rest[:length], rest[length + 2 :]
 
 
-class Said:
-    """A stream reader that is told what comes, and a writer that is told nothing."""
+class StubStream:
+    """A stream reader that returns the given pieces, and a writer that discards everything."""
 
     def __init__(self, pieces):
         self.pieces = [piece for piece in pieces if piece]
@@ -590,10 +613,10 @@
 
 
 def fetch(pieces):
-    said = Said(pieces)
-    line = FetchConnection(("127.0.0.1", 1), said, said)
+    stream = StubStream(pieces)
+    connection = FetchConnection(("127.0.0.1", 1), stream, stream)
     try:
-        return asyncio.run(line.get("/"))
+        return asyncio.run(connection.get("/"))
     except BrokenConnectionError:
         return None
 
@@ -605,31 +628,31 @@
 
 @given(BODIES, CHANGES, CUTS, st.booleans(), st.integers(0, 40))
 @settings(seeded, max_examples=150)
-def test_no_body_is_taken_that_is_not_whole_wherever_it_is_cut(parts, change, cuts, chunked, short):
-    if chunked:
-        whole = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
-        head, body = b"Transfer-Encoding: chunked", altered(whole, change)
-        body = body[: len(body) - short] if short < 10 else body
-        expected = slow_chunks(body)
+def test_an_incomplete_body_is_rejected_for_any_split(parts, change, cuts, is_chunked, missing_count):
+    if is_chunked:
+        original = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
+        header, body = b"Transfer-Encoding: chunked", mutate(original, change)
+        body = body[: len(body) - missing_count] if missing_count < 10 else body
+        expected = reference_chunked_body(body)
     else:
-        whole = b"".join(parts)
-        head, body = b"Content-Length: %d" % len(whole), altered(whole, change)
-        body = body[: max(0, len(body) - short)] if short < 10 else body
-        expected = body[: len(whole)] if len(body) >= len(whole) else None
-    stream = b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n" + body
-    for pieces in ([stream], pieces_of(stream, cuts), bytewise(stream)):
-        got = fetch(pieces)
-        assert got == expected or got is None and b"\n" in body.replace(b"\r\n", b"")
+        original = b"".join(parts)
+        header, body = b"Content-Length: %d" % len(original), mutate(original, change)
+        body = body[: max(0, len(body) - missing_count)] if missing_count < 10 else body
+        expected = body[: len(original)] if len(body) >= len(original) else None
+    stream = b"HTTP/1.1 200 OK\r\n" + header + b"\r\n\r\n" + body
+    for pieces in ([stream], split_stream(stream, cuts), split_into_bytes(stream)):
+        fetched = fetch(pieces)
+        assert fetched == expected or fetched is None and b"\n" in body.replace(b"\r\n", b"")
 
 
-async def serve(told, calls):
-    """A server that answers the first call with one text and later ones with another."""
+async def start_server(responses, calls):
+    """Start a server that answers the first call with one response and later calls with another."""
 
     async def answer(reader, writer):
         calls.append(writer)
-        first = told[0] if len(calls) == 1 else told[1]
+        response = responses[0] if len(calls) == 1 else responses[1]
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(first)
+        writer.write(response)
         await reader.read()
         writer.close()
 
@@ -637,18 +660,18 @@
     return server, server.sockets[0].getsockname()
 
 
-def told_json(text):
+def json_response(text):
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
 
 
-@pytest.mark.parametrize("at_once", [True, False])
+@pytest.mark.parametrize("is_immediate", [True, False])
 @on_loop
-async def test_a_second_answer_is_not_taken_for_that_of_the_next_call(at_once):
-    one, stale, two = told_json(b"1"), told_json(b"0"), told_json(b"2")
+async def test_a_surplus_response_is_not_used_for_the_next_call(is_immediate):
+    one, stale, two = json_response(b"1"), json_response(b"0"), json_response(b"2")
     calls, fetcher = [], Fetcher()
-    server, address = await serve((one + stale if at_once else one, two), calls)
+    server, address = await start_server((one + stale if is_immediate else one, two), calls)
     assert await fetcher.get(address, "/", 2.0) == 1
-    if not at_once:
+    if not is_immediate:
         calls[0].write(stale)
         await asyncio.sleep(0.05)
     assert await fetcher.get(address, "/", 2.0) == 2
@@ -657,14 +680,14 @@
 
 
 @on_loop
-async def test_json_that_nests_too_deeply_is_none():
-    server, address = await serve([told_json(b"[" * 100_000)], [])
+async def test_json_that_is_nested_too_deeply_is_rejected():
+    server, address = await start_server([json_response(b"[" * 100_000)], [])
     with pytest.raises(ValueError, match="deep"):
         await Fetcher().get(address, "/", 2.0)
     server.close()
 
 
-ODD = st.sampled_from(
+ODD_VALUES = st.sampled_from(
     [
         None,
         True,
@@ -711,36 +734,36 @@
     ),
     st.sampled_from(["a", "b", "c"]),
     st.sampled_from(["up", "draining", "removed"]),
-    st.one_of(st.just({}), st.just({}), st.dictionaries(st.sampled_from(FIELDS), ODD, max_size=2)),
+    st.one_of(st.just({}), st.just({}), st.dictionaries(st.sampled_from(FIELDS), ODD_VALUES, max_size=2)),
 )
 LISTS = st.builds(
     lambda version, full, servers, odd: {"version": version, "full": full, "servers": servers} | odd,
     st.integers(0, 99),
     st.booleans(),
-    st.lists(st.one_of(ENTRIES, ENTRIES, ENTRIES, ODD), max_size=4),
+    st.lists(st.one_of(ENTRIES, ENTRIES, ENTRIES, ODD_VALUES), max_size=4),
     st.one_of(
         st.just({}),
         st.just({}),
         st.just({}),
-        st.dictionaries(st.sampled_from(["version", "full", "servers", "epoch"]), ODD, max_size=1),
+        st.dictionaries(st.sampled_from(["version", "full", "servers", "epoch"]), ODD_VALUES, max_size=1),
     ),
 )
 
 
-def number(value):
+def is_valid_number(value):
     return type(value) in (int, float) and 0 <= value <= sys.float_info.max
 
 
-def whole(value):
-    return number(value) and value == int(value)
+def is_whole_number(value):
+    return is_valid_number(value) and value == int(value)
 
 
-def sound_place(place):
-    host, colon, port = place.rpartition(":") if isinstance(place, str) else ("", "", "")
-    return place in (None, "") or bool(host and port and set(port.encode()) <= DIGITS and int(port) < 65536)
+def is_valid_address(address):
+    host, colon, port = address.rpartition(":") if isinstance(address, str) else ("", "", "")
+    return address in (None, "") or bool(host and port and set(port.encode()) <= DIGITS and int(port) < 65536)
 
 
-def sound_entry(entry):
+def is_valid_entry(entry):
     return (
         isinstance(entry, dict)
         and isinstance(entry.get("id"), str)
@@ -748,61 +771,63 @@
         and isinstance(entry.get("zone", ""), str)
         and isinstance(entry.get("kind", ""), str)
         and entry.get("state") in ("up", "draining", "removed")
-        and whole(entry.get("cell", 0))
-        and number(entry.get("weight", 1.0))
-        and sound_place(entry.get("addr"))
-        and (entry.get("started_ms") is None or number(entry["started_ms"]))
+        and is_whole_number(entry.get("cell", 0))
+        and is_valid_number(entry.get("weight", 1.0))
+        and is_valid_address(entry.get("addr"))
+        and (entry.get("started_ms") is None or is_valid_number(entry["started_ms"]))
     )
 
 
-def slow_list(told):
-    """Hosts and their places; None where the list cannot be used."""
-    if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
+def reference_endpoint_list(document):
+    """Return the version, and the state and address of each host, or None if the list is invalid."""
+    if not isinstance(document, dict) or not isinstance(document.get("servers"), list):
         return None
-    if not whole(told.get("version")):
+    if not is_whole_number(document.get("version")):
         return None
-    if not isinstance(told.get("full"), bool) or not isinstance(told.get("epoch", ""), str):
+    if not isinstance(document.get("full"), bool) or not isinstance(document.get("epoch", ""), str):
         return None
-    sound = [entry for entry in told["servers"] if sound_entry(entry)]
-    if len(sound) < len(told["servers"]) and not (sound and told["full"]):
+    valid = [entry for entry in document["servers"] if is_valid_entry(entry)]
+    if len(valid) < len(document["servers"]) and not (valid and document["full"]):
         return None
-    return told["version"], {entry["id"]: (entry["state"], entry.get("addr") or None) for entry in sound}
+    return document["version"], {entry["id"]: (entry["state"], entry.get("addr") or None) for entry in valid}
 
 
-def listed(told):
+def read_endpoint_list(document):
     try:
-        read = read_list(told)
+        listing = read_list(document)
     except ValueError:
         return None
-    words = {"up": "up", "leaving": "draining", "down": "removed"}
-    places = {
+    wire_states = {"up": "up", "leaving": "draining", "down": "removed"}
+    addresses = {
         id: f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
-        for id, (host, port) in read.addresses.items()
+        for id, (host, port) in listing.addresses.items()
     }
-    hosts = read.endpoint_list.endpoints
+    hosts = listing.endpoint_list.endpoints
     assert len({host.id for host in hosts}) == len(hosts)
     assert all(math.isfinite(host.weight) and math.isfinite(host.started_at) for host in hosts)
-    return read.endpoint_list.version, {host.id: (words[host.state], places.get(host.id)) for host in hosts}
+    return listing.endpoint_list.version, {
+        host.id: (wire_states[host.state], addresses.get(host.id)) for host in hosts
+    }
 
 
-@given(LISTS | ODD)
+@given(LISTS | ODD_VALUES)
 @seeded
-def test_lists_are_read_as_a_slow_reader_does(told):
-    assert listed(json.loads(json.dumps(told))) == slow_list(told)
+def test_endpoint_lists_are_parsed_like_the_reference(document):
+    assert read_endpoint_list(json.loads(json.dumps(document))) == reference_endpoint_list(document)
 
 
-# Files that the processes of a gateway share, candidates, and datagrams
+# Shared files, candidate configurations and datagrams
 
 
-def taken(read, *args):
-    """What a reader makes of it; None where it says that it is none."""
+def parse_or_none(parse, *args):
+    """Return the parsed value, or None if the parser raises ValueError."""
     try:
-        return read(*args)
+        return parse(*args)
     except ValueError:
         return None
 
 
-def slow_ban(entry):
+def is_valid_override(entry):
     return (
         isinstance(entry, dict)
         and type(entry.get("out")) is bool
@@ -814,42 +839,48 @@
     st.dictionaries(
         st.sampled_from(["h1", "h2", ""]),
         st.one_of(
-            ODD,
+            ODD_VALUES,
             st.builds(
                 lambda out, at, odd: {"out": out, "at": at} | odd,
                 st.booleans(),
                 st.floats(0, 2e9),
-                st.one_of(st.just({}), st.dictionaries(st.sampled_from(["out", "at", "x"]), ODD, max_size=1)),
+                st.one_of(
+                    st.just({}), st.dictionaries(st.sampled_from(["out", "at", "x"]), ODD_VALUES, max_size=1)
+                ),
             ),
         ),
         max_size=2,
     )
-    | ODD
+    | ODD_VALUES
 )
 @example({"h1": {"out": True, "at": 10**400}})
 @seeded
-def test_bans_are_read_as_a_slow_reader_does(told):
-    sound = isinstance(told, dict) and all(map(slow_ban, told.values()))
-    bans = sound and {
-        host: api.EndpointOverride(host, entry["out"], float(entry["at"])) for host, entry in told.items()
+def test_overrides_are_parsed_like_the_reference(document):
+    is_valid = isinstance(document, dict) and all(map(is_valid_override, document.values()))
+    overrides = is_valid and {
+        host: api.EndpointOverride(host, entry["out"], float(entry["at"])) for host, entry in document.items()
     }
-    assert taken(decode_overrides, json.dumps(told)) == (bans if sound else None)
+    assert parse_or_none(decode_overrides, json.dumps(document)) == (overrides if is_valid else None)
 
 
-def slow_history(told):
-    """The numbers of its versions and the one that waits; None where it is no history."""
-    if not isinstance(told, list) or len(told) != 3:
+def reference_history(document):
+    """Return the version numbers and the deadline of the pending confirmation, or None if it is invalid."""
+    if not isinstance(document, list) or len(document) != 3:
         return None
-    if not isinstance(told[0], str) or not isinstance(told[2], list):
+    if not isinstance(document[0], str) or not isinstance(document[2], list):
         return None
     numbers = []
-    for entry in told[2]:
+    for entry in document[2]:
         if not isinstance(entry, list) or len(entry) != 6:
             return None
-        number, digest, since, by, of, content = entry
-        if type(number) is not int or type(since) not in (int, float) or abs(since) > sys.float_info.max:
+        number, digest, created_at, origin, restored, content = entry
+        if (
+            type(number) is not int
+            or type(created_at) not in (int, float)
+            or abs(created_at) > sys.float_info.max
+        ):
             return None
-        if by not in ("start", "signal", "call", "rollback", "expiry") or not isinstance(content, dict):
+        if origin not in ("start", "signal", "call", "rollback", "expiry") or not isinstance(content, dict):
             return None
         if (
             digest != config_history.content_digest(json.dumps(content, sort_keys=True))
@@ -857,85 +888,96 @@
             and number <= numbers[-1]
         ):
             return None
-        if of is not None and type(of) is not int:
+        if restored is not None and type(restored) is not int:
             return None
         numbers.append(number)
     if not numbers:
         return None
-    if told[1]:
-        waits = told[1]
-        if not isinstance(waits, dict) or set(waits) != {"number", "back", "until"}:
+    if document[1]:
+        pending = document[1]
+        if not isinstance(pending, dict) or set(pending) != {"number", "back", "until"}:
             return None
-        if {type(waits[name]) for name in ("number", "back")} != {int} or waits["number"] != numbers[-1]:
+        if {type(pending[name]) for name in ("number", "back")} != {int} or pending["number"] != numbers[-1]:
             return None
         if (
-            waits["back"] not in numbers
-            or type(waits["until"]) not in (int, float)
-            or (abs(waits["until"]) > sys.float_info.max)
+            pending["back"] not in numbers
+            or type(pending["until"]) not in (int, float)
+            or (abs(pending["until"]) > sys.float_info.max)
         ):
             return None
-    return numbers, told[1] and told[1]["until"]
+    return numbers, document[1] and document[1]["until"]
 
 
 @given(
     st.integers(1, 3),
     st.booleans(),
-    st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5), ODD), max_size=1),
-    st.lists(st.tuples(st.sampled_from(["number", "back", "until", "x"]), ODD), max_size=1),
+    st.lists(st.tuples(st.integers(0, 2), st.integers(0, 5), ODD_VALUES), max_size=1),
+    st.lists(st.tuples(st.sampled_from(["number", "back", "until", "x"]), ODD_VALUES), max_size=1),
     CHANGES,
     st.booleans(),
 )
 @seeded
-def test_a_history_is_read_as_a_slow_reader_does(count, waits, odd, odd_waits, change, written):
+def test_histories_are_parsed_like_the_reference(
+    count, has_pending, odd_values, odd_pending_values, change, is_text_mutated
+):
     history = config_history.ConfigHistory("f", (config_history.make_version(1, 5.0, "start", {"a": 1}),))
     for number in range(1, count):
         history = history.add({"a": number}, 5.0 + number, "call", None if number % 2 else 1)
-    if waits:
+    if has_pending:
         history = replace(history, pending=config_history.PendingConfirmation(count, 1, 99.0))
     text = history.encode()
-    if written:
-        text = altered(text.encode(), change).decode("latin-1")
+    if is_text_mutated:
+        text = mutate(text.encode(), change).decode("latin-1")
     else:
-        told = json.loads(text)
-        for at, part, value in odd:
-            told[2][at % count][part] = value
-        if waits:
-            told[1].update(odd_waits)
-        text = json.dumps(told)
+        document = json.loads(text)
+        for index, part, value in odd_values:
+            document[2][index % count][part] = value
+        if has_pending:
+            document[1].update(odd_pending_values)
+        text = json.dumps(document)
     try:
-        slow = slow_history(json.loads(text))
+        expected = reference_history(json.loads(text))
     except ValueError:
-        slow = None
-    read = taken(config_history.decode_history, text)
-    assert slow == (read and ([v.number for v in read.versions], read.pending and read.pending.deadline))
+        expected = None
+    decoded = parse_or_none(config_history.decode_history, text)
+    assert expected == (
+        decoded
+        and ([version.number for version in decoded.versions], decoded.pending and decoded.pending.deadline)
+    )
 
 
 @given(
     st.sampled_from(["limits", "settings", "discovery", "counter"]),
-    ODD,
+    ODD_VALUES,
     st.sampled_from(["", "cores", "memory_mb", "sockets"]),
 )
 @example("limits", 10**400, "cores")
 @example("limits", True, "cores")
 @example("discovery", "h:\u0663", "")
 @seeded
-def test_no_odd_value_of_a_candidate_is_taken_or_breaks_the_call(name, odd, inner):
-    base = configured([], 1, 2)
-    tree = json.loads(json.dumps(base))
-    if inner and name == "limits":
-        tree[name][inner] = odd
+def test_invalid_values_of_a_candidate_are_rejected_without_an_exception(name, odd, inner_name):
+    base = gateway_config([], 1, 2)
+    document = json.loads(json.dumps(base))
+    if inner_name and name == "limits":
+        document[name][inner_name] = odd
     else:
-        tree[name] = odd
-    parsed, faults = candidate.parse(json.dumps(tree).encode())
+        document[name] = odd
+    parsed, faults = candidate.parse(json.dumps(document).encode())
     faults = faults or candidate.check(parsed, base)
-    sound = inner and name == "limits" and number(odd) and odd > 0 and (inner != "sockets" or odd == int(odd))
-    assert faults or sound or odd in ("10.0.0.1:6379", "[::1]:6379")
+    is_valid = (
+        inner_name
+        and name == "limits"
+        and is_valid_number(odd)
+        and odd > 0
+        and (inner_name != "sockets" or odd == int(odd))
+    )
+    assert faults or is_valid or odd in ("10.0.0.1:6379", "[::1]:6379")
 
 
-def slow_word(row):
+def is_valid_record(row):
     if not isinstance(row, list) or len(row) < 6 or len(row) > 7:
         return False
-    name, host, port, incarnation, state, meta = row[:6]
+    name, host, port, incarnation, state, metadata = row[:6]
     accusers = row[6] if len(row) > 6 else []
     return (
         isinstance(name, str)
@@ -947,45 +989,47 @@
         and 0 <= incarnation < 2**62
         and type(state) is int
         and 0 <= state <= 3
-        and isinstance(meta, dict)
+        and isinstance(metadata, dict)
         and isinstance(accusers, list)
         and len(accusers) <= 4
-        and all(isinstance(a, str) and len(a) <= 128 for a in accusers)
+        and all(isinstance(accuser, str) and len(accuser) <= 128 for accuser in accusers)
     )
 
 
-def slow_datagram(told):
-    if not isinstance(told, dict) or told.get("c") != "c" or type(told.get("s")) is not int:
+def is_valid_datagram(message):
+    if not isinstance(message, dict) or message.get("c") != "c" or type(message.get("s")) is not int:
         return False
-    place = told.get("a", ["h", 1])
+    address = message.get("a", ["h", 1])
     return (
-        told.get("k") in ("ping", "ack", "ask", "sync", "more")
-        and isinstance(told.get("f"), str)
-        and isinstance(place, list)
-        and len(place) == 2
-        and isinstance(place[0], str)
-        and type(place[1]) is int
-        and 0 < place[1] < 65536
-        and isinstance(told.get("r"), list)
-        and all(map(slow_word, told["r"]))
+        message.get("k") in ("ping", "ack", "ask", "sync", "more")
+        and isinstance(message.get("f"), str)
+        and isinstance(address, list)
+        and len(address) == 2
+        and isinstance(address[0], str)
+        and type(address[1]) is int
+        and 0 < address[1] < 65536
+        and isinstance(message.get("r"), list)
+        and all(map(is_valid_record, message["r"]))
     )
 
 
 ROWS = st.builds(
     lambda odd: [odd.get(n, part) for n, part in enumerate(["m1", "h", 7, 3, 0, {}, ["m2"]])],
-    st.one_of(st.just({}), st.dictionaries(st.integers(0, 6), ODD, max_size=1)),
+    st.one_of(st.just({}), st.dictionaries(st.integers(0, 6), ODD_VALUES, max_size=1)),
 )
 
 
 @given(
     st.builds(
         lambda rows, odd: {"c": "c", "k": "ping", "s": 1, "f": "m1", "r": rows} | odd,
-        st.lists(ROWS | ODD, max_size=2),
-        st.one_of(st.just({}), st.dictionaries(st.sampled_from("cksfra"), ODD, max_size=1)),
+        st.lists(ROWS | ODD_VALUES, max_size=2),
+        st.one_of(st.just({}), st.dictionaries(st.sampled_from("cksfra"), ODD_VALUES, max_size=1)),
     )
-    | ODD
+    | ODD_VALUES
 )
 @seeded
-def test_datagrams_are_read_as_a_slow_reader_does(told):
-    data = json.dumps(told).encode()
-    assert (taken(read_datagram, "c", ("h", 1), data) is not None) == slow_datagram(json.loads(data))
+def test_datagrams_are_validated_like_the_reference(message):
+    data = json.dumps(message).encode()
+    assert (parse_or_none(decode_datagram, "c", ("h", 1), data) is not None) == is_valid_datagram(
+        json.loads(data)
+    )
--- a/tests/gateway/test_wall_clock_steps.py
+++ b/tests/gateway/test_wall_clock_steps.py
@@ -1,4 +1,4 @@
-"""A wall clock that is wrong by an hour, at the start or later, breaks neither slow start nor quotas."""
+"""Tests that slow start and quotas work if the wall clock is wrong by an hour, at the start or later."""
 
 import asyncio
 import contextlib
@@ -23,91 +23,103 @@
 
 from api_gateway.emulators.host import WorkingHost
 
-HOUR = 3600.0
-NEAR = [[0, 0.4]]  # windows of a second, 0.4 s apart: half a burst more passes at their turns
-LINKS = 20  # connections of clients to each gateway
+HOUR_S = 3600.0
+# The windows of one second are 0.4 s apart, so up to half a burst more passes when they change.
+NEAR_CLOCK = [[0, 0.4]]
+CONNECTIONS = 20  # client connections to each gateway
 
 
-async def press(port, until, name, rate, **fields):
-    """Sends `rate` requests a second over kept connections until then; returns how many were served."""
+async def send_requests(port, end, name, rate, **fields):
+    """Send `rate` requests per second over persistent connections until `end`; return the number served."""
     served, loop = 0, asyncio.get_running_loop()
 
-    async def ask(link):
+    async def send(connection):
         nonlocal served
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        due, number = loop.time() + link / rate, 0
-        while due < until:
+        due, number = loop.time() + connection / rate, 0
+        while due < end:
             await asyncio.sleep(max(0.0, due - loop.time()))
-            writer.write(command(b"%s-%d-%d" % (name, link, number), terms(**fields)))
+            writer.write(command(b"%s-%d-%d" % (name, connection, number), terms(**fields)))
             reply = await read_reply(reader)
             served += reply == SERVED
-            number, due = number + 1, due + LINKS / rate
+            number, due = number + 1, due + CONNECTIONS / rate
         writer.close()
 
-    await asyncio.gather(*(ask(link) for link in range(LINKS)))
+    await asyncio.gather(*(send(connection) for connection in range(CONNECTIONS)))
     return served
 
 
-COLD = {"start_capacity": 0.1, "cold": 4_000_000_000, "fall_multiple": 2.0, "tip_after": 1_000_000_000}
-SLOTS, WORK = 4, 0.05  # requests that a warm host works on at once, and for how many seconds
+SLOW_START_RULES = {
+    "start_capacity": 0.1,
+    "cold": 4_000_000_000,
+    "fall_multiple": 2.0,
+    "tip_after": 1_000_000_000,
+}
+SLOTS, WORK_S = 4, 0.05  # requests that a warm host processes at once, and the time of each
 CLOCKS = {
     "right": [],
-    "ahead": [[0, HOUR]],
-    "ahead at first": [[0, HOUR], [3, 0.0]],
-    "behind": [[0, -HOUR]],
-    "behind at first": [[0, -HOUR], [3, 0.0]],
-    "stepped ahead": [[0, 0.0], [1, HOUR]],
-    "stepped behind": [[0, 0.0], [1, -HOUR]],
+    "ahead": [[0, HOUR_S]],
+    "ahead at first": [[0, HOUR_S], [3, 0.0]],
+    "behind": [[0, -HOUR_S]],
+    "behind at first": [[0, -HOUR_S], [3, 0.0]],
+    "stepped ahead": [[0, 0.0], [1, HOUR_S]],
+    "stepped behind": [[0, 0.0], [1, -HOUR_S]],
 }
 
 
-class NotingHost(WorkingHost):
-    """Notes when each command came."""
+class RecordingHost(WorkingHost):
+    """Records when each command arrives."""
 
     def __init__(self):
-        super().__init__(SLOTS, WORK)
+        super().__init__(SLOTS, WORK_S)
         self.times = []
 
-    def note(self, got):
-        if got is not None:
+    def note(self, arguments):
+        if arguments is not None:
             self.times.append(time.monotonic())
 
-    def between(self, begin, end):
-        return sum(begin <= at < end for at in self.times)
+    def count_between(self, begin, end):
+        return sum(begin <= arrived_at < end for arrived_at in self.times)
 
 
 @pytest.mark.parametrize("clock", CLOCKS.values(), ids=CLOCKS)
 @on_loop
-async def test_a_host_that_started_gets_its_budget_whatever_the_clock_says(clock, tmp_path):
-    """A watch tells its start as new. In its first second it bears 16 requests by the settings, with the
-    rule's slack for chance; once it is warm it gets its share."""
+async def test_a_newly_started_host_gets_its_budget_if_the_wall_clock_is_wrong(clock, tmp_path):
+    """A wrong clock must not change how many requests a newly started host gets.
+
+    Discovery reports the host while the gateway runs. The settings allow 16 requests in its first second,
+    plus the tolerance of the rule for random variation. Once it is warm it gets its full part of the load.
+    """
     async with contextlib.AsyncExitStack() as stack:
-        warm = [await stack.enter_async_context(NotingHost()) for _ in range(3)]
-        cold = await stack.enter_async_context(NotingHost())
+        warm = [await stack.enter_async_context(RecordingHost()) for _ in range(3)]
+        started = await stack.enter_async_context(RecordingHost())
         counter = await stack.enter_async_context(StubCounter())
         discovery = await stack.enter_async_context(StubDiscovery())
         discovery.servers = [entry(host, f"h{n}") for n, host in enumerate(warm, 1)]
-        settings = SETTINGS | {"rules": SETTINGS["rules"] | COLD}
+        settings = SETTINGS | {"rules": SETTINGS["rules"] | SLOW_START_RULES}
         tree = gateway_config(discovery.servers, discovery.port, counter.port, settings)
         gateway = await stack.enter_async_context(gateway_process(tmp_path, tree, {"clock": clock}))
         await gateway.wait_until_ready()
         end = asyncio.get_running_loop().time() + 10.0
-        pressing = asyncio.create_task(press(gateway.port, end, b"r", 200.0))
+        sending = asyncio.create_task(send_requests(gateway.port, end, b"r", 200.0))
         await asyncio.sleep(3.5)
-        began = time.monotonic()
-        discovery.change([entry(cold, "h4") | {"started_ms": time.time() * 1000}])
-        assert await pressing > 1000
-    budget = COLD["fall_multiple"] * COLD["start_capacity"] * SLOTS / WORK
-    assert cold.between(began, began + 1.0) <= budget + 3 * math.sqrt(budget) + 3
-    assert cold.between(began + 5.0, began + 6.0) >= 20
+        started_at = time.monotonic()
+        discovery.change([entry(started, "h4") | {"started_ms": time.time() * 1000}])
+        assert await sending > 1000
+    budget = SLOW_START_RULES["fall_multiple"] * SLOW_START_RULES["start_capacity"] * SLOTS / WORK_S
+    assert started.count_between(started_at, started_at + 1.0) <= budget + 3 * math.sqrt(budget) + 3
+    assert started.count_between(started_at + 5.0, started_at + 6.0) >= 20
 
 
 @pytest.mark.parametrize(
-    "clock", [[], [[0, HOUR]], [[0, -HOUR]], NEAR], ids=["right", "ahead", "behind", "near"]
+    "clock", [[], [[0, HOUR_S]], [[0, -HOUR_S]], NEAR_CLOCK], ids=["right", "ahead", "behind", "near"]
 )
 @on_loop
-async def test_two_gateways_hold_one_quota_whatever_the_clock_of_one_says(clock, tmp_path):
-    """A customer of 20 units a second with a burst of 20 presses on both for 5 s: 120 units are its own."""
+async def test_two_gateways_enforce_one_quota_if_the_clock_of_one_is_wrong(clock, tmp_path):
+    """Two gateways must enforce one quota if the clock of one is wrong.
+
+    A customer with 20 units per second and a burst of 20 overloads both for 5 s, so 120 units are its quota.
+    """
     async with StubHost() as one, StubHost() as two, StubCounter() as counter, StubDiscovery() as discovery:
         discovery.servers = [entry(one, "h1"), entry(two, "h2")]
         plan = {"name": "p", "rate": 20.0, "most_at_once": 20.0}
@@ -121,6 +133,6 @@
                 await other.wait_until_ready()
                 end = asyncio.get_running_loop().time() + 5.0
                 served = await asyncio.gather(
-                    *(press(gateway.port, end, name, 60.0, spread=2)
+                    *(send_requests(gateway.port, end, name, 60.0, spread=2)
                       for gateway, name in ((right, b"a"), (other, b"b"))))  # fmt: skip
-    assert 80 <= sum(served) <= (150 if clock == NEAR else 135)
+    assert 80 <= sum(served) <= (150 if clock == NEAR_CLOCK else 135)
