--- a/api_gateway/control/__init__.py
+++ b/api_gateway/control/__init__.py
@@ -1,1 +1,1 @@
-"""What operators change while a gateway runs: overrides of hosts, drains, and the configuration."""
+"""Changes that operators make to a running gateway: host overrides, drains and the configuration."""
--- a/api_gateway/control/config_candidate.py
+++ b/api_gateway/control/config_candidate.py
@@ -1,7 +1,7 @@
-"""The check of an operator's candidate for a configuration, and its differences from the one in force.
+"""Validates an operator's candidate configuration and compares it with the one in force.
 
-Each key is checked by the table of config_schema. Whether the keys make a configuration together is for
-gateway.config.build(), which every candidate passes after this.
+Each key is checked against the table in config_schema. Afterwards gateway.config.build_config() checks
+whether the keys form a valid configuration together.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from api_gateway.control.config_schema import (
     FIXED_PATHS,
     KEY_BY_PATH,
-    MOST_BODY,
-    MOST_DEPTH,
+    MAX_BODY_BYTES,
+    MAX_DEPTH,
     NON_EMPTY_OBJECT_LIST,
     OBJECT,
     OBJECT_LIST,
@@ -24,20 +24,20 @@
 )
 from api_gateway.gateway.config import json_kind
 
-# Characters of a value that an answer repeats, and digits of a number.
+# Maximum characters of a string, and digits of a number, that an answer repeats.
 MAX_SHOWN_LENGTH = 80
-# Where the value limits a rate, the other key limits how much comes at once.
+# Pairs of a rate and its burst: where the rate is above 0, the burst must be above 0 too.
 RATE_KEYS = (("rate", "most_at_once"), ("cap_rate", "cap_depth"))
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What is wrong in a candidate.
+    """One validation error in a candidate.
 
     Attributes:
-        path: The key, with dots; "" for the candidate itself.
-        value: What stands there.
-        allowed: What may stand there.
+        path: The dotted path of the key; "" for the candidate itself.
+        value: The value found at the path.
+        allowed: A description of the allowed values.
     """
 
     path: str
@@ -45,12 +45,12 @@
     allowed: str
 
     def to_json(self) -> JsonObject:
-        """Return what an operator is shown."""
+        """Return the fault as the answer to an operator lists it."""
         return {"path": self.path, "value": abbreviate(self.value), "allowed": self.allowed}
 
 
 def abbreviate(value: Any) -> Any:
-    """Return a value as an answer repeats it: short, and such that JSON can express it."""
+    """Return a short form of a value for an answer, which JSON can always represent."""
     if isinstance(value, dict | list):
         return f"{'an object' if isinstance(value, dict) else 'a list'} of {len(value)}"
     if isinstance(value, float) and not math.isfinite(value):
@@ -64,9 +64,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RepeatedKey:
-    """A key that one object of the JSON text holds twice or more.
+    """A key that occurs more than once in one object of the JSON text.
 
-    The object is kept and not its id alone: an id may be another object's as soon as its own is gone.
+    The object itself is stored because its id() could be reused by another object once it is freed.
     """
 
     owner: JsonObject
@@ -74,9 +74,9 @@
 
 
 def parse(body: bytes) -> tuple[Any, list[Fault]]:
-    """Return the tree that a body holds, and its faults; with a fault the tree may be None."""
-    if len(body) > MOST_BODY:
-        return None, [Fault("", f"{len(body)} bytes", f"at most {MOST_BODY} bytes")]
+    """Return the decoded body and its faults; if there are faults, the decoded body may be None."""
+    if len(body) > MAX_BODY_BYTES:
+        return None, [Fault("", f"{len(body)} bytes", f"at most {MAX_BODY_BYTES} bytes")]
     repeated: list[RepeatedKey] = []
 
     def make_object(pairs: list[tuple[str, Any]]) -> JsonObject:
@@ -91,14 +91,14 @@
     except UnicodeDecodeError as err:
         return None, [Fault("", f"byte {err.start}", "UTF-8")]
     except RecursionError:
-        return None, [Fault("", "nested without end", f"at most {MOST_DEPTH} levels")]
-    except ValueError as err:  # JSONDecodeError, or a number of too many digits
+        return None, [Fault("", "nested without end", f"at most {MAX_DEPTH} levels")]
+    except ValueError as err:  # JSONDecodeError, or an integer with too many digits
         return None, [Fault("", " ".join(str(err).split()), "JSON")]
     return tree, list(find_malformed(tree, repeated))
 
 
 def find_malformed(tree: Any, repeated: list[RepeatedKey]) -> Iterator[Fault]:
-    """Yield what no key may hold: numbers that are not finite, keys that stand twice, too many levels."""
+    """Yield the faults that no key may have: non-finite numbers, repeated keys and too deep nesting."""
     stack: list[tuple[str, Any, int]] = [("", tree, 1)]
     while stack:
         path, value, depth = stack.pop()
@@ -106,40 +106,40 @@
             yield Fault(path, value, "a finite number")
         if not isinstance(value, dict | list):
             continue
-        if depth > MOST_DEPTH:
-            yield Fault(path, value, f"at most {MOST_DEPTH} levels")
+        if depth > MAX_DEPTH:
+            yield Fault(path, value, f"at most {MAX_DEPTH} levels")
             continue
         if isinstance(value, dict):
             names = [key.name for key in repeated if key.owner is value]
-            yield from (Fault(join(path, name), value[name], "each key once") for name in names)
+            yield from (Fault(join_path(path, name), value[name], "each key once") for name in names)
         entries = value.items() if isinstance(value, dict) else enumerate(value)
-        stack.extend((join(path, name), entry, depth + 1) for name, entry in entries)
+        stack.extend((join_path(path, name), entry, depth + 1) for name, entry in entries)
 
 
 def is_same(value: Any, current: Any) -> bool:
-    """Return whether two JSON values are the same; True is no 1."""
+    """Return whether two JSON values are equal; unlike in Python, True does not equal 1."""
     return bool(value == current) and isinstance(value, bool) == isinstance(current, bool)
 
 
-def join(path: str, name: object) -> str:
-    """Return the path of a key, or of a place in a list, below `path`."""
+def join_path(path: str, name: object) -> str:
+    """Return the path of a key or a list index below `path`."""
     return f"{path}.{name}" if path else str(name)
 
 
 def check(tree: Any, current: JsonObject) -> list[Fault]:
-    """Return all that is wrong with the keys of a candidate.
+    """Return all faults in the keys of a candidate.
 
     Args:
-        tree: The candidate, without faults of parse().
-        current: The whole tree in force.
+        tree: The candidate, in which parse() found no faults.
+        current: The complete configuration in force, including the keys that cannot change.
     """
     if not isinstance(tree, dict):
         return [Fault("", tree, OBJECT.allowed)]
     faults = list(check_keys(tree, current, "", ""))
     for path in sorted(FIXED_PATHS & tree.keys()):
         if path in current and tree[path] != current[path]:
-            why = KEY_BY_PATH[path].explanation
-            allowed = f"as it is, or left out: {why}; a change needs a new process"
+            explanation = KEY_BY_PATH[path].explanation
+            allowed = f"as it is, or left out: {explanation}; a change needs a new process"
             faults.append(Fault(path, tree[path], allowed))
     if not faults:
         faults = list(check_combinations(tree, current))
@@ -147,27 +147,27 @@
 
 
 def check_keys(tree: JsonObject, current: Any, path: str, pattern: str) -> Iterator[Fault]:
-    """Yield the faults of each key for itself, and the keys that are missing.
+    """Yield the faults of each key on its own, and a fault for each missing key.
 
     Args:
         tree: An object of the candidate.
-        current: What is in force in its place.
-        path: Where the object stands.
-        pattern: The same as config_schema writes it, with `*` for any name or place.
+        current: The value in force at the same path.
+        path: The path of the object.
+        pattern: The path as config_schema writes it, with `*` for any name or list index.
     """
     current = current if isinstance(current, dict) else {}
     for name in current.keys() - tree.keys():
-        if join(pattern, name) not in FIXED_PATHS:
-            yield Fault(join(path, name), None, "it must be there: it is in force")
+        if join_path(pattern, name) not in FIXED_PATHS:
+            yield Fault(join_path(path, name), None, "it must be there: it is in force")
     for name, value in tree.items():
         yield from check_key(name, value, current, path, pattern)
 
 
 def check_key(name: str, value: Any, current: JsonObject, path: str, pattern: str) -> Iterator[Fault]:
-    """Yield the faults of one key and of all below it; the arguments are those of check_keys()."""
-    key_path = join(path, name)
-    key_pattern = join(pattern, name)
-    key = KEY_BY_PATH.get(key_pattern) or KEY_BY_PATH.get(join(pattern, "*"))
+    """Yield the faults of one key and of all keys below it; the arguments are those of check_keys()."""
+    key_path = join_path(path, name)
+    key_pattern = join_path(pattern, name)
+    key = KEY_BY_PATH.get(key_pattern) or KEY_BY_PATH.get(join_path(pattern, "*"))
     if key is None and name not in current:
         yield Fault(key_path, value, "no such key")
     elif key is None and json_kind(value) != json_kind(current[name]):
@@ -182,30 +182,30 @@
         yield from check_entries(value, current.get(name), key_path, key_pattern)
 
 
-def check_entries(found: list[JsonObject], current: Any, path: str, pattern: str) -> Iterator[Fault]:
-    """Yield the faults of a list of objects: each must have what all of those in force have.
+def check_entries(entries: list[JsonObject], current: Any, path: str, pattern: str) -> Iterator[Fault]:
+    """Yield the faults of a list of objects, which must all have the keys that every entry in force has.
 
     The arguments are those of check_keys().
     """
-    in_force = current if isinstance(current, list) and current else [{}]
-    common = [name for name in in_force[0] if all(name in entry for entry in in_force)]
-    examples = {name: value for entry in in_force for name, value in entry.items()}
+    current_entries = current if isinstance(current, list) and current else [{}]
+    common_names = [name for name in current_entries[0] if all(name in entry for entry in current_entries)]
+    examples = {name: value for entry in current_entries for name, value in entry.items()}
     names_seen = set()
-    for index, entry in enumerate(found):
-        entry_path = join(path, index)
-        for name in set(common) - entry.keys():
-            yield Fault(join(entry_path, name), None, "it must be there: it is in force")
-        examples_here = {name: value for name, value in examples.items() if name in entry}
-        yield from check_keys(entry, examples_here, entry_path, join(pattern, "*"))
+    for index, entry in enumerate(entries):
+        entry_path = join_path(path, index)
+        for name in set(common_names) - entry.keys():
+            yield Fault(join_path(entry_path, name), None, "it must be there: it is in force")
+        entry_examples = {name: value for name, value in examples.items() if name in entry}
+        yield from check_keys(entry, entry_examples, entry_path, join_path(pattern, "*"))
         name = entry.get("name")
         if isinstance(name, str):
             if name in names_seen:
-                yield Fault(join(entry_path, "name"), name, "a name that no other entry has")
+                yield Fault(join_path(entry_path, "name"), name, "a name that no other entry has")
             names_seen.add(name)
 
 
 def check_combinations(tree: JsonObject, current: JsonObject) -> Iterator[Fault]:
-    """Yield what no key says by itself, where each of them is right."""
+    """Yield the faults in combinations of keys that are each valid on their own."""
     settings = tree["settings"]
     if settings["index"] >= settings["group_size"]:
         yield Fault("settings.index", settings["index"], f"below group_size, {settings['group_size']}")
@@ -224,27 +224,27 @@
                 yield Fault(f"settings.plans.{index}.{burst}", plan.get(burst), f"above 0 where {rate} is")
 
 
-def differences(current: Any, fresh: Any, path: str = "") -> Iterator[JsonObject]:
-    """Yield what differs, as `path`, `from` and `to`; entries of lists are known by their names."""
+def differences(current: Any, candidate: Any, path: str = "") -> Iterator[JsonObject]:
+    """Yield each difference as `path`, `from` and `to`; list entries are matched by their names."""
     current = index_by_name(current)
-    fresh = index_by_name(fresh)
-    if isinstance(current, dict) and isinstance(fresh, dict):
-        for name in [*current, *(name for name in fresh if name not in current)]:
-            key_path = join(path, name)
-            if name in fresh and name in current:
-                yield from differences(current[name], fresh[name], key_path)
+    candidate = index_by_name(candidate)
+    if isinstance(current, dict) and isinstance(candidate, dict):
+        for name in [*current, *(name for name in candidate if name not in current)]:
+            key_path = join_path(path, name)
+            if name in candidate and name in current:
+                yield from differences(current[name], candidate[name], key_path)
             else:
                 yield {
                     "path": key_path,
                     "from": abbreviate(current.get(name)),
-                    "to": abbreviate(fresh.get(name)),
+                    "to": abbreviate(candidate.get(name)),
                 }
-    elif not is_same(fresh, current):
-        yield {"path": path, "from": abbreviate(current), "to": abbreviate(fresh)}
+    elif not is_same(candidate, current):
+        yield {"path": path, "from": abbreviate(current), "to": abbreviate(candidate)}
 
 
 def index_by_name(value: Any) -> Any:
-    """Return a list of objects as an object by their names, if each has its own; else the value as it is."""
+    """Return a list of objects with unique names as an object keyed by name, and other values unchanged."""
     if not isinstance(value, list) or not value:
         return value
     if not all(isinstance(entry, dict) and isinstance(entry.get("name"), str) for entry in value):
--- a/api_gateway/control/config_changes.py
+++ b/api_gateway/control/config_changes.py
@@ -1,8 +1,9 @@
-"""How a configuration comes into force: check, prepare, commit, then confirmation or rollback.
+"""Brings configurations into force: check, prepare, commit, then confirmation or rollback.
 
-One way for all origins: SIGHUP, an operator's call, a rollback, the process beside this one in an upgrade.
-Prepare gets all that can fail and has no effect; its last step writes the history, and the commit follows in
-the same turn of the event loop. By the history the processes of a gateway agree: each follows what is newer.
+A change may come from SIGHUP, an operator's call, a rollback, or the other process of this gateway during an
+upgrade. The prepare phase contains every step that can fail, and a failed prepare has no effect. Its last
+step writes the history, and the commit follows in the same turn of the event loop. The processes of a gateway
+agree through the shared history, because each adopts the newest version.
 """
 
 from __future__ import annotations
@@ -33,36 +34,36 @@
     reject_if_stopping,
     source_digest,
 )
-from api_gateway.control.config_schema import CHANGEABLE_PATHS, MOST_TOLD
+from api_gateway.control.config_schema import CHANGEABLE_PATHS, MAX_LISTED_ITEMS
 from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.gateway.config import Config, reread_config
 
 if TYPE_CHECKING:
     from api_gateway.gateway.node import GatewayNode
 
-# Seconds for all steps of a prepare together.
+# Seconds for all prepare steps together.
 PREPARE_TIMEOUT_S = 3.0
-# Seconds past the deadline of a confirmation at which it is checked: the loop's timers may fire early.
+# Seconds after the confirmation deadline at which it is checked, because event loop timers may fire early.
 TIMER_MARGIN_S = 0.002
-# Seconds that an operator may ask for to confirm a change.
-CONFIRM_LEAST = 1.0
-CONFIRM_MOST = 3600.0
+# Bounds of the confirmation window that an operator may request, in seconds.
+MIN_CONFIRM_WINDOW_S = 1.0
+MAX_CONFIRM_WINDOW_S = 3600.0
 
 log = logging.getLogger(__name__)
 
 
 class ConfigChanges:
-    """Brings configurations of one gateway process into force, and follows the processes beside it.
+    """Changes the configuration of one gateway process, and adopts changes made by the other processes.
 
-    It owns the history and the timer of a pending confirmation; the node owns the configuration itself.
+    This class owns the history and the confirmation timer; the node owns the configuration itself.
     """
 
     def __init__(self, node: GatewayNode, folder: Path | None) -> None:
-        """Begin with the node's configuration as version 1, without reading or writing anything.
+        """Start with the node's configuration as version 1, without reading or writing files.
 
         Args:
             node: The process whose configuration changes.
-            folder: Where the history is stored; None: nowhere.
+            folder: The folder in which the history is stored; with None it is not stored.
         """
         self.node = node
         self.history_file = ConfigHistoryFile(folder, node.config.name)
@@ -71,36 +72,37 @@
         self.preparing = False
         self.confirmation_timer: asyncio.TimerHandle | None = None
 
-    # The history, and what other processes wrote there
+    # The shared history
 
     def start(self) -> None:
-        """Go on from the stored version, unless what this process was started with has changed since."""
-        own = self.history
+        """Continue from the stored version unless this process was started with a changed configuration."""
+        initial = self.history
         try:
             with self.history_file.locked():
                 found = self.history_file.load()
                 if found is None:
-                    self.history_file.save(own)
-                elif found.source_digest != own.source_digest or (
+                    self.history_file.save(initial)
+                elif found.source_digest != initial.source_digest or (
                     found.newest.origin == "start" and found.newest.content != self.current.content
                 ):
-                    found = replace(found, source_digest=own.source_digest)
+                    found = replace(found, source_digest=initial.source_digest)
                     found = found.add(self.current.content, self.node.clock(), "start")
                     self.history_file.save(found)
         except OSError as err:
             self.history_file.log_not_saved(err)
         else:
-            self.adopt_history(found or own)
+            self.adopt_history(found or initial)
 
     def poll(self) -> None:
-        """Follow what another process has brought into force; cheap where the file has not changed."""
+        """Adopt a change made by another process; cheap if the history file has not changed."""
         if self.history_file.has_changed() and (found := self.history_file.load()) is not None:
             self.adopt_history(found)
 
     def adopt_history(self, history: ConfigHistory) -> None:
-        """Take a history as this process's own, and its newest version into force.
+        """Replace this process's history and bring its newest version into force.
 
-        What a start took from a changed file is for that process alone, until a change comes after it.
+        A version of origin "start", which another process read from a changed file when it started, applies
+        to that process alone. This process adopts only the next change after it.
         """
         newest = history.newest
         previous_history = self.history
@@ -109,9 +111,9 @@
         if newest != self.current and is_for_this_process:
             try:
                 config = build_config(self.node.config, newest.content)
-            except ConfigError as err:  # another version of the program wrote it
+            except ConfigError as err:  # written by another release of the gateway
                 log.error(
-                    "configuration version not usable, version %d stays error=%s", self.current.number, err
+                    "configuration version not usable, keeping version %d error=%s", self.current.number, err
                 )
                 self.history = previous_history
                 return
@@ -119,7 +121,7 @@
         self.schedule_expiry()
 
     def commit(self, config: Config, version: ConfigVersion, listing: EndpointListing | None) -> None:
-        """Bring a configuration into force between two events of the loop; nothing here can fail."""
+        """Bring a configuration into force within one turn of the event loop; no step here can fail."""
         previous = self.current
         self.current = version
         if list(config_candidate.differences(previous.content, version.content)):
@@ -133,10 +135,10 @@
             format_address(config.discovery),
         )
 
-    # Calls of operators
+    # Operator calls
 
     def status(self) -> JsonObject:
-        """Return the version in force, the newest one if that is another, and what waits to be confirmed."""
+        """Return the version in force, the newest version if it differs, and the pending confirmation."""
         self.poll()
         newest = self.history.newest.number
         pending = self.history.pending
@@ -153,11 +155,11 @@
         return status
 
     def status_with_config(self) -> JsonObject:
-        """Return the status with the configuration itself, to make a candidate from."""
+        """Return the status and the configuration itself, from which an operator can make a candidate."""
         return {**self.status(), "config": self.current.content}
 
     def list_versions(self) -> list[JsonObject]:
-        """Return all versions of the history, the oldest first."""
+        """Return all versions in the history, oldest first."""
         self.poll()
         pending_number = self.history.pending and self.history.pending.number
         return [
@@ -170,13 +172,13 @@
         ]
 
     def check(self, body: bytes) -> JsonObject:
-        """Return the content of a candidate, without any effect.
+        """Validate a candidate without any effect, and return its content.
 
         Args:
             body: The candidate as JSON.
 
         Raises:
-            ChangeRejectedError: With each fault of the candidate.
+            ChangeRejectedError: The candidate is invalid; the error lists its faults.
         """
         self.poll()
         tree, faults = config_candidate.parse(body)
@@ -190,12 +192,12 @@
             except ConfigError as err:
                 faults = [config_candidate.Fault("", None, str(err))]
         if faults:
-            shown = [fault.to_json() for fault in faults[:MOST_TOLD]]
+            shown = [fault.to_json() for fault in faults[:MAX_LISTED_ITEMS]]
             raise ChangeRejectedError(400, f"{len(faults)} faults", faults=shown)
         return content
 
     def is_in_force(self, content: JsonObject) -> bool:
-        """Return whether this content is in force here and is the newest version."""
+        """Return whether this content is in force in this process and is the newest version."""
         return self.current == self.history.newest and not list(
             config_candidate.differences(self.current.content, content)
         )
@@ -205,11 +207,12 @@
 
         Args:
             body: The candidate as JSON.
-            expected_version: The newest version as the operator knows it.
-            confirm_within: Seconds after which it is rolled back unless confirmed; None: it stays.
+            expected_version: The newest version that the operator knows.
+            confirm_within: Seconds after which the change is rolled back unless confirmed; with None it needs
+                no confirmation.
 
         Raises:
-            ChangeRejectedError: Nothing has changed.
+            ChangeRejectedError: The change was rejected and has had no effect.
         """
         content = self.check(body)
         if self.is_in_force(content):
@@ -226,7 +229,7 @@
         """Bring the content of an earlier version into force again, and return the status.
 
         Raises:
-            ChangeRejectedError: Nothing has changed.
+            ChangeRejectedError: The rollback was rejected and has had no effect.
         """
         self.poll()
         found = self.history.find(number)
@@ -238,11 +241,11 @@
         return await self.change(content, "rollback", restored=number)
 
     def confirm(self, number: int) -> JsonObject:
-        """Let the version that waits for its confirmation stay, and return the status.
+        """Confirm the version that is pending, and return the status.
 
         Raises:
-            ChangeRejectedError: This version does not wait.
-            OSError: The confirmation cannot be stored; the version goes on waiting.
+            ChangeRejectedError: This version is not pending.
+            OSError: The confirmation cannot be stored; the version stays pending.
         """
         self.poll()
         pending = self.history.pending
@@ -261,7 +264,7 @@
             raise ChangeRejectedError(409, f"version {number} does not wait for a confirmation")
         return self.status()
 
-    # The change itself
+    # Prepare and commit
 
     async def change(
         self,
@@ -270,12 +273,12 @@
         restored: int | None = None,
         confirm_within: float | None = None,
     ) -> JsonObject:
-        """Prepare and commit a checked content, and return the status.
+        """Prepare and commit content that check() accepted, and return the status.
 
         The arguments are those of ChangeInProgress.
 
         Raises:
-            ChangeRejectedError: Nothing has changed.
+            ChangeRejectedError: The change was rejected and has had no effect.
         """
         reject_if_stopping(self.node)
         if self.preparing:
@@ -287,15 +290,15 @@
             await self.prepare(change)
         finally:
             self.preparing = False
-        self.commit(change.config, self.history.newest, change.listing)  # still the turn of the last step
+        self.commit(change.config, self.history.newest, change.listing)  # in the last step's event loop turn
         self.schedule_expiry()
         return {**self.status(), "changed": True}
 
     async def prepare(self, change: ChangeInProgress) -> None:
-        """Do all steps that can fail, in their order.
+        """Run all steps that can fail, in order.
 
         Raises:
-            ChangeRejectedError: A step failed; none has had an effect.
+            ChangeRejectedError: A step failed; no step has had an effect.
         """
         step = ""
         try:
@@ -305,17 +308,17 @@
         except ChangeRejectedError:
             raise
         except TimeoutError as err:
-            text = f"{step}: nothing within {PREPARE_TIMEOUT_S:.0f} s; nothing changes"
-            raise ChangeRejectedError(503, text, step=step) from err
-        except Exception as err:  # whatever went wrong there, the answer says so
-            text = f"{step}: {type(err).__name__} {err}; nothing changes"
-            raise ChangeRejectedError(503, text, step=step) from err
+            message = f"{step}: nothing within {PREPARE_TIMEOUT_S:.0f} s; nothing changes"
+            raise ChangeRejectedError(503, message, step=step) from err
+        except Exception as err:  # the answer reports any failure to the operator
+            message = f"{step}: {type(err).__name__} {err}; nothing changes"
+            raise ChangeRejectedError(503, message, step=step) from err
 
     def reload(self) -> None:
         """Read the configuration file again after SIGHUP.
 
-        It comes into force whatever waits for a confirmation or is being prepared. A file that cannot be used
-        changes nothing.
+        The file comes into force even if another change is pending confirmation or being prepared. An
+        unusable file changes nothing.
         """
         try:
             config = reread_config(self.node.config)
@@ -329,7 +332,7 @@
             format_address(config.discovery),
         )
         if config.counter and not self.node.config.counter:
-            log.warning("SIGHUP: counter address ignored, a counter that comes needs a new process")
+            log.warning("SIGHUP: counter address ignored, adding a counter needs a new process")
         content = changeable_content(config)
 
         def add_file(history: ConfigHistory) -> ConfigHistory:
@@ -344,9 +347,9 @@
         self.schedule_expiry()
 
     def update_history(self, update: Callable[[ConfigHistory], ConfigHistory]) -> ConfigHistory:
-        """Return what `update` makes of the newest history, stored if it can be.
+        """Apply `update` to the newest history, store the result if possible and return it.
 
-        What cannot be stored holds in this process all the same.
+        If the result cannot be stored, it is in effect in this process only.
         """
         updated = None
         try:
@@ -359,20 +362,20 @@
         return updated or update(self.history)
 
     def schedule_expiry(self) -> None:
-        """Set the timer for the deadline of the confirmation that is pending now, if one is."""
+        """Set the timer for the deadline of the pending confirmation, if there is one."""
         if self.confirmation_timer is not None:
             self.confirmation_timer.cancel()
         self.confirmation_timer = None
         pending = self.history.pending
         if pending is not None:
-            left = max(0.0, pending.deadline - self.node.clock())
-            self.confirmation_timer = self.node.call_later(left + TIMER_MARGIN_S, self.expire)
+            remaining = max(0.0, pending.deadline - self.node.clock())
+            self.confirmation_timer = self.node.call_later(remaining + TIMER_MARGIN_S, self.expire)
 
     def expire(self) -> None:
-        """Go back to what was in force before a version that nobody confirmed.
+        """Roll back to the previous version if the pending one was not confirmed in time.
 
-        No address is contacted first: the previous version worked, and the change may be what cut the
-        operator off.
+        No address is contacted first, because the previous version worked and the change itself may have cut
+        the operator off.
         """
 
         def undo(history: ConfigHistory) -> ConfigHistory:
@@ -380,13 +383,13 @@
             if pending is None or self.node.clock() < pending.deadline:
                 return history
             previous = history.find(pending.previous)
-            assert previous is not None  # the newest but one, which a history keeps
+            assert previous is not None  # MIN_VERSIONS keeps the version before the newest
             log.warning("configuration version not confirmed in time version=%d", pending.number)
             return history.add(previous.content, self.node.clock(), "expiry", pending.previous)
 
         self.adopt_history(self.update_history(undo))
 
     def close(self) -> None:
-        """Stop the timer."""
+        """Cancel the confirmation timer."""
         if self.confirmation_timer is not None:
             self.confirmation_timer.cancel()
--- a/api_gateway/control/config_history.py
+++ b/api_gateway/control/config_history.py
@@ -1,7 +1,8 @@
-"""The history of a gateway's configurations, and the file by which its processes share it.
+"""The history of a gateway's configurations, and the file through which its processes share it.
 
 The file holds one JSON array: the digest of the configuration file, the pending confirmation or null, and the
-versions, each as `[number, digest, since, by, of, content]`. Gateways of other releases use it too.
+versions, each as `[number, digest, since, by, of, content]`. Other releases of the gateway read and write the
+same file, so its format must stay compatible.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from api_gateway.control.config_schema import is_number
 from api_gateway.control.errors import CorruptHistoryError
 
-# Versions that the history holds.
+# Maximum number of versions in the history.
 MAX_VERSIONS = 20
-# Bytes of all contents. The version in force and the one before it stay whatever they take.
+# Maximum total bytes of all contents; the newest MIN_VERSIONS versions stay even above it.
 MAX_BYTES = 1024 * 1024
-# Versions that stay whatever they take: a version that is not confirmed goes back to the one before it.
+# Versions kept regardless of their size, because an unconfirmed version is rolled back to the one before it.
 MIN_VERSIONS = 2
 ORIGINS = ("start", "signal", "call", "rollback", "expiry")
 PENDING_KEYS = {"number", "back", "until"}
@@ -37,12 +38,12 @@
     """One configuration that has been in force.
 
     Attributes:
-        number: Counts up from 1.
-        digest: Of `content_json`.
-        since: Unix time in seconds at which it came into force.
-        origin: What brought it, one of ORIGINS.
+        number: The version number, counted up from 1.
+        digest: The digest of `content_json`.
+        since: Unix time in seconds at which the version came into force.
+        origin: The source of the change, one of ORIGINS.
         content: The parts of the configuration that may change.
-        restored: Number of the version that came back by a rollback or an expiry.
+        restored: The number of the version that a rollback or an expiry restored, if any.
         content_json: `content` as JSON, encoded once.
     """
 
@@ -55,12 +56,12 @@
     content_json: str = field(default="", compare=False)
 
     def encode(self) -> str:
-        """Return the entry of the history file."""
+        """Return the version as an entry of the history file."""
         head = json.dumps([self.number, self.digest, self.since, self.origin, self.restored])
         return f"{head[:-1]}, {self.content_json}]"
 
     def to_json(self) -> JsonObject:
-        """Return what an operator is shown of this version."""
+        """Return the description of this version in answers to operators."""
         shown: JsonObject = {
             "version": self.number,
             "digest": self.digest,
@@ -77,9 +78,9 @@
     """A version that is rolled back unless an operator confirms it in time.
 
     Attributes:
-        number: The version that waits.
-        previous: The version that comes back if nobody confirms.
-        deadline: Unix time in seconds.
+        number: The version that awaits confirmation.
+        previous: The version that is restored if no operator confirms.
+        deadline: Unix time in seconds at which the version expires.
     """
 
     number: int
@@ -87,18 +88,18 @@
     deadline: float
 
     def to_json(self) -> JsonObject:
-        """Return the form of the history file."""
+        """Return the confirmation in the format of the history file."""
         return {"number": self.number, "back": self.previous, "until": self.deadline}
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigHistory:
-    """The versions of a configuration, the oldest first; immutable.
+    """The versions of a configuration; immutable.
 
     Attributes:
-        source_digest: Of the configuration file when it was last read.
-        versions: At least one, by ascending numbers.
-        pending: What waits for a confirmation; always the newest version.
+        source_digest: The digest of the configuration file when it was last read.
+        versions: At least one version, in ascending order of their numbers.
+        pending: The pending confirmation, always of the newest version; None if there is none.
     """
 
     source_digest: str
@@ -107,25 +108,25 @@
 
     @property
     def newest(self) -> ConfigVersion:
-        """The version that was added last."""
+        """The most recently added version."""
         return self.versions[-1]
 
     def find(self, number: int) -> ConfigVersion | None:
-        """Return the version of this number, or None where the history does not hold it."""
+        """Return the version with this number, or None if the history does not contain it."""
         return next((version for version in self.versions if version.number == number), None)
 
     def add(
         self, content: JsonObject, since: float, origin: str, restored: int | None = None
     ) -> ConfigHistory:
-        """Return a history with one version more, in which nothing is pending.
+        """Return a history with one more version and no pending confirmation.
 
-        The oldest versions are dropped past MAX_VERSIONS and MAX_BYTES.
+        The oldest versions are dropped to stay within MAX_VERSIONS and MAX_BYTES.
 
         Args:
             content: The parts of the configuration that may change.
-            since: Unix time in seconds.
+            since: Unix time in seconds at which the version comes into force.
             origin: One of ORIGINS.
-            restored: Number of the version that comes back, if one does.
+            restored: The number of the version that is restored, if any.
         """
         added = make_version(self.newest.number + 1, since, origin, content, restored)
         versions = [*self.versions, added][-MAX_VERSIONS:]
@@ -134,30 +135,30 @@
         return replace(self, versions=tuple(versions), pending=None)
 
     def encode(self) -> str:
-        """Return the text of the history file."""
+        """Return the content of the history file."""
         head = json.dumps([self.source_digest, self.pending and self.pending.to_json()])
         entries = ", ".join(version.encode() for version in self.versions)
         return f"{head[:-1]}, [{entries}]]"
 
 
 def content_digest(text: str) -> str:
-    """Return the short digest by which operators compare configurations."""
+    """Return a short digest with which operators compare configurations."""
     return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
 
 def make_version(
     number: int, since: float, origin: str, content: JsonObject, restored: int | None = None
 ) -> ConfigVersion:
-    """Return a version with its JSON and digest; the arguments are those of ConfigVersion."""
+    """Create a version and compute its JSON and digest; the arguments are those of ConfigVersion."""
     text = json.dumps(content, sort_keys=True)
     return ConfigVersion(number, content_digest(text), since, origin, content, restored, text)
 
 
 def decode_history(text: str) -> ConfigHistory:
-    """Return the history that `text` encodes.
+    """Decode the content of a history file.
 
     Raises:
-        CorruptHistoryError: It is not what ConfigHistory.encode() returns.
+        CorruptHistoryError: The text is not a history as ConfigHistory.encode() writes it.
     """
     try:
         source_digest, raw_pending, raw_versions = json.loads(text)
@@ -179,24 +180,24 @@
 
 
 def decode_pending(raw: Any) -> PendingConfirmation | None:
-    """Return the confirmation that a history file names; its values are not checked here.
+    """Decode the pending confirmation of a history file, without checking its values.
 
     Raises:
-        CorruptHistoryError: It has other keys.
+        CorruptHistoryError: The confirmation does not have exactly the keys in PENDING_KEYS.
     """
     if not raw:
         return None
     if not isinstance(raw, dict) or raw.keys() != PENDING_KEYS:
-        raise CorruptHistoryError(f"a confirmation needs {', '.join(sorted(PENDING_KEYS))}")
+        raise CorruptHistoryError(f"the keys of a confirmation must be {', '.join(sorted(PENDING_KEYS))}")
     return PendingConfirmation(raw["number"], raw["back"], raw["until"])
 
 
 def is_valid_history(history: ConfigHistory, digests: list[Any]) -> bool:
-    """Return whether the values of a decoded history are such as a gateway writes.
+    """Return whether the values of a decoded history are valid.
 
     Args:
-        history: With values of any type.
-        digests: What the file gives as the digest of each version.
+        history: The history, whose values may be of any type.
+        digests: The digest that the file contains for each version.
     """
     versions = history.versions
     if not versions or not isinstance(history.source_digest, str):
@@ -210,7 +211,7 @@
 
 
 def is_valid_pending(pending: PendingConfirmation, numbers: list[int]) -> bool:
-    """Return whether a decoded confirmation has values such as a gateway writes, for versions `numbers`."""
+    """Return whether a decoded confirmation has valid values and names the newest version in `numbers`."""
     return (
         type(pending.number) is int
         and pending.number == numbers[-1]
@@ -221,7 +222,7 @@
 
 
 def is_valid_version(version: ConfigVersion, digest: Any) -> bool:
-    """Return whether a decoded version has values such as a gateway writes, and `digest` is its content's."""
+    """Return whether a decoded version has valid values and its content matches `digest`."""
     return (
         type(version.number) is int
         and is_number(version.since)
@@ -233,35 +234,35 @@
 
 
 class ConfigHistoryFile:
-    """The history as the processes of one gateway share it.
+    """The file in which the processes of one gateway share their history.
 
-    Without a folder nothing is stored: the history lasts as long as the process.
+    Without a folder nothing is stored, and the history is lost when the process ends.
     """
 
     def __init__(self, folder: Path | None, gateway_name: str) -> None:
-        """Name the file; it is opened only by the methods.
+        """Set the path of the file without opening it.
 
         Args:
-            folder: Where the processes of this gateway keep their files.
-            gateway_name: Begins the file's name.
+            folder: The folder in which the processes of this gateway store their files.
+            gateway_name: The name of the gateway, with which the file name begins.
         """
         self.shared_file = SharedFile(folder / f"{gateway_name}-config.json" if folder else None)
 
     @property
     def path(self) -> Path | None:
-        """Where the history is stored; None where it is not."""
+        """The path of the history file; None if the history is not stored."""
         return self.shared_file.path
 
     def locked(self) -> AbstractContextManager[None]:
-        """Keep other processes from writing while the context lasts. Raises OSError."""
+        """Return a context that prevents other processes from writing. Raises OSError."""
         return self.shared_file.locked()
 
     def has_changed(self) -> bool:
-        """Return whether another process has written since the last load or save."""
+        """Return whether another process has written the file since the last load or save."""
         return self.shared_file.has_changed()
 
     def load(self) -> ConfigHistory | None:
-        """Return the stored history; None, and a line in the log, where it cannot be read."""
+        """Return the stored history; None if there is none, or if it cannot be read, which is logged."""
         try:
             text = self.shared_file.read()
             return None if text is None else decode_history(text)
@@ -272,9 +273,9 @@
             return None
 
     def save(self, history: ConfigHistory) -> None:
-        """Replace the stored history; to be called in locked(). Raises OSError."""
+        """Replace the stored history; call it only within locked(). Raises OSError."""
         self.shared_file.write(history.encode())
 
     def log_not_saved(self, error: OSError) -> None:
-        """Log that the history holds in this process only."""
+        """Log that the history could not be stored and is in effect in this process only."""
         log.error("configuration history not saved path=%s error=%s", self.path, error)
--- a/api_gateway/control/config_preparation.py
+++ b/api_gateway/control/config_preparation.py
@@ -1,6 +1,6 @@
-"""What a change of the configuration needs before it comes into force: its content, and the steps of prepare.
+"""Prepares a configuration change: extracts its content and runs the steps that can fail.
 
-No step has an effect that outlasts a failure of it or of a later one.
+If a step fails, neither it nor an earlier step leaves an effect.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def changeable_content(config: Config) -> JsonObject:
-    """Return the parts of a configuration that may change, whether the file or the environment gave them."""
+    """Return the parts of a configuration that may change, whether set by the file or the environment."""
     content: JsonObject = {
         "discovery": format_address(config.discovery),
         "limits": config.document["limits"],
@@ -41,39 +41,40 @@
 
 
 def source_digest(config: Config) -> str:
-    """Return the digest of what the configuration file itself says of the parts that may change."""
+    """Return the digest of the parts that may change, as the configuration file itself sets them."""
     source = {name: config.document.get(name) for name in CHANGEABLE_PATHS}
     return content_digest(json.dumps(source, sort_keys=True))
 
 
 def build_config(current: Config, content: JsonObject) -> Config:
-    """Return the current configuration with another content.
+    """Return the current configuration with its changeable parts replaced by `content`.
 
     Raises:
-        ConfigError: It makes no configuration.
+        ConfigError: The result is not a valid configuration.
     """
     with config_errors_in_one_line("configuration"):
         return rebuild_config(current, {**current.document, **content})
 
 
 def reject_if_stopping(node: GatewayNode) -> None:
-    """Raise ChangeRejectedError where this process is shutting down."""
+    """Raise ChangeRejectedError if this process is shutting down."""
     if node.state == "stopping":
         raise ChangeRejectedError(409, "this process is at its end")
 
 
 @dataclass(slots=True)
 class ChangeInProgress:
-    """A change while it is prepared.
+    """A change that is being prepared.
 
     Attributes:
         config: The configuration that is to come into force.
-        previous: The one in force when the change began.
-        history: The history from which the change goes on; another one by the last step rejects it.
+        previous: The configuration in force when the change began.
+        history: The history when the change began; if it has been replaced by the last step, the change is
+            rejected.
         origin: One of config_history.ORIGINS.
-        restored: Number of the version that a rollback brings back.
-        confirm_within: Seconds until the change must be confirmed; None: it needs no confirmation.
-        listing: The endpoint list of a new discovery address, once that step is done.
+        restored: The number of the version that a rollback restores, if any.
+        confirm_within: Seconds until the change must be confirmed; with None it needs no confirmation.
+        listing: The endpoint list from a new discovery address, set by the discovery step.
     """
 
     config: Config
@@ -86,13 +87,13 @@
 
 
 async def try_decision_module(changes: ConfigChanges, change: ChangeInProgress) -> None:
-    """Let a trial instance of the decision module take the change."""
+    """Apply the change to a trial instance of the decision module."""
     trial = DecisionEngine(change.previous.settings, 1, changes.node.clock())
     trial.apply_settings(changes.node.clock(), change.config.settings)
 
 
 async def check_capacity(changes: ConfigChanges, change: ChangeInProgress) -> None:
-    """Reject limits that are below what is in use."""
+    """Reject limits that are below the current usage."""
     shortage = changes.node.capacity_shortage(change.config)
     if shortage:
         raise ChangeRejectedError(409, f"{shortage}; nothing changes", step="room")
@@ -108,17 +109,17 @@
     """Connect to a new counter address."""
     if change.config.counter is not None and change.config.counter != change.previous.counter:
         counter = changes.node.counter
-        assert counter is not None  # one that comes needs a new process, as the check says
+        assert counter is not None  # the check rejects adding a counter, which needs a new process
         await counter.ping(change.config.counter)
 
 
 async def store_history(changes: ConfigChanges, change: ChangeInProgress) -> None:
-    """Add the change to the stored history: the last step, in the same turn as the commit.
+    """Add the change to the stored history; this last step runs in the same event loop turn as the commit.
 
-    A process that dies from here on leaves the new version to the next one.
+    If the process dies after this step, the next process starts with the new version.
 
     Raises:
-        ChangeRejectedError: Another change came first.
+        ChangeRejectedError: Another change came first, or this process is shutting down.
         OSError: The history cannot be written.
     """
     reject_if_stopping(changes.node)
@@ -137,7 +138,7 @@
         changes.history = history
 
 
-# By the names that answers to operators give.
+# The steps in their order, keyed by the names that answers to operators contain.
 STEPS: dict[str, Callable[[ConfigChanges, ChangeInProgress], Awaitable[None]]] = {
     "module": try_decision_module,
     "room": check_capacity,
--- a/api_gateway/control/config_schema.py
+++ b/api_gateway/control/config_schema.py
@@ -1,6 +1,6 @@
-"""Every key of a configuration: what it may hold, and whether it may change while a process runs.
+"""The schema of a configuration: the allowed values of each key, and whether it may change at run time.
 
-One table, by which config_candidate checks an operator's candidate and which docs/configuration.md quotes.
+config_candidate checks an operator's candidate against this table, and docs/configuration.md quotes it.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from api_gateway.base.endpoint_list import read_address
 from api_gateway.settings_parser import DISCOVERY_MODES, IDEMPOTENCY_OF_EFFECT, LOAD_REPORT_FIELDS
 
-# Bytes of a candidate.
-MOST_BODY = 512 * 1024
-# Levels of a candidate.
-MOST_DEPTH = 12
-# Faults or differences that one answer lists.
-MOST_TOLD = 100
-# Characters of a name.
-MOST_TEXT = 256
+# Maximum bytes of a candidate.
+MAX_BODY_BYTES = 512 * 1024
+# Maximum nesting levels of a candidate.
+MAX_DEPTH = 12
+# Maximum number of faults or differences that one answer lists.
+MAX_LISTED_ITEMS = 100
+# Maximum characters of a name or a hexadecimal text.
+MAX_TEXT_LENGTH = 256
 
 JsonObject = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class ValueKind:
-    """What a key may hold.
+    """A kind of value that a key may have.
 
     Attributes:
-        allowed: The same in words, for operators.
-        is_valid: Whether a JSON value is of this kind.
+        allowed: A description of the allowed values for operators.
+        is_valid: A predicate that returns whether a JSON value is of this kind.
     """
 
     allowed: str
@@ -46,10 +46,10 @@
     """One key of a configuration.
 
     Attributes:
-        path: With dots; `*` stands for any name, or any place in a list.
-        kind: What it may hold.
-        is_changeable: Whether it may change while the process runs.
-        explanation: How a change takes effect, or why there can be none.
+        path: The dotted path; `*` matches any name or list index.
+        kind: The kind of its values.
+        is_changeable: Whether the value may change while the process runs.
+        explanation: How a change takes effect, or why the value cannot change.
     """
 
     path: str
@@ -69,7 +69,7 @@
 
 
 def is_number(value: Any) -> bool:
-    """Return whether a JSON value is a number within the range of floats; an integer may be past it."""
+    """Return whether a JSON value is a number that fits a float; a JSON integer may be too large for one."""
     return isinstance(value, int | float) and not isinstance(value, bool) and abs(value) <= sys.float_info.max
 
 
@@ -81,14 +81,14 @@
     above: float = -math.inf,
     integer: bool = False,
 ) -> ValueKind:
-    """Return the kind of numbers within bounds.
+    """Return a kind of numbers within bounds.
 
     Args:
-        allowed: In words.
-        minimum: The smallest one.
-        maximum: The largest one.
-        above: All must be larger.
-        integer: Whether fractions are excluded; 2.0 is none.
+        allowed: A description of the allowed numbers.
+        minimum: The smallest allowed number.
+        maximum: The largest allowed number.
+        above: An exclusive lower bound.
+        integer: Whether the number must be whole; 2.0 counts as whole.
     """
 
     def is_valid(value: Any) -> bool:
@@ -100,12 +100,12 @@
 
 
 def one_of(*words: str) -> ValueKind:
-    """Return the kind that is one of these texts."""
+    """Return the kind of texts that equal one of `words`."""
     return ValueKind(" or ".join(words), lambda value: isinstance(value, str) and value in words)
 
 
 def is_address(value: Any) -> bool:
-    """Return whether a value is a text HOST:PORT."""
+    """Return whether a value is an address as HOST:PORT."""
     try:
         return isinstance(value, str) and value.isprintable() and bool(read_address(value))
     except ValueError:
@@ -114,12 +114,12 @@
 
 def is_name(value: Any) -> bool:
     """Return whether a value is a printable text of bounded length."""
-    return isinstance(value, str) and 0 < len(value) <= MOST_TEXT and value.isprintable()
+    return isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH and value.isprintable()
 
 
 def is_hex(value: Any) -> bool:
     """Return whether a value is a text of hexadecimal digits."""
-    return isinstance(value, str) and 0 < len(value) <= MOST_TEXT and set(value) <= set(hexdigits)
+    return isinstance(value, str) and 0 < len(value) <= MAX_TEXT_LENGTH and set(value) <= set(hexdigits)
 
 
 def is_object_list(value: Any) -> bool:
@@ -134,7 +134,7 @@
     )
 
 
-TEXT = ValueKind(f"a text of 1 to {MOST_TEXT} printable characters", is_name)
+TEXT = ValueKind(f"a text of 1 to {MAX_TEXT_LENGTH} printable characters", is_name)
 ADDRESS = ValueKind("HOST:PORT", is_address)
 FLAG = ValueKind("true or false", lambda value: isinstance(value, bool))
 OBJECT = ValueKind("an object", lambda value: isinstance(value, dict))
@@ -151,11 +151,11 @@
 NON_NEGATIVE_INTEGER = number_kind("a whole number of 0 or more", minimum=0, integer=True)
 POSITIVE_INTEGER = number_kind("a whole number of 1 or more", minimum=1, integer=True)
 
-# Explanations that several keys share.
+# Explanations used for several keys.
 FROM_NEXT_REQUEST = "for requests that come from now on; open ones keep what they began with"
-EACH_DECISION = "read with each decision"
-SPENT_COUNTS_ON = "with a customer's next request; what it spent counts on"
-CEILING_BRINGS_NONE = "with a customer's next request; it brings no more room than there was"
+READ_EACH_DECISION = "read with each decision"
+SPENT_USAGE_STILL_COUNTS = "with a customer's next request; what it spent counts on"
+CEILING_ADDS_NO_CAPACITY = "with a customer's next request; it brings no more room than there was"
 
 KEYS = (
     fixed("name", TEXT, "files under $TMPDIR and the platform know the process by it"),
@@ -182,11 +182,11 @@
         "bounds connections; not below those that are open",
     ),
     changeable("settings", OBJECT, "taken whole"),
-    changeable("settings.index", NON_NEGATIVE_INTEGER, EACH_DECISION),
-    changeable("settings.group_size", POSITIVE_INTEGER, EACH_DECISION),
-    changeable("settings.locality", TEXT, EACH_DECISION),
-    changeable("settings.registry_mode", one_of(*DISCOVERY_MODES), EACH_DECISION),
-    changeable("settings.weights", TEXT, EACH_DECISION),
+    changeable("settings.index", NON_NEGATIVE_INTEGER, READ_EACH_DECISION),
+    changeable("settings.group_size", POSITIVE_INTEGER, READ_EACH_DECISION),
+    changeable("settings.locality", TEXT, READ_EACH_DECISION),
+    changeable("settings.registry_mode", one_of(*DISCOVERY_MODES), READ_EACH_DECISION),
+    changeable("settings.weights", TEXT, READ_EACH_DECISION),
     changeable("settings.services", NON_EMPTY_OBJECT_LIST, FROM_NEXT_REQUEST),
     changeable("settings.services.*.name", TEXT, FROM_NEXT_REQUEST),
     changeable("settings.services.*.slo", POSITIVE_DURATION_NS, FROM_NEXT_REQUEST),
@@ -200,8 +200,8 @@
     changeable("settings.services.*.aim_stretch", NON_NEGATIVE, FROM_NEXT_REQUEST),
     changeable("settings.plans", OBJECT_LIST, FROM_NEXT_REQUEST),
     changeable("settings.plans.*.name", TEXT, FROM_NEXT_REQUEST),
-    changeable("settings.plans.*.rate", NON_NEGATIVE, SPENT_COUNTS_ON),
-    changeable("settings.plans.*.most_at_once", NON_NEGATIVE, SPENT_COUNTS_ON),
+    changeable("settings.plans.*.rate", NON_NEGATIVE, SPENT_USAGE_STILL_COUNTS),
+    changeable("settings.plans.*.most_at_once", NON_NEGATIVE, SPENT_USAGE_STILL_COUNTS),
     changeable(
         "settings.plans.*.parallel",
         NON_NEGATIVE_INTEGER,
@@ -210,14 +210,14 @@
     changeable("settings.plans.*.value_factor", NON_NEGATIVE, FROM_NEXT_REQUEST),
     changeable("settings.plans.*.beyond_earns", NON_NEGATIVE, FROM_NEXT_REQUEST),
     changeable("settings.plans.*.over_cost", NON_NEGATIVE, FROM_NEXT_REQUEST),
-    changeable("settings.plans.*.cap_rate", NON_NEGATIVE, CEILING_BRINGS_NONE),
-    changeable("settings.plans.*.cap_depth", NON_NEGATIVE, CEILING_BRINGS_NONE),
+    changeable("settings.plans.*.cap_rate", NON_NEGATIVE, CEILING_ADDS_NO_CAPACITY),
+    changeable("settings.plans.*.cap_depth", NON_NEGATIVE, CEILING_ADDS_NO_CAPACITY),
     changeable("settings.plans.*.hard_slack", NON_NEGATIVE, FROM_NEXT_REQUEST),
     changeable("settings.limits", OBJECT, "taken whole"),
     changeable("settings.limits.cancel", FLAG, FROM_NEXT_REQUEST),
     changeable("settings.limits.second_copies", FLAG, FROM_NEXT_REQUEST),
-    changeable("settings.limits.probes", FLAG, EACH_DECISION),
-    changeable("settings.limits.peers", FLAG, EACH_DECISION),
+    changeable("settings.limits.probes", FLAG, READ_EACH_DECISION),
+    changeable("settings.limits.peers", FLAG, READ_EACH_DECISION),
     changeable("settings.limits.retry_after", FLAG, FROM_NEXT_REQUEST),
     changeable("settings.limits.max_attempts", POSITIVE_INTEGER, FROM_NEXT_REQUEST),
     changeable("settings.limits.max_retry_after", DURATION_NS, FROM_NEXT_REQUEST),
@@ -227,36 +227,36 @@
     ),
     changeable("settings.limits.idle_close", POSITIVE_DURATION_NS, "for all that rest"),
     changeable("settings.rules", OBJECT, "taken whole"),
-    changeable("settings.rules.answer_slack", DURATION_NS, EACH_DECISION),
-    changeable("settings.rules.drain_grace", DURATION_NS, EACH_DECISION),
-    changeable("settings.rules.start_capacity", FRACTION, EACH_DECISION),
-    changeable("settings.rules.cold", DURATION_NS, EACH_DECISION),
-    changeable("settings.rules.fall_multiple", NON_NEGATIVE, EACH_DECISION),
-    changeable("settings.rules.tip_after", DURATION_NS, EACH_DECISION),
-    changeable("settings.rules.must_ask_in", DURATION_NS, EACH_DECISION),
-    changeable("settings.prices", OBJECT, EACH_DECISION),
-    changeable("settings.prices.*", number_kind("a number"), EACH_DECISION),
-    changeable("settings.reporting", OBJECT, EACH_DECISION),
+    changeable("settings.rules.answer_slack", DURATION_NS, READ_EACH_DECISION),
+    changeable("settings.rules.drain_grace", DURATION_NS, READ_EACH_DECISION),
+    changeable("settings.rules.start_capacity", FRACTION, READ_EACH_DECISION),
+    changeable("settings.rules.cold", DURATION_NS, READ_EACH_DECISION),
+    changeable("settings.rules.fall_multiple", NON_NEGATIVE, READ_EACH_DECISION),
+    changeable("settings.rules.tip_after", DURATION_NS, READ_EACH_DECISION),
+    changeable("settings.rules.must_ask_in", DURATION_NS, READ_EACH_DECISION),
+    changeable("settings.prices", OBJECT, READ_EACH_DECISION),
+    changeable("settings.prices.*", number_kind("a number"), READ_EACH_DECISION),
+    changeable("settings.reporting", OBJECT, READ_EACH_DECISION),
     changeable(
         "settings.reporting.names", NAME_LIST, f"of {', '.join(LOAD_REPORT_FIELDS)}; others are passed over"
     ),
     changeable("settings.specifics", OBJECT, "taken whole"),
     changeable("settings.specifics.shared_counter", FLAG, "needs an address of the counter"),
-    changeable("settings.specifics.counter_price", NON_NEGATIVE, EACH_DECISION),
+    changeable("settings.specifics.counter_price", NON_NEGATIVE, READ_EACH_DECISION),
     changeable("settings.specifics.counter_timeout", DURATION_NS, "for calls that are made from now on"),
-    changeable("settings.specifics.meter_period", DURATION_NS, EACH_DECISION),
-    changeable("settings.specifics.settles", FLAG, EACH_DECISION),
+    changeable("settings.specifics.meter_period", DURATION_NS, READ_EACH_DECISION),
+    changeable("settings.specifics.settles", FLAG, READ_EACH_DECISION),
     changeable("settings.specifics.units_top", POSITIVE, FROM_NEXT_REQUEST),
 )
 KEY_BY_PATH = {key.path: key for key in KEYS}
-# Keys whose change needs a new process; all of them at the top.
+# Keys whose change needs a new process; all are top-level keys.
 FIXED_PATHS = frozenset(key.path for key in KEYS if not key.is_changeable)
-# Keys at the top that make the content of a version.
+# Top-level keys that form the content of a version.
 CHANGEABLE_PATHS = ("discovery", "counter", "limits", "settings")
 
 
-def table() -> str:
-    """Return the keys as docs/configuration.md quotes them."""
+def format_key_table() -> str:
+    """Return the table of keys as docs/configuration.md quotes it, in Markdown."""
     rows = [
         "| key | may hold | may change while running | how, or why not |",
         "| --- | --- | --- | --- |",
--- a/api_gateway/control/errors.py
+++ b/api_gateway/control/errors.py
@@ -6,19 +6,19 @@
 
 
 class ControlError(Exception):
-    """Base of all errors that this package raises by itself."""
+    """Base of all errors that this package defines."""
 
 
 class ChangeRejectedError(ControlError):
-    """A change of the configuration does not happen, and has had no effect."""
+    """A configuration change was rejected and has had no effect."""
 
     def __init__(self, status: int, text: str, **fields: Any) -> None:
-        """Describe the answer to the operator.
+        """Set the status and the body of the answer to the operator.
 
         Args:
             status: HTTP status of the answer.
-            text: What the answer says under `error`.
-            fields: Further keys of the answer, as JSON values.
+            text: The value of `error` in the answer.
+            fields: Further keys of the answer, with JSON values.
         """
         super().__init__(text)
         self.status = status
@@ -26,13 +26,13 @@
 
 
 class ConfigHistoryError(ControlError, ValueError):
-    """The stored history of configurations cannot be used."""
+    """The stored configuration history cannot be used."""
 
 
 class CorruptHistoryError(ConfigHistoryError):
-    """The history file holds something that no gateway wrote."""
+    """The content of the history file is not a valid history."""
 
     def __init__(self, reason: str) -> None:
-        """Keep the reason, which is empty where only a value is out of bounds."""
+        """Store the reason, which is empty if the structure is right but a value is invalid."""
         super().__init__(f"not a history: {reason}" if reason else "not a history")
         self.reason = reason
--- a/api_gateway/control/server.py
+++ b/api_gateway/control/server.py
@@ -1,7 +1,7 @@
-"""The control address, where operators and the platform call.
+"""The HTTP server of the control address, for calls by operators and the platform.
 
-It serves readiness, overrides of hosts, drains, and changes of the configuration; docs/on-call.md tells
-operators how to call it.
+It serves readiness, host overrides, drains and configuration changes; docs/on-call.md describes the calls for
+operators.
 """
 
 from __future__ import annotations
@@ -19,64 +19,64 @@
 from api_gateway.base.endpoint_list import Address
 from api_gateway.base.http_io import read_body
 from api_gateway.control.config_candidate import differences
-from api_gateway.control.config_changes import CONFIRM_LEAST, CONFIRM_MOST
-from api_gateway.control.config_schema import MOST_BODY, MOST_TOLD, is_number
+from api_gateway.control.config_changes import MAX_CONFIRM_WINDOW_S, MIN_CONFIRM_WINDOW_S
+from api_gateway.control.config_schema import MAX_BODY_BYTES, MAX_LISTED_ITEMS, is_number
 from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.control.host_overrides import UnknownHostError
 
 if TYPE_CHECKING:
     from api_gateway.gateway.node import GatewayNode
 
-# Open connections; with one more, the oldest is closed.
-MOST_CALLERS = 16
-# Connections beside them whose close has not taken effect; past both, new ones wait in the backlog.
-MOST_ENDING = 4
-# Seconds after which a connection is closed, with or without a call.
+# Maximum open connections; one more closes the oldest.
+MAX_CONNECTIONS = 16
+# Maximum further connections whose close has not completed; above both limits new ones wait in the backlog.
+MAX_CLOSING_CONNECTIONS = 4
+# Seconds after which a connection is closed, whether or not it has made a call.
 CALL_TIMEOUT_S = 6.0
-# Connections that wait to be accepted.
+# Maximum connections waiting to be accepted.
 BACKLOG = 64
-# Seconds for a body to arrive.
+# Seconds within which a request body must arrive.
 BODY_TIMEOUT_S = 2.0
-# Digits of a version's number in a query.
+# Maximum digits of a version number in a query.
 MAX_VERSION_DIGITS = 9
 
 log = logging.getLogger(__name__)
 
-# HTTP status, and the JSON object of the body.
+# The HTTP status and the JSON object of the body.
 Answer = tuple[int, dict[str, Any]]
 CallHandler = Callable[[web.BaseRequest], Answer | Awaitable[Answer]]
 
 
 class SingleCallServer(web.Server):
-    """An HTTP server whose connections are for one call each.
+    """An HTTP server that serves one call per connection.
 
-    A connection that brings none is closed in time, and so is one that stays after it or does not read its
-    answer.
+    A connection is closed after CALL_TIMEOUT_S if it makes no call, stays open after its call or does not
+    read its answer.
     """
 
     def __init__(self, handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]) -> None:
-        """Serve calls by `handler`; the owner of the socket sets `on_connection_ended`."""
+        """Serve calls with `handler`; the owner of the socket sets `on_connection_ended`."""
         super().__init__(handler, access_log=None)
-        # Those that are not being closed, the oldest first.
+        # Connections that are not being closed, oldest first.
         self.open_connections: dict[RequestHandler, asyncio.Transport] = {}
         self.on_connection_ended: Callable[[], None] = lambda: None
 
     def connection_made(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
-        """Bound the number of connections and the time of this one."""
+        """Limit the number of open connections and the duration of this one."""
         super().connection_made(handler, transport)
         self.open_connections[handler] = transport
-        if len(self.open_connections) > MOST_CALLERS:
+        if len(self.open_connections) > MAX_CONNECTIONS:
             self.abort(next(iter(self.open_connections)))
         asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.abort, handler)
 
     def connection_lost(self, handler: RequestHandler, exc: BaseException | None = None) -> None:
-        """Report the end of a connection to the owner of the socket."""
+        """Notify the owner of the socket that a connection has ended."""
         super().connection_lost(handler, exc)
         self.open_connections.pop(handler, None)
         self.on_connection_ended()
 
     def abort(self, handler: RequestHandler) -> None:
-        """Close a connection at once, whatever it has not read of an answer; twice is no harm."""
+        """Close a connection at once, even with an unread answer; further calls have no effect."""
         transport = self.open_connections.pop(handler, None)
         if transport is not None:
             handler.force_close()
@@ -84,18 +84,18 @@
 
 
 class ControlServer:
-    """Answers the calls of operators for one gateway process.
+    """Answers operator calls for one gateway process.
 
-    The node and its changes act before they return, so an answer says what has happened.
+    Each call takes effect before its answer is sent, so the answer reports the actual result.
     """
 
     def __init__(self, node: GatewayNode) -> None:
-        """Prepare to serve; listen() opens the socket."""
+        """Set up the calls; listen() opens the socket."""
         self.node = node
         self.server = SingleCallServer(self.handle_request)
         self.listener: BoundedServer | None = None
-        # The method and the handler of each path.
-        self.calls: dict[str, tuple[str, CallHandler]] = {
+        # The HTTP method and the handler of each path.
+        self.routes: dict[str, tuple[str, CallHandler]] = {
             "/status": ("GET", self.get_status),
             "/members": ("GET", self.get_members),
             "/config": ("GET", self.get_config),
@@ -113,13 +113,13 @@
     async def listen(self, address: Address) -> int:
         """Open the control address and return its port. Raises OSError."""
         sock = await open_listening_socket(address, BACKLOG)
-        self.listener = BoundedServer(sock, self.server, MOST_CALLERS + MOST_ENDING)
+        self.listener = BoundedServer(sock, self.server, MAX_CONNECTIONS + MAX_CLOSING_CONNECTIONS)
         self.server.on_connection_ended = self.listener.connection_ended
         port: int = self.listener.sockets[0].getsockname()[1]
         return port
 
     async def handle_request(self, request: web.BaseRequest) -> web.Response:
-        """Answer one call and let its connection end."""
+        """Answer one call and close its connection."""
         status, body = await self.answer(request)
         if request.method != "GET":
             log.info(
@@ -130,23 +130,23 @@
         return response
 
     async def answer(self, request: web.BaseRequest) -> Answer:
-        """Return the answer to a call, also to one that fails."""
-        if request.path not in self.calls:
+        """Return the answer to a call, including a call that fails."""
+        if request.path not in self.routes:
             return 404, {"error": "no such call"}
-        method, handler = self.calls[request.path]
+        method, handler = self.routes[request.path]
         if request.method != method:
             return 405, {"error": f"this is a {method}"}
         try:
             answer = handler(request)
             return await answer if inspect.isawaitable(answer) else answer
         except Exception as err:
-            answer_to_error = answer_of(err)
-            if answer_to_error is None:
+            error_answer = answer_for_error(err)
+            if error_answer is None:
                 raise
-            return answer_to_error
+            return error_answer
 
     def get_status(self, request: web.BaseRequest) -> Answer:
-        """Answer whether this process is ready for clients, by the HTTP status too."""
+        """Return the status of this process; the HTTP status says whether it is ready for clients."""
         query_values(request)
         status = self.node.status()
         return (200 if status["ready"] else 503), status
@@ -160,62 +160,62 @@
         return self.override_host(request, ejected=False)
 
     def override_host(self, request: web.BaseRequest, *, ejected: bool) -> Answer:
-        """Set the override of the host that the query names."""
+        """Set the override of the host given in the query."""
         host = query_values(request, "host")[0]
         self.node.set_override(host, ejected)
         return 200, {"host": host, "out": ejected}
 
     def begin_drain(self, request: web.BaseRequest) -> Answer:
-        """Send clients away."""
+        """Start draining, so that clients move to other processes."""
         return self.set_drain(request, draining=True)
 
     def end_drain(self, request: web.BaseRequest) -> Answer:
-        """Take clients again."""
+        """Stop draining and accept clients again."""
         return self.set_drain(request, draining=False)
 
     def set_drain(self, request: web.BaseRequest, *, draining: bool) -> Answer:
-        """Begin or end a drain; a process that is stopping rejects both."""
+        """Start or stop a drain; a stopping process rejects both."""
         query_values(request)
         if not self.node.set_draining(draining):
             return 409, {"error": "this process is at its end"}
         return 200, {"state": self.node.state}
 
     def get_members(self, request: web.BaseRequest) -> Answer:
-        """Answer the members of the cluster as this process sees them."""
+        """Return the members of the cluster as this process sees them."""
         query_values(request)
         if self.node.member is None:
             return 404, {"error": "this process is in no cluster"}
         return 200, self.node.member.status()
 
     def get_config(self, request: web.BaseRequest) -> Answer:
-        """Answer the configuration in force."""
+        """Return the configuration in force."""
         query_values(request)
         return 200, self.node.config_changes().status_with_config()
 
     def get_history(self, request: web.BaseRequest) -> Answer:
-        """Answer the versions that can be rolled back to."""
+        """Return the versions that can be rolled back to."""
         query_values(request)
         return 200, {"versions": self.node.config_changes().list_versions()}
 
     async def check_config(self, request: web.BaseRequest) -> Answer:
-        """Check a candidate and answer what it would change."""
+        """Validate a candidate and return the differences from the configuration in force."""
         query_values(request)
         changes = self.node.config_changes()
-        content = changes.check(await read_body(request, MOST_BODY, BODY_TIMEOUT_S))
+        content = changes.check(await read_body(request, MAX_BODY_BYTES, BODY_TIMEOUT_S))
         rows = list(differences(changes.current.content, content))
-        return 200, {"changes": rows[:MOST_TOLD], "more": max(0, len(rows) - MOST_TOLD)}
+        return 200, {"changes": rows[:MAX_LISTED_ITEMS], "more": max(0, len(rows) - MAX_LISTED_ITEMS)}
 
     async def apply_config(self, request: web.BaseRequest) -> Answer:
         """Bring a candidate into force."""
         expected, window = query_values(request, "expect", optional="confirm_within")
-        body = await read_body(request, MOST_BODY, BODY_TIMEOUT_S)
+        body = await read_body(request, MAX_BODY_BYTES, BODY_TIMEOUT_S)
         expected_version = parse_version_number("expect", expected)
         return 200, await self.node.config_changes().apply(
             body, expected_version, parse_confirm_window(window)
         )
 
     def confirm_config(self, request: web.BaseRequest) -> Answer:
-        """Let a change stay that waits for its confirmation."""
+        """Confirm a pending change."""
         number = parse_version_number("version", query_values(request, "version")[0])
         return 200, self.node.config_changes().confirm(number)
 
@@ -225,15 +225,15 @@
         return 200, await self.node.config_changes().roll_back(number)
 
     def close(self) -> None:
-        """Close the address and all connections."""
+        """Close the listening socket and all connections."""
         if self.listener:
             self.listener.close()
         for connection in self.server.connections:
             connection.force_close()
 
 
-def answer_of(error: Exception) -> Answer | None:
-    """Return the answer to a call that raised this error; None where no call is meant to."""
+def answer_for_error(error: Exception) -> Answer | None:
+    """Return the answer to a call that raised this error; None if no call should raise it."""
     if isinstance(error, ValueError):
         return 400, {"error": str(error)}
     if isinstance(error, ChangeRejectedError):
@@ -249,22 +249,22 @@
 
 
 def query_values(request: web.BaseRequest, *required: str, optional: str = "") -> list[str]:
-    """Return the values of exactly these names in the query; "" for the optional one where it is absent.
+    """Return the query's values of the required names, then of the optional name ("" if it is absent).
 
     Raises:
-        ValueError: The query holds other names, or a name without a value.
+        ValueError: The query has missing, repeated or unknown names, or a name without a value.
     """
-    found = [name for name, _ in sorted(request.query.items())]
+    present = [name for name, _ in sorted(request.query.items())]
     accepted = (sorted(required), sorted([*required, optional]))
-    if found not in accepted or not all(request.query.values()):
-        text = f"the query must hold {' and '.join(required) or 'nothing'}"
-        raise ValueError(text + (f", and may hold {optional}" if optional else ""))
+    if present not in accepted or not all(request.query.values()):
+        message = f"the query must hold {' and '.join(required) or 'nothing'}"
+        raise ValueError(message + (f", and may hold {optional}" if optional else ""))
     names = [*required, optional] if optional else required
     return [request.query.get(name, "") for name in names]
 
 
 def parse_version_number(name: str, text: str) -> int:
-    """Return the number that a query gives under `name`. Raises ValueError where it is none."""
+    """Parse the version number in the query parameter `name`. Raises ValueError if it is not a number."""
     if not (text.isascii() and text.isdecimal()) or len(text) > MAX_VERSION_DIGITS:
         raise ValueError(f"{name} must be a version's number")
     return int(text)
@@ -274,7 +274,7 @@
     """Return the seconds within which a change must be confirmed; None for "".
 
     Raises:
-        ValueError: It is no number within the bounds.
+        ValueError: The text is not a number within the bounds.
     """
     if not text:
         return None
@@ -282,6 +282,8 @@
         window = float(text)
     except ValueError:
         window = -1.0
-    if not is_number(window) or not CONFIRM_LEAST <= window <= CONFIRM_MOST:
-        raise ValueError(f"confirm_within must be {CONFIRM_LEAST:.0f} to {CONFIRM_MOST:.0f} seconds")
+    if not is_number(window) or not MIN_CONFIRM_WINDOW_S <= window <= MAX_CONFIRM_WINDOW_S:
+        raise ValueError(
+            f"confirm_within must be {MIN_CONFIRM_WINDOW_S:.0f} to {MAX_CONFIRM_WINDOW_S:.0f} seconds"
+        )
     return window
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -323,7 +323,7 @@
     Asked(
         "a configuration with a plan for each route",
         "config_bytes",
-        "control.config_schema.MOST_BODY",
+        "control.config_schema.MAX_BODY_BYTES",
         "bytes",
         "a bound of the call; the file that is read at SIGHUP has none",
     ),
--- a/tests/control/test_config_changes.py
+++ b/tests/control/test_config_changes.py
@@ -111,7 +111,7 @@
         status, told = await node.call_control("POST /config/check", bad)
         assert status == 400 and {f["path"] for f in told["faults"]} == {"discovery", "settings.plans.0.rate"}
         assert (await node.call_control("POST /config/check", b"{"))[0] == 400
-        assert (await node.call_control("POST /config/check", b" " * (keys.MOST_BODY + 1)))[0] == 400
+        assert (await node.call_control("POST /config/check", b" " * (keys.MAX_BODY_BYTES + 1)))[0] == 400
         assert in_force(node) == before and (await config(node))["version"] == 1
 
 
--- a/tests/control/test_config_schema.py
+++ b/tests/control/test_config_schema.py
@@ -141,7 +141,7 @@
         (DEEP, "levels"),
         (b'{"a":' * 20 + b"1" + b"}" * 20, "levels"),
         (b'{"limits":{"cores":1' + b"0" * 5000 + b"}}", "JSON"),
-        (b"[" + b"1," * keys.MOST_BODY + b"1]", "bytes"),
+        (b"[" + b"1," * keys.MAX_BODY_BYTES + b"1]", "bytes"),
         (b'{"discovery":"a:1","discovery":"b:2"}', "once"),
         (b'{"limits":{"cores":NaN}}', "finite"),
         (b'{"limits":{"cores":-Infinity}}', "finite"),
@@ -184,20 +184,20 @@
 
     def __init__(self, tree, path, names):
         super().__init__(
-            {name: watch(value, candidate.join(path, name), names) for name, value in tree.items()}
+            {name: watch(value, candidate.join_path(path, name), names) for name, value in tree.items()}
         )
         self.path, self.names = path, names
 
     def __getitem__(self, name):
-        self.names.add(candidate.join(self.path, name))
+        self.names.add(candidate.join_path(self.path, name))
         return super().__getitem__(name)
 
     def __contains__(self, name):
-        self.names.add(candidate.join(self.path, name))
+        self.names.add(candidate.join_path(self.path, name))
         return super().__contains__(name)
 
     def get(self, name, default=None):
-        self.names.add(candidate.join(self.path, name))
+        self.names.add(candidate.join_path(self.path, name))
         return super().get(name, default)
 
 
@@ -224,4 +224,4 @@
         "membership",
         "view",
     }
-    assert keys.table() in (ROOT / "docs" / "configuration.md").read_text()
+    assert keys.format_key_table() in (ROOT / "docs" / "configuration.md").read_text()
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -68,7 +68,7 @@
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         idle = [
             await asyncio.open_connection("127.0.0.1", node.control_port)
-            for _ in range(2 * control.MOST_CALLERS)
+            for _ in range(2 * control.MAX_CONNECTIONS)
         ]
         assert (await node.call_control("GET /status"))[0] == 200
         assert await idle[0][0].read() == b""  # the oldest went
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -701,11 +701,11 @@
     "gateway.in_flight.MAX_SMALL_BODY_BYTES",
     "downstream.client_connection.MAX_COMMAND_BYTES",
     "upstream.connection.MAX_REPLY_BYTES",
-    "control.server.MOST_CALLERS",
-    "control.server.MOST_ENDING",
-    "control.config_schema.MOST_DEPTH",
-    "control.config_schema.MOST_TOLD",
-    "control.config_schema.MOST_TEXT",
+    "control.server.MAX_CONNECTIONS",
+    "control.server.MAX_CLOSING_CONNECTIONS",
+    "control.config_schema.MAX_DEPTH",
+    "control.config_schema.MAX_LISTED_ITEMS",
+    "control.config_schema.MAX_TEXT_LENGTH",
     "membership.service.MAX_CLUSTER_NAME_CHARACTERS",
     "membership.gossip.MAX_UPDATES_PER_DATAGRAM",
     "membership.messages.MAX_DATAGRAM_BYTES",
@@ -720,7 +720,7 @@
     "discovery.polling.MAX_GRACE_S",
     "discovery.polling.MAX_BACKOFF_S",
     "discovery.polling.MAX_BACKOFF_DOUBLINGS",
-    "control.config_changes.CONFIRM_MOST",
+    "control.config_changes.MAX_CONFIRM_WINDOW_S",
     "policy.counter_calls.MAX_BACKOFF_S",
     "policy.customer_accounts.MAX_ACCOUNT_IDLE_S",
     "policy.retries.MAX_RETRY_BUDGET",
@@ -962,7 +962,7 @@
 
 def test_a_constant_that_is_gone_is_an_error():
     assert cells.constant("registry.core", "MOST_GONE") == 1000
-    assert cells.constant("control.config_schema", "MOST_BODY") == 512 * 1024
+    assert cells.constant("control.config_schema", "MAX_BODY_BYTES") == 512 * 1024
     assert cells.constant("policy.endpoints", "MAX_IN_FLIGHT_PER_ENDPOINT") == 4.0
     with pytest.raises(KeyError):
         cells.constant("registry.core", "MOST_OF_NOTHING")
--- a/tests/gateway/test_descriptor_shortage.py
+++ b/tests/gateway/test_descriptor_shortage.py
@@ -422,7 +422,10 @@
                 if n % 20 == 0:
                     assert await gateway.ping(*peer) == PONG
                 max_open = max(max_open, len(gateway.open_descriptors()))
-            assert max_open <= base_count + control_server.MOST_CALLERS + control_server.MOST_ENDING
+            assert (
+                max_open
+                <= base_count + control_server.MAX_CONNECTIONS + control_server.MAX_CLOSING_CONNECTIONS
+            )
             assert (await gateway.status())["ready"]
         finally:
             for sock in idle_sockets:
