--- a/tests/control/test_config_changes_model.py
+++ b/tests/control/test_config_changes_model.py
@@ -1,5 +1,8 @@
-"""Seeded sequences of calls, signals, deaths and times gone by, over two processes of one gateway, against a
-small model of what must be in force in each. Clock and timers are the test's; the history is a real file."""
+"""Checks two processes of one gateway against a model of which configuration must be in force in each.
+
+The operations are seeded random sequences of calls, signals, crashes and elapsed time. The clock and the
+timers are simulated; the history is a real file.
+"""
 
 import asyncio
 import json
@@ -14,20 +17,20 @@
 from api_gateway.control.errors import ChangeRejectedError
 from api_gateway.gateway.config import read_config
 
-DEAD = "127.0.0.1:1"
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
 SEEDS = range(30)
-OPS = 120
-CHOICES = (
+OPERATION_COUNT = 120
+OPERATIONS = (
     ["apply"] * 6 + ["confirm", "back", "time", "start"] * 2 + ["signal", "broken", "bad", "die", "file"]
 )
 
 
 class Killed(BaseException):
-    """A process dies here."""
+    """Simulates the death of a process."""
 
 
 class FakeNode:
-    """What ConfigChanges needs of a gateway."""
+    """The parts of a gateway node that ConfigChanges uses."""
 
     def __init__(self, world, env):
         self.world, self.config, self.state = world, read_config(env), "active"
@@ -36,8 +39,8 @@
     def clock(self):
         return self.world.now
 
-    def call_later(self, delay, act):
-        return Timer(self.world.now + delay, act, self.timers)
+    def call_later(self, delay, callback):
+        return Timer(self.world.now + delay, callback, self.timers)
 
     def adopt_config(self, config, listing):
         self.config = config
@@ -53,8 +56,8 @@
 
 
 class Timer:
-    def __init__(self, at, act, timers):
-        self.at, self.act, self.timers = at, act, timers
+    def __init__(self, due_at, callback, timers):
+        self.due_at, self.callback, self.timers = due_at, callback, timers
         timers.append(self)
 
     def cancel(self):
@@ -69,13 +72,13 @@
         self.changes.start()
 
     def run_timers(self):
-        while due := [t for t in self.node.timers if t.at <= self.node.clock()]:
+        while due := [timer for timer in self.node.timers if timer.due_at <= self.node.clock()]:
             due[0].cancel()
-            due[0].act()
+            due[0].callback()
 
 
 class World:
-    """Two processes, each of which may be dead, and the file that they start from."""
+    """Two processes, each running or dead, and the configuration file that they read at start."""
 
     def __init__(self, folder, monkeypatch):
         self.folder, self.now = folder, 1000.0
@@ -85,10 +88,10 @@
         self.write(1)
         self.processes = [Process(self, self.env), None]
 
-    def tree(self, rate, dead=False):
+    def tree(self, rate, is_unreachable=False):
         tree = json.loads(json.dumps(gateway_config([], 7, 8)))
         tree["settings"]["plans"][0]["rate"] = float(rate)
-        tree["discovery"] = DEAD if dead else tree["discovery"]
+        tree["discovery"] = UNREACHABLE_ADDRESS if is_unreachable else tree["discovery"]
         return tree
 
     def write(self, rate):
@@ -96,174 +99,189 @@
 
 
 class Model:
-    """What must be in force. A content is known by its rate, and by whether its discovery is dead."""
+    """The expected state. A content is identified by its rate and by whether its discovery is unreachable."""
 
     def __init__(self):
-        self.versions, self.newest, self.by, self.pending = {1: (1, False)}, 1, "start", None
-        self.file = self.filed = (1, False)
-        self.own = [(1, 1, False), None]  # of each process: version, rate, dead
+        self.versions, self.newest, self.origin, self.pending = {1: (1, False)}, 1, "start", None
+        self.file_content = self.stored_file_content = (1, False)
+        self.in_force = [(1, 1, False), None]  # (version, rate, is_unreachable) of each process
 
-    def add(self, what, by, pending=None):
+    def add(self, content, origin, pending=None):
         self.newest += 1
-        self.versions[self.newest], self.by, self.pending = what, by, pending
+        self.versions[self.newest], self.origin, self.pending = content, origin, pending
         self.versions.pop(self.newest - MAX_VERSIONS, None)
         self.follow()
 
     def follow(self):
-        what = self.versions[self.newest]
-        self.own = [
-            own and ((self.newest, *what) if self.by != "start" or own[1:] == what else own)
-            for own in self.own
+        content = self.versions[self.newest]
+        self.in_force = [
+            in_force
+            and ((self.newest, *content) if self.origin != "start" or in_force[1:] == content else in_force)
+            for in_force in self.in_force
         ]
 
-    def same(self, p, what):
-        return self.own[p] == (self.newest, *what)
+    def is_in_force(self, index, content):
+        return self.in_force[index] == (self.newest, *content)
 
-    def change(self, p, what, by, within=None, now=0.0):
-        if what[1] and not self.own[p][2]:
+    def change(self, index, content, origin, confirm_within=None, now=0.0):
+        if content[1] and not self.in_force[index][2]:
             return 503
-        self.add(what, by, within and (self.newest + 1, self.newest, now + within))
+        self.add(content, origin, confirm_within and (self.newest + 1, self.newest, now + confirm_within))
         return 200
 
-    def apply(self, p, what, expect, within, now):
-        if self.same(p, what):
+    def apply(self, index, content, expected_version, confirm_within, now):
+        if self.is_in_force(index, content):
             return 200
-        if expect != self.newest or self.pending:
+        if expected_version != self.newest or self.pending:
             return 409
-        return self.change(p, what, "call", within, now)
+        return self.change(index, content, "call", confirm_within, now)
 
-    def roll_back(self, p, to):
+    def roll_back(self, index, to):
         if to not in self.versions:
             return 404
-        what = self.versions[to]
-        return 200 if self.same(p, what) else self.change(p, what, "rollback")
+        content = self.versions[to]
+        return 200 if self.is_in_force(index, content) else self.change(index, content, "rollback")
 
     def confirm(self, number):
         if self.pending and self.pending[0] == number:
             self.pending = None
         return 200 if number == self.newest and not self.pending else 409
 
-    def signal(self, p):
-        self.filed, self.pending = self.file, None
-        if not self.same(p, self.file):
-            self.add(self.file, "signal")
-
-    def start(self, p):
-        what = self.versions[self.newest]
-        self.own[p] = (self.newest, *what)
-        if self.file != self.filed or (self.by == "start" and what != self.file):
-            self.filed = self.file
+    def signal(self, index):
+        self.stored_file_content, self.pending = self.file_content, None
+        if not self.is_in_force(index, self.file_content):
+            self.add(self.file_content, "signal")
+
+    def start(self, index):
+        content = self.versions[self.newest]
+        self.in_force[index] = (self.newest, *content)
+        if self.file_content != self.stored_file_content or (
+            self.origin == "start" and content != self.file_content
+        ):
+            self.stored_file_content = self.file_content
             self.newest += 1
-            self.versions[self.newest], self.by, self.pending = self.file, "start", None
+            self.versions[self.newest], self.origin, self.pending = self.file_content, "start", None
             self.versions.pop(self.newest - MAX_VERSIONS, None)
-            self.own[p] = (self.newest, *self.file)
+            self.in_force[index] = (self.newest, *self.file_content)
         self.follow()
 
     def pass_time(self, now):
-        if self.pending and now >= self.pending[2] and any(self.own):
+        if self.pending and now >= self.pending[2] and any(self.in_force):
             self.add(self.versions[self.pending[1]], "expiry")
 
 
-async def answer(coroutine_or_value):
-    """The status that an operator would see."""
+async def status_of(call):
+    """Return the HTTP status that an operator would get."""
     try:
-        got = coroutine_or_value()
-        if asyncio.iscoroutine(got):
-            await got
+        result = call()
+        if asyncio.iscoroutine(result):
+            await result
     except ChangeRejectedError as err:
         return err.status
     return 200
 
 
-async def play(seed, folder, monkeypatch, ops=OPS):
+async def run_operations(seed, folder, monkeypatch, operation_count=OPERATION_COUNT):
     rng, world, model = random.Random(seed), World(folder, monkeypatch), Model()
     seen = set()
-    for _ in range(ops):
-        living = [n for n, process in enumerate(world.processes) if process]
-        op = rng.choice(CHOICES)
-        p = rng.choice(living) if living else 0
-        changes = world.processes[p].changes if living else None
-        if op == "start" or not living:
-            p = next((n for n, process in enumerate(world.processes) if not process), None)
-            if p is not None:
-                world.processes[p] = Process(world, world.env)
-                model.start(p)
-        elif op == "apply":
-            what = (rng.randint(1, 6), rng.random() < 0.15)
-            expect = model.newest if rng.random() < 0.8 else rng.randint(0, model.newest)
-            within, dies = rng.choice([None, None, 5.0]), rng.random() < 0.1
-            text = json.dumps(world.tree(*what)).encode()
-            if dies:
+    for _ in range(operation_count):
+        running = [n for n, process in enumerate(world.processes) if process]
+        operation = rng.choice(OPERATIONS)
+        index = rng.choice(running) if running else 0
+        changes = world.processes[index].changes if running else None
+        if operation == "start" or not running:
+            index = next((n for n, process in enumerate(world.processes) if not process), None)
+            if index is not None:
+                world.processes[index] = Process(world, world.env)
+                model.start(index)
+        elif operation == "apply":
+            content = (rng.randint(1, 6), rng.random() < 0.15)
+            expected_version = model.newest if rng.random() < 0.8 else rng.randint(0, model.newest)
+            confirm_within, is_killed = rng.choice([None, None, 5.0]), rng.random() < 0.1
+            text = json.dumps(world.tree(*content)).encode()
+            if is_killed:
                 changes.commit = lambda *_: (_ for _ in ()).throw(Killed)
             try:
-                got = await answer(lambda c=changes, a=(text, expect, within): c.apply(*a))
-                wanted = model.apply(p, what, expect, within, world.now)
-                assert got == wanted, (seed, op, got, wanted)
+                status = await status_of(
+                    lambda c=changes, a=(text, expected_version, confirm_within): c.apply(*a)
+                )
+                expected_status = model.apply(index, content, expected_version, confirm_within, world.now)
+                assert status == expected_status, (seed, operation, status, expected_status)
             except Killed:
-                model.own[p] = world.processes[p] = None
-                # Its own look may die as well, on the way to a version that the other has written.
+                model.in_force[index] = world.processes[index] = None
+                # It may also die while polling, when it adopts a version that the other process has written.
                 found = decode_history((folder / "n0-config.json").read_text())
                 if found.newest.number > model.newest:
-                    model.add(what, "call", within and (model.newest + 1, model.newest, world.now + within))
+                    model.add(
+                        content,
+                        "call",
+                        confirm_within and (model.newest + 1, model.newest, world.now + confirm_within),
+                    )
             else:
                 vars(changes).pop("commit", None)
-            seen.add((op, got if not dies else "died"))
-        elif op == "confirm":
+            seen.add((operation, status if not is_killed else "died"))
+        elif operation == "confirm":
             number = model.newest - rng.choice([0, 0, 0, 1])
-            got, wanted = await answer(lambda c=changes, n=number: c.confirm(n)), model.confirm(number)
-            assert got == wanted, (seed, op, got, wanted)
-            seen.add((op, got))
-        elif op == "back":
+            status, expected_status = (
+                await status_of(lambda c=changes, n=number: c.confirm(n)),
+                model.confirm(number),
+            )
+            assert status == expected_status, (seed, operation, status, expected_status)
+            seen.add((operation, status))
+        elif operation == "back":
             to = rng.randint(max(0, model.newest - 25), model.newest + 1)
-            got, wanted = await answer(lambda c=changes, t=to: c.roll_back(t)), model.roll_back(p, to)
-            assert got == wanted, (seed, op, got, wanted)
-            seen.add((op, got))
-        elif op == "bad":
+            status, expected_status = (
+                await status_of(lambda c=changes, t=to: c.roll_back(t)),
+                model.roll_back(index, to),
+            )
+            assert status == expected_status, (seed, operation, status, expected_status)
+            seen.add((operation, status))
+        elif operation == "bad":
             text = json.dumps(world.tree(-1) if rng.random() < 0.5 else {"settings": 5}).encode()
-            assert await answer(lambda c=changes, t=text: c.apply(t, model.newest, None)) == 400
-        elif op == "file":
-            model.file = (rng.randint(1, 6), False)
-            world.write(model.file[0])
-        elif op == "signal":
+            assert await status_of(lambda c=changes, t=text: c.apply(t, model.newest, None)) == 400
+        elif operation == "file":
+            model.file_content = (rng.randint(1, 6), False)
+            world.write(model.file_content[0])
+        elif operation == "signal":
             changes.reload()
-            model.signal(p)
-        elif op == "broken":
+            model.signal(index)
+        elif operation == "broken":
             world.path.write_text("{")
             changes.reload()
-            world.write(model.file[0])
-        elif op == "die":
-            world.processes[p] = model.own[p] = None
-        elif op == "time":
+            world.write(model.file_content[0])
+        elif operation == "die":
+            world.processes[index] = model.in_force[index] = None
+        elif operation == "time":
             world.now += rng.choice([0.5, 3.0, 6.0])
         for process in filter(None, world.processes):
             process.run_timers()
         model.pass_time(world.now)
         for process in filter(None, world.processes):
             process.changes.poll()
-        agree(seed, world, model)
+        assert_matches_model(seed, world, model)
     return seen
 
 
-def agree(seed, world, model):
-    for process, own in zip(world.processes, model.own, strict=True):
+def assert_matches_model(seed, world, model):
+    for process, expected in zip(world.processes, model.in_force, strict=True):
         if not process:
             continue
         changes, config = process.changes, process.node.config
-        had = (changes.current.number, config.settings.plans["p"].rate, config.discovery[1] == 1)
-        assert had == own, (seed, had, own)
+        actual = (changes.current.number, config.settings.plans["p"].rate, config.discovery[1] == 1)
+        assert actual == expected, (seed, actual, expected)
         assert changeable_content(config) == changes.current.content
         assert [v.number for v in changes.history.versions] == sorted(model.versions)
-        waits = changes.history.pending
-        assert (waits and (waits.number, waits.previous, waits.deadline)) == model.pending, seed
-        assert (waits is None) == (not process.node.timers)
+        pending = changes.history.pending
+        assert (pending and (pending.number, pending.previous, pending.deadline)) == model.pending, seed
+        assert (pending is None) == (not process.node.timers)
 
 
-def run(seed, folder, monkeypatch, ops=OPS):
-    return asyncio.run(play(seed, folder, monkeypatch, ops))
+def run(seed, folder, monkeypatch, operation_count=OPERATION_COUNT):
+    return asyncio.run(run_operations(seed, folder, monkeypatch, operation_count))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_what_is_in_force_is_what_the_model_says(seed, scratch, monkeypatch):
+def test_config_in_force_matches_the_model(seed, scratch, monkeypatch):
     seen = run(seed, scratch, monkeypatch)
     assert ("apply", 200) in seen and ("apply", 409) in seen
 
@@ -275,37 +293,37 @@
 def planted_no_expect(monkeypatch):
     apply = ConfigChanges.apply
 
-    def any_version(self, body, expect, within):
+    def apply_to_any_version(self, body, expected_version, confirm_within):
         self.poll()
-        return apply(self, body, self.history.newest.number, within)
+        return apply(self, body, self.history.newest.number, confirm_within)
 
-    monkeypatch.setattr(ConfigChanges, "apply", any_version)
+    monkeypatch.setattr(ConfigChanges, "apply", apply_to_any_version)
 
 
 def planted_history_written_after_the_commit(monkeypatch):
     save, commit = ConfigHistoryFile.save, ConfigChanges.commit
 
-    def later(self, config, version, listing):
+    def commit_and_save(self, config, version, listing):
         commit(self, config, version, listing)
         save(self.history_file, self.history)
 
-    def first(self, history):
+    def save_first_only(self, history):
         if not self.path.exists():
             save(self, history)
 
-    monkeypatch.setattr(ConfigHistoryFile, "save", first)
-    monkeypatch.setattr(ConfigChanges, "commit", later)
+    monkeypatch.setattr(ConfigHistoryFile, "save", save_first_only)
+    monkeypatch.setattr(ConfigChanges, "commit", commit_and_save)
 
 
 def planted_no_timer_after_a_start(monkeypatch):
-    begin, schedule = ConfigChanges.start, ConfigChanges.schedule_expiry
+    start, schedule = ConfigChanges.start, ConfigChanges.schedule_expiry
 
-    def unarmed(self):
+    def start_without_timer(self):
         monkeypatch.setattr(ConfigChanges, "schedule_expiry", lambda self: None)
-        begin(self)
+        start(self)
         monkeypatch.setattr(ConfigChanges, "schedule_expiry", schedule)
 
-    monkeypatch.setattr(ConfigChanges, "start", unarmed)
+    monkeypatch.setattr(ConfigChanges, "start", start_without_timer)
 
 
 @pytest.mark.parametrize(
--- a/tests/control/test_config_schema.py
+++ b/tests/control/test_config_schema.py
@@ -1,4 +1,4 @@
-"""A candidate configuration: every fault found, each with its path, its value and what is allowed."""
+"""Validation of candidates: every fault is reported with its path, its value and the allowed values."""
 
 import json
 from pathlib import Path
@@ -6,36 +6,35 @@
 import pytest
 from netkit import gateway_config
 
-from api_gateway.control import config_candidate as candidate
-from api_gateway.control import config_schema as keys
+from api_gateway.control import config_candidate, config_schema
 from api_gateway.gateway.config import build_config
 
 ROOT = Path(__file__).resolve().parents[2]
-LAST = gateway_config([], 1, 2)
+CURRENT = gateway_config([], 1, 2)
 
 
-def spoilt(path, value):
-    """A candidate with another value at a path; None: without it."""
-    tree = json.loads(json.dumps(LAST))
-    node, *parents = tree, *path.split(".")
+def candidate_with(path, value):
+    """Return a candidate with another value at a path, or with None without that key."""
+    tree = json.loads(json.dumps(CURRENT))
+    target, *parents = tree, *path.split(".")
     for part in parents[:-1]:
-        node = node[int(part) if part.isdigit() else part]
+        target = target[int(part) if part.isdigit() else part]
     if value is None:
-        del node[parents[-1]]
+        del target[parents[-1]]
     else:
-        node[parents[-1]] = value
+        target[parents[-1]] = value
     return tree
 
 
-def faults(tree):
-    found, odd = candidate.parse(json.dumps(tree).encode())
-    return {f.path: f for f in odd or candidate.check(found, LAST)}
+def find_faults(tree):
+    parsed, parse_faults = config_candidate.parse(json.dumps(tree).encode())
+    return {fault.path: fault for fault in parse_faults or config_candidate.check(parsed, CURRENT)}
 
 
-def test_what_is_in_force_is_no_fault_and_makes_a_configuration():
-    assert not faults(LAST) and build_config(LAST, {})
-    few = {name: LAST[name] for name in keys.CHANGEABLE_PATHS}  # what cannot change may be left out
-    assert not faults(few)
+def test_config_in_force_has_no_faults_and_builds():
+    assert not find_faults(CURRENT) and build_config(CURRENT, {})
+    changeable_only = {name: CURRENT[name] for name in config_schema.CHANGEABLE_PATHS}  # others are optional
+    assert not find_faults(changeable_only)
 
 
 @pytest.mark.parametrize(
@@ -98,23 +97,23 @@
         ("seed", "xyz"),
     ],
 )
-def test_a_fault_is_told_with_its_path_its_value_and_what_is_allowed(path, value):
-    found = faults(spoilt(path, value))
-    at = path if path in found else "settings.plans.0.cap_depth"  # a rate that lacks its burst
-    fault = found[at]
+def test_fault_reports_path_value_and_allowed_values(path, value):
+    found = find_faults(candidate_with(path, value))
+    reported_path = path if path in found else "settings.plans.0.cap_depth"  # a rate without its burst
+    fault = found[reported_path]
     assert fault.allowed and len(found) == 1
-    if at == path:
+    if reported_path == path:
         shown = fault.to_json()["value"]
-        assert shown == candidate.abbreviate(value) and json.dumps(shown, allow_nan=False)
+        assert shown == config_candidate.abbreviate(value) and json.dumps(shown, allow_nan=False)
 
 
-def test_all_faults_are_found_at_once():
-    tree = spoilt("settings.plans.0.rate", "10")
+def test_all_faults_are_reported_together():
+    tree = candidate_with("settings.plans.0.rate", "10")
     del tree["settings"]["rules"]["cold"]
     tree["settings"]["services"][2]["effect"], tree["limits"]["sockets"] = 5, float("inf")
-    assert faults(tree).keys() == {"limits.sockets"}  # what is no JSON number at all comes first
+    assert find_faults(tree).keys() == {"limits.sockets"}  # parse() finds it, before check() runs
     tree["limits"]["sockets"] = 1
-    assert faults(tree).keys() == {
+    assert find_faults(tree).keys() == {
         "settings.plans.0.rate",
         "settings.rules.cold",
         "settings.services.2.effect",
@@ -122,7 +121,7 @@
     }
 
 
-DEEP = b'{"a":' * 5000 + b"1" + b"}" * 5000
+DEEPLY_NESTED_BODY = b'{"a":' * 5000 + b"1" + b"}" * 5000
 
 
 @pytest.mark.parametrize(
@@ -131,89 +130,92 @@
         (b"", "JSON"),
         (b" ", "JSON"),
         (b"{", "JSON"),
-        (json.dumps(LAST).encode()[:-9], "JSON"),
+        (json.dumps(CURRENT).encode()[:-9], "JSON"),
         (b"\xff\xfe{}", "UTF-8"),
         (b"null", "object"),
         (b"[]", "object"),
         (b'"text"', "object"),
         (b"5", "object"),
         (b"[" * 100000, "levels"),
-        (DEEP, "levels"),
+        (DEEPLY_NESTED_BODY, "levels"),
         (b'{"a":' * 20 + b"1" + b"}" * 20, "levels"),
         (b'{"limits":{"cores":1' + b"0" * 5000 + b"}}", "JSON"),
-        (b"[" + b"1," * keys.MAX_BODY_BYTES + b"1]", "bytes"),
+        (b"[" + b"1," * config_schema.MAX_BODY_BYTES + b"1]", "bytes"),
         (b'{"discovery":"a:1","discovery":"b:2"}', "once"),
         (b'{"limits":{"cores":NaN}}', "finite"),
         (b'{"limits":{"cores":-Infinity}}', "finite"),
         (b'{"limits":{"cores":1e999}}', "finite"),
     ],
 )
-def test_a_body_that_is_no_candidate(body, word):
-    tree, found = candidate.parse(body)
-    found = found or candidate.check(tree, LAST)
+def test_body_that_is_not_a_candidate_is_rejected(body, word):
+    tree, found = config_candidate.parse(body)
+    found = found or config_candidate.check(tree, CURRENT)
     assert found and any(word in fault.allowed for fault in found)
     assert json.dumps([f.to_json() for f in found], allow_nan=False)
 
 
-def test_keys_that_stand_twice_are_named_wherever_they_stand():
-    text = json.dumps(LAST).replace('"rate": 1000.0', '"rate": 1000.0, "rate": 5.0')
+def test_repeated_keys_are_reported_at_any_depth():
+    text = json.dumps(CURRENT).replace('"rate": 1000.0', '"rate": 1000.0, "rate": 5.0')
     text = text.replace('"cores": 1.0', '"cores": 1.0, "cores": 1.0, "cores": 2.0')
-    assert sorted(f.path for f in candidate.parse(text.encode())[1]) == [
+    assert sorted(f.path for f in config_candidate.parse(text.encode())[1]) == [
         "limits.cores",
         "settings.plans.0.rate",
     ]
 
 
-def test_differences_name_entries_and_not_their_places():
-    tree = spoilt("settings.plans.1.rate", 2.0)
+def test_differences_match_list_entries_by_name():
+    tree = candidate_with("settings.plans.1.rate", 2.0)
     tree["settings"]["plans"].reverse()
     tree["settings"]["services"].append(tree["settings"]["services"][0] | {"name": "extra"})
     del tree["settings"]["services"][2]
-    assert {row["path"]: (row["from"], row["to"]) for row in candidate.differences(LAST, tree)} == {
+    assert {row["path"]: (row["from"], row["to"]) for row in config_candidate.differences(CURRENT, tree)} == {
         "settings.plans.small.rate": (1.0, 2.0),
         "settings.services.note": ("an object of 5", None),
         "settings.services.extra": (None, "an object of 5"),
     }
-    assert not list(candidate.differences({"a": 1}, {"a": 1.0})) and list(
-        candidate.differences({"a": 1}, {"a": True})
+    assert not list(config_candidate.differences({"a": 1}, {"a": 1.0})) and list(
+        config_candidate.differences({"a": 1}, {"a": True})
     )
 
 
-class Seen(dict):
-    """Notes each name that is read of it, there or not."""
+class RecordingDict(dict):
+    """A dict that records the path of each key that is read or looked up, present or not."""
 
     def __init__(self, tree, path, names):
         super().__init__(
-            {name: watch(value, candidate.join_path(path, name), names) for name, value in tree.items()}
+            {
+                name: record_reads(value, config_candidate.join_path(path, name), names)
+                for name, value in tree.items()
+            }
         )
         self.path, self.names = path, names
 
     def __getitem__(self, name):
-        self.names.add(candidate.join_path(self.path, name))
+        self.names.add(config_candidate.join_path(self.path, name))
         return super().__getitem__(name)
 
     def __contains__(self, name):
-        self.names.add(candidate.join_path(self.path, name))
+        self.names.add(config_candidate.join_path(self.path, name))
         return super().__contains__(name)
 
     def get(self, name, default=None):
-        self.names.add(candidate.join_path(self.path, name))
+        self.names.add(config_candidate.join_path(self.path, name))
         return super().get(name, default)
 
 
-def watch(value, path, names):
+def record_reads(value, path, names):
     if isinstance(value, dict):
-        return Seen(value, path, names)
-    return [watch(entry, path + ".*", names) for entry in value] if isinstance(value, list) else value
+        return RecordingDict(value, path, names)
+    return [record_reads(entry, path + ".*", names) for entry in value] if isinstance(value, list) else value
 
 
-def test_every_key_that_a_configuration_is_read_from_has_its_row_and_the_docs_quote_the_table():
+def test_schema_covers_every_key_read_and_docs_quote_the_table():
     names = set()
-    build_config(Seen(LAST, "", names), {})
-    assert {name for name in names if not name.startswith("known.")} <= keys.KEY_BY_PATH.keys()
-    # Prices are read by name in the module, whatever names there are; nothing depends on the cores.
-    assert keys.KEY_BY_PATH.keys() - names == {"settings.prices.*", "limits.cores"}
-    assert keys.FIXED_PATHS == {
+    build_config(RecordingDict(CURRENT, "", names), {})
+    assert {name for name in names if not name.startswith("known.")} <= config_schema.KEY_BY_PATH.keys()
+    # The decision module reads prices by name, with any names; nothing depends on limits.cores.
+    assert config_schema.KEY_BY_PATH.keys() - names == {"settings.prices.*", "limits.cores"}
+    assert config_schema.FIXED_PATHS == {
         "name",
         "listen",
         "control",
@@ -224,4 +226,4 @@
         "membership",
         "view",
     }
-    assert keys.format_key_table() in (ROOT / "docs" / "configuration.md").read_text()
+    assert config_schema.format_key_table() in (ROOT / "docs" / "configuration.md").read_text()
--- a/tests/control/test_control_server.py
+++ b/tests/control/test_control_server.py
@@ -1,4 +1,4 @@
-"""The second address: readiness, hosts out by hand, sending clients away."""
+"""The control address: readiness, ejecting hosts and draining clients."""
 
 import asyncio
 import time
@@ -6,21 +6,20 @@
 import pytest
 from netkit import SERVED, VALUE, Node, StubHost, command, entry, on_loop, read_reply, wait_until
 
-from api_gateway.control import server as control
-from api_gateway.downstream import client_connection as clients
-from api_gateway.downstream import client_server
+from api_gateway.control import server as control_server
+from api_gateway.downstream import client_connection, client_server
 
 PING = b"*1\r\n$4\r\nPING\r\n"
 
 
 @on_loop
-async def test_status_says_yes_only_where_clients_can_be_served(tmp_path):
+async def test_status_is_ready_only_if_clients_can_be_served(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert (await node.call_control("GET /status"))[0] == 200
         await node.call_control("POST /standby")
-        status, told = await node.call_control("GET /status")
-        listed = told.pop("list")
-        assert (status, told) == (
+        status, body = await node.call_control("GET /status")
+        listed = body.pop("list")
+        assert (status, body) == (
             503,
             {
                 "ready": False,
@@ -32,7 +31,7 @@
             },
         )
         assert listed["version"] == 1 and listed["age"] < 20 and listed["failures"] == 0
-    async with Node(path=tmp_path) as node:  # it knows no host
+    async with Node(path=tmp_path) as node:  # it has no hosts
         assert (await node.call_control("GET /status"))[0] == 503
 
 
@@ -56,7 +55,7 @@
     ],
 )
 @on_loop
-async def test_a_wrong_call_is_a_no_and_changes_nothing(call, status, tmp_path):
+async def test_invalid_call_is_rejected_and_changes_nothing(call, status, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert (await node.call_control(call))[0] == status
         assert (await node.call_control("GET /status"))[1]["hosts"] == ["h1"] and node.node.state == "active"
@@ -64,48 +63,48 @@
 
 
 @on_loop
-async def test_callers_that_say_nothing_starve_nobody_and_are_not_kept(tmp_path, monkeypatch):
+async def test_silent_connections_do_not_block_calls_and_are_closed(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         idle = [
             await asyncio.open_connection("127.0.0.1", node.control_port)
-            for _ in range(2 * control.MAX_CONNECTIONS)
+            for _ in range(2 * control_server.MAX_CONNECTIONS)
         ]
         assert (await node.call_control("GET /status"))[0] == 200
-        assert await idle[0][0].read() == b""  # the oldest went
+        assert await idle[0][0].read() == b""  # the oldest was closed
         assert await node.send_command(command()) == SERVED
-        monkeypatch.setattr(control, "CALL_TIMEOUT_S", 0.05)
+        monkeypatch.setattr(control_server, "CALL_TIMEOUT_S", 0.05)
         reader, writer = await asyncio.open_connection("127.0.0.1", node.control_port)
         assert await reader.read() == b""
-        for _, out in [*idle, (reader, writer)]:
-            out.close()
+        for _, idle_writer in [*idle, (reader, writer)]:
+            idle_writer.close()
 
 
 @on_loop
-async def test_a_host_out_by_hand_gets_nothing_whatever_the_list_says_until_one_call_back(tmp_path):
+async def test_ejected_host_gets_no_requests_until_readmitted(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while not one.commands:
             assert await node.send_command(command(b"a%d" % time.monotonic_ns())) == SERVED
         assert one.connections
         for _ in range(2):
             assert (await node.call_control("POST /maintenance/enter?host=h1"))[0] == 200
-        await wait_until(lambda: not one.connections)  # connections that rest there go too
-        fresh = entry(one, "h1") | {"started_ms": int(time.time() * 1000)}
-        node.discovery.change([fresh])  # it was restarted meanwhile
+        await wait_until(lambda: not one.connections)  # its idle connections are closed too
+        restarted = entry(one, "h1") | {"started_ms": int(time.time() * 1000)}
+        node.discovery.change([restarted])  # the host was restarted meanwhile
         await wait_until(lambda: node.node.discovery.version == 2)
         before = len(one.commands)
-        for n in range(30):
-            assert await node.send_command(command(b"b%d" % n)) == SERVED
+        for number in range(30):
+            assert await node.send_command(command(b"b%d" % number)) == SERVED
         assert len(one.commands) == before
         assert (await node.call_control("POST /maintenance/exit?host=h1"))[0] == 200
         assert (await node.call_control("GET /status"))[1]["hosts_out"] == []
-        n = 0
+        number = 0
         while len(one.commands) == before:
-            n += 1
-            assert await node.send_command(command(b"c%d" % n)) == SERVED
+            number += 1
+            assert await node.send_command(command(b"c%d" % number)) == SERVED
 
 
 @on_loop
-async def test_an_attempt_whose_connection_is_still_coming_up_does_not_reach_a_banned_host(tmp_path):
+async def test_attempt_waiting_for_a_connection_does_not_reach_an_ejected_host(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         replies = [asyncio.create_task(node.send_command(command(b"r%d" % n))) for n in range(8)]
         while not node.node.upstream.pools["h1"].connecting:
@@ -116,7 +115,7 @@
 
 
 @on_loop
-async def test_a_ban_holds_over_a_restart_and_both_processes_of_an_upgrade_agree(tmp_path):
+async def test_ejection_survives_a_restart_and_both_processes_agree(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as old:
         assert (await old.call_control("POST /maintenance/enter?host=h1"))[0] == 200
         async with Node(one, two, path=tmp_path) as new:
@@ -126,15 +125,15 @@
             await wait_until(lambda: not old.node.upstream.ejected)
             assert not old.node.engine.endpoint_pool.table.ejected
             assert (await old.call_control("POST /maintenance/enter?host=h2"))[0] == 200
-            assert (await new.call_control("POST /maintenance/exit?host=h2"))[0] == 200  # no look between
+            assert (await new.call_control("POST /maintenance/exit?host=h2"))[0] == 200  # before a poll
             assert not new.node.upstream.ejected
 
 
 @on_loop
-async def test_a_drain_says_no_closes_what_rests_and_serves_what_still_comes(tmp_path):
+async def test_drain_closes_idle_connections_and_serves_late_requests(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        idle, _ = rests = await node.connect()
-        rests[1].write(PING)
+        idle, _ = connection = await node.connect()
+        connection[1].write(PING)
         assert await read_reply(idle) == b"+PONG\r\n"
         busy, writer = await node.connect()
         writer.write(command(b"busy"))
@@ -145,17 +144,15 @@
         assert await node.send_command(PING) == b"-ERR not ready\r\n"
         late, late_writer = await node.connect()
         late_writer.write(command(b"late"))
-        while (got := await host.arrived.get()) is None or got[2] != b"late":
+        while (arrived := await host.arrived.get()) is None or arrived[2] != b"late":
             pass
-        for out in host.writers:
-            out.write(VALUE)
+        for host_writer in host.writers:
+            host_writer.write(VALUE)
         assert await busy.read() == SERVED and await late.read() == SERVED
 
 
 @on_loop
-async def test_a_connection_in_use_is_not_read_for_ever_in_a_drain_and_active_takes_it_back(
-    tmp_path, monkeypatch
-):
+async def test_drain_stops_reading_busy_connections_until_active(tmp_path, monkeypatch):
     monkeypatch.setattr(client_server, "DRAIN_READ_S", 0.05)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
@@ -166,19 +163,19 @@
         await wait_until(lambda: client.reading_stopped)
         writer.write(command(b"second"))
         assert (await node.call_control("POST /active"))[0] == 200
-        while (got := await host.arrived.get()) is None or got[2] != b"second":
+        while (arrived := await host.arrived.get()) is None or arrived[2] != b"second":
             pass
-        for out in host.writers:
-            out.write(VALUE)
+        for host_writer in host.writers:
+            host_writer.write(VALUE)
         assert [await read_reply(reader) for _ in range(2)] == [SERVED, SERVED]
         writer.write(PING)
         assert await read_reply(reader) == b"+PONG\r\n"
 
 
 @on_loop
-async def test_a_connection_without_a_command_ends_in_a_drain(tmp_path, monkeypatch):
+async def test_drain_closes_connections_without_a_command(tmp_path, monkeypatch):
     monkeypatch.setattr(client_server, "DRAIN_READ_S", 0.05)
-    monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connection, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.call_control("POST /standby")
         reader, writer = await node.connect()
@@ -186,7 +183,7 @@
 
 
 @on_loop
-async def test_a_process_at_its_end_is_neither_ready_nor_drained_nor_taken_back(tmp_path):
+async def test_stopping_process_is_not_ready_and_rejects_drain_calls(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         await node.call_control("POST /maintenance/enter?host=h1")
         await node.call_control("POST /standby")
@@ -201,7 +198,7 @@
 
 
 @on_loop
-async def test_a_close_does_not_cross_a_request_that_has_come(tmp_path):
+async def test_drain_serves_a_request_received_before_the_close(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(PING)
--- a/tests/control/test_host_overrides.py
+++ b/tests/control/test_host_overrides.py
@@ -1,4 +1,4 @@
-"""The file of hosts out by hand, and which processes live."""
+"""The file of host overrides, and the detection of live processes."""
 
 import errno
 import os
@@ -13,7 +13,7 @@
 from api_gateway.gateway.instances import GatewayInstances
 
 
-def test_what_one_process_says_another_reads(tmp_path):
+def test_overrides_are_shared_between_processes(tmp_path):
     one, two = HostOverrides(tmp_path, "n0"), HostOverrides(tmp_path, "n0")
     assert not two.has_changed()
     one.store(api.EndpointOverride("h1", True, 5.0))
@@ -29,7 +29,7 @@
     one.store(api.EndpointOverride("h3", True, 1000.0))
     assert (
         "h1" not in two.read() and two.overrides["h2"].ejected
-    )  # a return is forgotten in time, a ban never
+    )  # the end of an ejection expires, an ejection does not
 
 
 @pytest.mark.parametrize(
@@ -47,36 +47,36 @@
         "\x00\xff",
     ],
 )
-def test_a_torn_or_foreign_file_changes_nothing_and_is_written_over(text, tmp_path):
-    bans = HostOverrides(tmp_path, "n0")
-    bans.store(api.EndpointOverride("h1", True, 5.0))
-    bans.shared_file.path.write_text(text, encoding="latin-1")
+def test_corrupt_file_changes_nothing_and_is_overwritten(text, tmp_path):
+    overrides = HostOverrides(tmp_path, "n0")
+    overrides.store(api.EndpointOverride("h1", True, 5.0))
+    overrides.shared_file.path.write_text(text, encoding="latin-1")
     assert (
-        bans.has_changed()
-        and bans.read() == {"h1": api.EndpointOverride("h1", True, 5.0)}
-        and not bans.has_changed()
+        overrides.has_changed()
+        and overrides.read() == {"h1": api.EndpointOverride("h1", True, 5.0)}
+        and not overrides.has_changed()
     )
     (tmp_path / "n0-hosts-out.new").write_text("left behind")
-    bans.store(api.EndpointOverride("h2", True, 6.0))
+    overrides.store(api.EndpointOverride("h2", True, 6.0))
     assert HostOverrides(tmp_path, "n0").read().keys() == {"h1", "h2"}
 
 
-def test_without_a_folder_bans_last_as_long_as_the_process():
-    bans = HostOverrides(None, "n0")
-    bans.store(api.EndpointOverride("h1", True, 5.0))
-    assert bans.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not bans.has_changed()
+def test_without_a_folder_overrides_last_for_the_process_lifetime():
+    overrides = HostOverrides(None, "n0")
+    overrides.store(api.EndpointOverride("h1", True, 5.0))
+    assert overrides.read() == {"h1": api.EndpointOverride("h1", True, 5.0)} and not overrides.has_changed()
 
 
-def test_a_folder_that_cannot_be_written_to_does_not_keep_a_process_from_serving(tmp_path):
+def test_unwritable_folder_does_not_prevent_serving(tmp_path):
     one = GatewayInstances(tmp_path / "none", "n0")
     one.register()
     assert one.count_others() == 0
     one.unregister()
 
 
-def test_only_processes_that_live_count_and_leavings_go(tmp_path):
+def test_only_live_processes_count_and_stale_files_are_removed(tmp_path):
     (tmp_path / "n0-life-left").write_text("")
-    one, two, none = (
+    one, two, without_folder = (
         GatewayInstances(tmp_path, "n0"),
         GatewayInstances(tmp_path, "n0"),
         GatewayInstances(None, "n0"),
@@ -85,60 +85,60 @@
     assert one.count_others() == 0 and not (tmp_path / "n0-life-left").exists()
     two.register()
     assert one.count_others() == two.count_others() == 1
-    os.close(two.lock_descriptor)  # as its death does
+    os.close(two.lock_descriptor)  # as when the process dies
     two.lock_descriptor = -1
     assert one.count_others() == 0
     one.unregister()
-    none.register()
-    assert none.count_others() == 0 and not list(tmp_path.iterdir())
+    without_folder.register()
+    assert without_folder.count_others() == 0 and not list(tmp_path.iterdir())
 
 
-def test_a_process_that_begins_is_never_taken_for_a_dead_one(tmp_path, monkeypatch):
-    """Another looks just when its file is made: it would remove one that nobody has locked yet."""
-    other, fresh = GatewayInstances(tmp_path, "n0"), GatewayInstances(tmp_path, "n0")
-    other.register()
+def test_starting_process_is_never_taken_for_a_dead_one(tmp_path, monkeypatch):
+    """Guards against another process that removes the new file between its creation and its locking."""
+    running, starting = GatewayInstances(tmp_path, "n0"), GatewayInstances(tmp_path, "n0")
+    running.register()
     mkstemp = tempfile.mkstemp
 
-    def seen_at_once(**more):
-        made = mkstemp(**more)
-        assert other.count_others() == 0
-        return made
+    def mkstemp_then_count(**options):
+        created = mkstemp(**options)
+        assert running.count_others() == 0
+        return created
 
     with monkeypatch.context() as patch:
-        patch.setattr(tempfile, "mkstemp", seen_at_once)
-        fresh.register()
-    assert other.count_others() == fresh.count_others() == 1
-    fresh.unregister()
-    other.unregister()
+        patch.setattr(tempfile, "mkstemp", mkstemp_then_count)
+        starting.register()
+    assert running.count_others() == starting.count_others() == 1
+    starting.unregister()
+    running.unregister()
     assert not list(tmp_path.iterdir())
 
 
 @on_loop
-async def test_a_ban_that_cannot_be_kept_holds_here_and_is_kept_once_it_can_be(tmp_path, monkeypatch):
-    """A folder is full for a while: the operator hears so, and the next process knows of it all the same."""
+async def test_unsaved_ejection_applies_and_is_saved_later(tmp_path, monkeypatch):
+    """With a full disk the call fails but the host is ejected, and the override is stored once that works."""
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         with monkeypatch.context() as patch:
-            patch.setattr(SharedFile, "write", full)
+            patch.setattr(SharedFile, "write", raise_disk_full)
             assert (await node.call_control("POST /maintenance/enter?host=h1"))[0] == 500
             assert "h1" in node.node.upstream.ejected and not HostOverrides(tmp_path, "n0").read()
         await wait_until(lambda: HostOverrides(tmp_path, "n0").read().get("h1"))
         assert not node.node.overrides.unsaved and HostOverrides(tmp_path, "n0").read()["h1"].ejected
 
 
-def full(*_):
+def raise_disk_full(*_):
     raise OSError(errno.ENOSPC, "No space left on device")
 
 
 @on_loop
-async def test_hosts_that_have_gone_are_forgotten_but_for_those_with_a_ban(tmp_path):
+async def test_removed_hosts_are_forgotten_unless_ejected(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        for n in range(50):
-            node.discovery.change([entry(host, f"x{n}")])
-            await wait_until(lambda n=n: f"x{n}" in node.node.endpoint_updates.known_ids)
-            if n == 7:
+        for number in range(50):
+            node.discovery.change([entry(host, f"x{number}")])
+            await wait_until(lambda number=number: f"x{number}" in node.node.endpoint_updates.known_ids)
+            if number == 7:
                 assert (await node.call_control("POST /maintenance/enter?host=x7"))[0] == 200
-            node.discovery.change([entry(host, f"x{n}", "removed")])
-            await wait_until(lambda n=n: f"x{n}" not in node.node.endpoint_updates.known_ids)
+            node.discovery.change([entry(host, f"x{number}", "removed")])
+            await wait_until(lambda number=number: f"x{number}" not in node.node.endpoint_updates.known_ids)
         assert node.node.endpoint_updates.known_ids == {"h1"}
         assert (await node.call_control("POST /maintenance/enter?host=x8"))[0] == 404
         assert (await node.call_control("POST /maintenance/exit?host=x7"))[0] == 200
