--- a/api_gateway/upstream/__init__.py
+++ b/api_gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints: pools, attempts, health checks, load reports and limits on connects."""
+"""Connections to endpoints: pools, attempts, health checks, load reports and connect limits."""
--- a/api_gateway/upstream/attempt.py
+++ b/api_gateway/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a command for one endpoint, from its making to its single result."""
+"""An attempt: one command sent to one endpoint, which ends with exactly one result."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
 if TYPE_CHECKING:
     from api_gateway.upstream.connection import Connection
 
-# The `context` of an attempt that is a health check.
+# The `context` of attempts that are health checks.
 HEALTH_CHECK: Final = object()
 
 
 class Attempt:
     """One command for one endpoint and, once it has ended, its result.
 
-    Times are by the monotonic clock, in seconds.
+    All times are in seconds of the monotonic clock.
 
     Attributes:
         endpoint_id: The endpoint's id.
-        make_payload: Makes the bytes to send, called when they are about to go out with the seconds that are
-            left for the attempt then. Empty bytes: the attempt is not wanted any more.
-        body: The command's last part where it is large; it follows the payload and is not copied.
-        on_done: Called once, when `result` is known.
-        context: The caller's own record of this attempt, or HEALTH_CHECK.
-        started_at: When the attempt was made, or when the wait for a settling connection ended.
-        send_deadline: When it may go out at the latest.
-        deadline: When it is given up.
+        make_payload: Builds the bytes to send. It is called just before they are written, with the seconds
+            left until the attempt's deadline. It returns empty bytes if the attempt is no longer needed.
+        body: The last argument of the command if it is large. It is written after the payload without
+            being copied.
+        on_done: Called once, when `result` is set.
+        context: The caller's record of this attempt, or HEALTH_CHECK.
+        started_at: When the attempt was created, or when its wait for a settling connection ended.
+        send_deadline: The latest time at which it may be sent.
+        deadline: When the attempt times out.
         result: One of `interface.RESULTS`; empty until the attempt has ended.
-        value: The value of the answer, where it did not come in pieces.
+        value: The value in the answer, unless it was streamed in chunks.
         metered_use: The metered use that the endpoint reported.
-        load_report: The load report of the answer.
-        connection: The connection it went out on; None before.
-        timer: Gives the attempt up at its deadline.
-        on_value_begins: Called with the length of a large value that begins; returns whether it is wanted.
-        time_to_value: Seconds from `started_at` to the first bytes of a large value; 0 before.
-        value_sink: Receives the pieces of a large value.
-        is_value_blocked: Returns whether those pieces must wait.
-        is_value_complete: Whether all pieces went to the sink.
+        load_report: The load report in the answer.
+        connection: The connection that the attempt was sent on; None until then.
+        timer: Abandons the attempt at its deadline.
+        on_value_begins: Called with the length of a large value when it begins. Returns whether to accept
+            the value.
+        time_to_value: Seconds from `started_at` to the first bytes of a large value; 0 until then.
+        value_sink: Receives the chunks of a large value.
+        is_value_blocked: Returns whether reading of the chunks must pause.
+        is_value_complete: Whether the sink has received all chunks.
     """
 
     __slots__ = (
@@ -73,12 +75,12 @@
         endpoint_id: str,
         make_payload: Callable[[float], bytes],
         on_done: Callable[[Attempt], None],
-        context: Any = None,  # opaque here: the caller alone reads it
+        context: Any = None,  # opaque here, only the caller reads it
         body: bytearray | None = None,
         on_value_begins: Callable[[Attempt, int], bool] | None = None,
         within: float = math.inf,
     ) -> None:
-        """Make an attempt that `EndpointPools.send` sends.
+        """Create an attempt, to be sent with `EndpointPools.send`.
 
         Args:
             endpoint_id: The endpoint's id.
@@ -86,8 +88,8 @@
             on_done: See the attribute.
             context: See the attribute.
             body: See the attribute.
-            on_value_begins: See the attribute; None refuses large values.
-            within: Seconds from now in which it must have begun to go out.
+            on_value_begins: See the attribute. With None, large values are refused.
+            within: Seconds from now after which it must not be sent any more.
         """
         self.endpoint_id = endpoint_id
         self.make_payload = make_payload
@@ -110,20 +112,20 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def response_time(self) -> float:
-        """Return the seconds until the answer, or until its first bytes where it comes in pieces.
+        """Return the seconds until now, or until the first bytes of the answer if it was streamed.
 
-        How long the rest of a large value takes depends on the client's pace.
+        The rest of a large value does not count, because its duration depends on how fast the client reads.
         """
         return self.time_to_value or monotonic() - self.started_at
 
-    def pass_on_piece(self, data: bytes) -> None:
-        """Hand a piece of a large value to the sink; the last one is END."""
+    def forward_chunk(self, data: bytes) -> None:
+        """Pass a chunk of a large value to the sink; the last chunk is the closing CRLF."""
         assert self.value_sink is not None
         self.value_sink(data)
         self.is_value_complete = data == CRLF
 
     def end(self, result: str) -> None:
-        """Set the result and report it; without effect once there is one."""
+        """Set the result and call `on_done`, unless the attempt has already ended."""
         if self.result:
             return
         self.result = result
@@ -133,5 +135,5 @@
 
     @property
     def is_written(self) -> bool:
-        """Whether the socket took the last byte: from then on the request may have run."""
+        """Whether the socket accepted the last byte, after which the endpoint may have run the request."""
         return self.connection is not None and self.connection.is_written
--- a/api_gateway/upstream/connection.py
+++ b/api_gateway/upstream/connection.py
@@ -1,7 +1,7 @@
-"""One connection to an endpoint.
+"""A connection to one endpoint.
 
-It carries one attempt at a time: answers come in order, so a stuck one would hold up those behind it, and
-giving an attempt up costs the connection.
+It carries one attempt at a time, because answers arrive in order and a stuck answer would delay all later
+ones. Abandoning an attempt also closes its connection.
 """
 
 from __future__ import annotations
@@ -18,48 +18,48 @@
 from api_gateway.upstream.attempt import HEALTH_CHECK, Attempt
 from api_gateway.upstream.load_report import parse_load_report
 
-# Bytes of one answer without a large value.
+# Limit on the size of an answer, not counting a large value.
 MAX_REPLY_BYTES = STREAMING_THRESHOLD_BYTES + 4096
-# Parts of an answer: the value, the metered use, the load report.
+# An answer consists of the value, the metered use and the load report.
 REPLY_PARTS = 3
-# Bytes that the socket holds unread, so that what is read at once is bounded.
+# Socket receive buffer size, which bounds how much is read at once.
 RECEIVE_BUFFER_BYTES = 64 * 1024
-# Time without a byte after which a large value that has begun is given up.
+# A connection is closed if no byte of a large value in transfer arrives for this long.
 VALUE_STALL_TIMEOUT_S = 20.0
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its pool."""
+    """The interface that a connection requires of its pool."""
 
     def record_response_time(self, seconds: float) -> None:
-        """Note how long an answer took."""
+        """Record how long an answer took."""
 
     def add_idle(self, connection: Connection) -> None:
-        """Take a connection that has become idle."""
+        """Add a connection that has become idle."""
 
-    def forget(self, connection: Connection) -> None:
-        """Forget a connection that closes."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a connection that is closing."""
 
     def abandon(self, attempt: Attempt, result: str) -> None:
-        """Give up an attempt, and the connection that it is on."""
+        """End an attempt and close its connection."""
 
 
 class Connection(asyncio.Protocol):
-    """A connection to an endpoint; its pool owns it.
+    """A connection to an endpoint, owned by its pool.
 
     Attributes:
-        pool: The owner.
+        pool: The pool that owns the connection.
         sock: The socket below the transport.
-        attempt: The attempt that is in flight here.
-        is_written: Whether the socket took all bytes of the last attempt.
-        is_used: Whether an attempt has gone out here.
-        idle_since: When the last answer came, by the monotonic clock in seconds.
-        is_paused: Whether reading is paused, since the client does not keep up.
-        transport: Set once the connection is made.
+        attempt: The attempt in flight on this connection, if any.
+        is_written: Whether the socket accepted all bytes of the last attempt.
+        is_used: Whether an attempt was ever sent on this connection.
+        idle_since: When the connection became idle, in seconds of the monotonic clock.
+        is_paused: Whether reading is paused because the client reads too slowly.
+        transport: Set when the connection is established.
     """
 
     def __init__(self, pool: ConnectionOwner, sock: socket.socket) -> None:
-        """Make the protocol of a connected socket."""
+        """Create the protocol for a connected socket."""
         self.pool = pool
         self.sock = sock
         self.attempt: Attempt | None = None
@@ -69,28 +69,28 @@
         self.is_paused = False
         self.transport: asyncio.Transport | None = None
         self._reader = RespReader(MAX_REPLY_BYTES, (REPLY_PARTS, 0))
-        self._last_activity_at = 0.0  # when the last bytes came, or reading was paused or resumed
-        self._received_bytes = 0  # of the answer, without a large value
+        self._last_activity_at = 0.0  # when bytes last arrived, or reading was paused or resumed
+        self._received_bytes = 0  # of the current answer, not counting a large value
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport and disable its write buffering."""
         self.transport = transport  # type: ignore[assignment]
-        # With no buffer above the socket, pause_writing follows at once where it did not take every byte.
+        # With a high-water mark of 0, pause_writing is called once the socket does not accept every byte.
         transport.set_write_buffer_limits(high=0)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
-        """Note that the socket did not take every byte."""
+        """Record that the socket did not accept every byte."""
         self.is_written = False
 
     def resume_writing(self) -> None:
-        """Note that the socket took the rest."""
+        """Record that the socket accepted the remaining bytes."""
         self.is_written = True
 
     def is_sound(self) -> bool:
-        """Return whether an attempt may go out here.
+        """Return whether an attempt may be sent on this connection.
 
-        Not where anything waits in the socket that the event loop has not read yet: an end, half a line or a
-        second answer, which the attempt would take for its own.
+        It may not if the socket has input that the event loop has not read yet: end of file, a partial line
+        or a second answer, which would be taken for the answer to the new attempt.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -103,12 +103,13 @@
         return False
 
     def start(self, attempt: Attempt) -> bool:
-        """Send an attempt, unless it has become too late or unwanted.
+        """Send an attempt, unless its deadline has passed or it is no longer needed.
 
-        That is decided no earlier: a connect may have taken too long, and the client may have gone.
+        This is checked here and not earlier, because the connect may have taken too long, or the client may
+        have disconnected in the meantime.
 
         Returns:
-            Whether it went out; otherwise it has ended and the connection is still idle.
+            Whether the attempt was sent. If not, it has ended and the connection is still idle.
         """
         assert self.transport is not None
         now = monotonic()
@@ -125,14 +126,14 @@
         if attempt.body is not None:
             self.transport.write(memoryview(attempt.body))
             self.transport.write(CRLF)
-        if self.transport.is_closing():  # the write failed at once, so the socket took nothing
+        if self.transport.is_closing():  # the write failed at once, so the socket accepted nothing
             self.is_written = False
         return True
 
     def data_received(self, data: bytes) -> None:
         """Read the answer of the attempt in flight."""
         attempt = self.attempt
-        if attempt is None:  # an answer that nobody waits for
+        if attempt is None:  # an answer that no attempt is waiting for
             self.close()
             return
         self._last_activity_at = monotonic()
@@ -142,7 +143,7 @@
         self._read_answer(attempt)
 
     def resume_value(self) -> None:
-        """Go on with a large value, where its pieces need not wait any longer."""
+        """Continue to read a large value, unless its chunks must still wait."""
         attempt = self.attempt
         if attempt is None or attempt.is_value_blocked is None:
             return
@@ -151,14 +152,14 @@
             return
         self._resume_reading()
         if self._reader.large_string_bytes:
-            self._reader.pass_on(attempt.pass_on_piece)
+            self._reader.pass_on(attempt.forward_chunk)
             self._read_answer(attempt)
 
-    def check(self, now: float) -> None:
-        """Close the connection where the endpoint has stopped in the middle of a large value.
+    def close_if_stalled(self, now: float) -> None:
+        """Close the connection if the endpoint has stopped sending in the middle of a large value.
 
         Args:
-            now: The monotonic clock.
+            now: The current time of the monotonic clock, in seconds.
         """
         if self.attempt is None or not self.attempt.value_sink or self.is_paused:
             return
@@ -166,19 +167,22 @@
             self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt in flight."""
+        """Close the connection, which ends the attempt in flight."""
         self.close()
 
     def close(self) -> None:
-        """Close the connection; the socket is shut at once, before another attempt can be sent."""
+        """Close the connection and end its attempt.
+
+        The socket is shut down at once, before another attempt can be sent.
+        """
         attempt = self.attempt
         self.attempt = None
-        self.pool.forget(self)
+        self.pool.remove(self)
         if self.transport is not None and not self.transport.is_closing():
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
-        if attempt is not None and attempt.is_value_complete:  # what was to follow the value is not missed
+        if attempt is not None and attempt.is_value_complete:  # the parts that follow the value are optional
             attempt.end("ok")
         elif attempt is not None:
             attempt.end("reset" if self.is_written else "connect_failed")
@@ -208,7 +212,7 @@
         attempt.end(result)
 
     def _begin_value(self, attempt: Attempt) -> None:
-        """Begin to pass on a large value as it comes; from here on it is no longer timed."""
+        """Start to stream a large value to the client. The attempt's timeout does not apply to it."""
         if attempt.timer is not None:
             attempt.timer.cancel()
         attempt.time_to_value = monotonic() - attempt.started_at
@@ -233,11 +237,11 @@
 
 
 def read_reply(attempt: Attempt, reply: object) -> str:
-    """Fill in the value, metered use and load report of an answer.
+    """Store the value, metered use and load report of an answer in its attempt.
 
     Args:
-        attempt: The attempt that it answers.
-        reply: What hiredis read.
+        attempt: The attempt that was answered.
+        reply: The reply as parsed by hiredis.
 
     Returns:
         The attempt's result: `ok`, `full` or `error`.
@@ -245,13 +249,13 @@
     if isinstance(reply, list):
         if len(reply) != REPLY_PARTS or any(isinstance(part, hiredis.ReplyError) for part in reply):
             return "error"
-        value, used, report = reply
+        value, metered_use, report = reply
         if not isinstance(value, bytes) or len(value) > STREAMING_THRESHOLD_BYTES or isinstance(report, list):
             return "error"
         attempt.value = value
         attempt.load_report = parse_load_report(report)
-        if isinstance(used, int):
-            attempt.metered_use = used
+        if isinstance(metered_use, int):
+            attempt.metered_use = metered_use
         return "ok"
     if isinstance(reply, hiredis.ReplyError):
         words = str(reply).split(" ")
@@ -260,4 +264,4 @@
     if isinstance(reply, bytes) and attempt.context is HEALTH_CHECK:
         attempt.load_report = parse_load_report(reply)
         return "ok"
-    return "error"  # no value of an endpoint: serving anything for it would be made up
+    return "error"  # not a valid answer, so there is no value that could be served
--- a/api_gateway/upstream/endpoint_pools.py
+++ b/api_gateway/upstream/endpoint_pools.py
@@ -1,4 +1,4 @@
-"""The connection pools of all endpoints: addresses, limits, idle connections, sending and health checks."""
+"""The connection pools of all endpoints: addresses, connection limit, idle connections, health checks."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 from api_gateway.upstream.connection import Connection
 from api_gateway.upstream.pool import Pool
 
-# Part of the endpoints' idle timeout by which a connection is closed before them.
+# Fraction of the endpoints' idle timeout by which the gateway closes idle connections before they do.
 IDLE_MARGIN_FRACTION = 0.1
-# s between checks for connections that were idle for too long or have stalled.
+# Seconds between checks for connections that were idle for too long or have stalled.
 IDLE_CHECK_INTERVAL_S = 0.5
 # The command of a health check.
 LOAD_COMMAND = b"*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n"
 
 
 class EndpointPools:
-    """The pools of all endpoints, and what holds for all of them.
+    """The pools of all endpoints, and the state that they share.
 
-    Nothing here that a request, a change of one endpoint or a timer does walks over all pools.
+    No operation for a request, a change of one endpoint or a timer iterates over all pools.
 
     Attributes:
-        max_connections: Limit of connections, those that are coming up among them.
-        make_pool: Makes the pool of an endpoint's address.
-        reclaim_descriptor: Closes a connection, of any kind, where none can be opened; returns whether there
-            was one.
+        max_connections: Maximum number of connections, including pending connects.
+        make_pool: Creates the pool for an endpoint's address.
+        reclaim_descriptor: Closes a connection of any kind when no new one can be opened. Returns whether
+            there was one to close.
         connect_timeout: Seconds that a connect may take.
         max_idle_time: Seconds after which an idle connection is closed.
         pools: The open pools, by endpoint id.
-        addresses: Where the endpoint list has the endpoints that are up.
-        ejected: Endpoints that are ejected by an operator override.
-        connections: All connections that have come up.
-        connecting_count: Number of connections that are coming up.
-        idle: The idle connections of all pools, the longest idle first.
+        addresses: Addresses of the endpoints that are up, from the endpoint list, by endpoint id.
+        ejected: Ids of endpoints that are ejected by an operator override.
+        connections: All established connections.
+        connecting_count: Number of pending connects.
+        idle: The idle connections of all pools, longest idle first.
     """
 
     def __init__(self, connect_timeout: float, idle_timeout: float, max_connections: int) -> None:
-        """Make pools for no endpoints.
+        """Create an instance without any endpoints.
 
         Args:
             connect_timeout: Seconds that a connect may take.
             idle_timeout: Seconds after which endpoints close an idle connection.
-            max_connections: Limit of connections.
+            max_connections: Maximum number of connections.
         """
         self.max_connections = max_connections
         self.make_pool: Callable[[EndpointPools, Address], Pool] = Pool
@@ -62,7 +62,7 @@
         self.reconfigure(connect_timeout, idle_timeout)
 
     def reconfigure(self, connect_timeout: float, idle_timeout: float) -> None:
-        """Apply the times of a changed configuration, in seconds as in the constructor."""
+        """Apply the timeouts of a changed configuration, in seconds as in the constructor."""
         self.connect_timeout = connect_timeout
         self.max_idle_time = idle_timeout * (1 - IDLE_MARGIN_FRACTION) - IDLE_CHECK_INTERVAL_S
 
@@ -73,7 +73,7 @@
 
         Args:
             endpoint_id: The endpoint's id.
-            address: Where it is now; None where nothing new may go to it.
+            address: The current address, or None if the endpoint must not receive new attempts.
         """
         if address is not None:
             self.addresses[endpoint_id] = address
@@ -82,7 +82,7 @@
         self._update_pool(endpoint_id)
 
     def set_ejected(self, endpoint_id: str, ejected: bool) -> None:
-        """Set or end an operator's ejection of an endpoint, which holds whatever the endpoint list says."""
+        """Set or clear an operator's ejection of an endpoint, which overrides the endpoint list."""
         if ejected:
             self.ejected.add(endpoint_id)
         else:
@@ -105,8 +105,9 @@
         """Send an attempt to its endpoint.
 
         Args:
-            attempt: It ends once, never before this method returns where no pool is open for its endpoint.
-            timeout: Seconds after which it is given up.
+            attempt: The attempt, which ends exactly once. If no pool is open for its endpoint, it ends after
+                this method has returned.
+            timeout: Seconds after which the attempt is abandoned.
         """
         loop = asyncio.get_running_loop()
         pool = self.pools.get(attempt.endpoint_id)
@@ -122,18 +123,18 @@
 
         Args:
             endpoint_id: The endpoint's id.
-            on_done: Called with the attempt once it has ended.
+            on_done: Called with the attempt when it has ended.
         """
         self.send(Attempt(endpoint_id, lambda _: LOAD_COMMAND, on_done, HEALTH_CHECK), self.connect_timeout)
 
     def abandon(self, attempt: Attempt, result: str) -> None:
-        """Give up an attempt.
+        """End an attempt without waiting for its answer.
 
-        Its connection is closed too: a late answer must not meet the next attempt on it.
+        Its connection is closed too, so that a late answer is not taken for the answer to the next attempt.
 
         Args:
-            attempt: Without effect where it has ended.
-            result: The attempt's result, where it may have run and its value has not come whole.
+            attempt: The attempt. If it has already ended, nothing happens.
+            result: The attempt's result if the request may have run and its value is not complete.
         """
         if attempt.result:
             return
@@ -152,32 +153,32 @@
         connection.close()
         attempt.end(result)
 
-    # The limit of connections
+    # Connection limit
 
     @property
     def connection_count(self) -> int:
-        """The number of connections, those that are coming up among them."""
+        """The number of connections, including pending connects."""
         return len(self.connections) + self.connecting_count
 
-    def reserve_capacity(self) -> bool:
-        """Return whether a connection may be opened; at the limit an idle one is closed for it."""
+    def ensure_capacity(self) -> bool:
+        """Return whether a connection may be opened. At the limit, an idle one is closed to allow it."""
         return self.connection_count < self.max_connections or self.close_longest_idle()
 
     def close_excess_idle(self) -> None:
-        """Close idle connections, the longest idle first, down to a limit that has shrunk."""
-        while self.connection_count > self.max_connections and self.reserve_capacity():
+        """Close idle connections, longest idle first, to meet a connection limit that was lowered."""
+        while self.connection_count > self.max_connections and self.ensure_capacity():
             pass
 
     # Idle connections
 
     def add_idle(self, connection: Connection) -> None:
-        """Add an idle connection in the order of `idle_since`: it is the last one unless it was put back."""
-        idle_for_less = []
+        """Insert an idle connection in the order of `idle_since`, at the end unless it was returned."""
+        more_recent = []
         while self.idle and (last := next(reversed(self.idle))).idle_since > connection.idle_since:
-            idle_for_less.append(last)
+            more_recent.append(last)
             del self.idle[last]
         self.idle[connection] = None
-        for last in reversed(idle_for_less):
+        for last in reversed(more_recent):
             self.idle[last] = None
 
     def idle_count(self) -> int:
@@ -185,10 +186,10 @@
         return len(self.idle)
 
     def close_longest_idle(self, descriptor_limit: float = math.inf) -> bool:
-        """Close the longest idle connection. Return whether there was one.
+        """Close the connection that has been idle longest. Return whether there was one.
 
         Args:
-            descriptor_limit: Only a connection with a descriptor below this number is closed.
+            descriptor_limit: Only a connection whose descriptor is below this number is closed.
         """
         for connection in self.idle:
             if connection.sock.fileno() < descriptor_limit:
@@ -197,30 +198,34 @@
         return False
 
     def close_idle(self, endpoint_id: str) -> None:
-        """Close the idle connections to one endpoint."""
+        """Close all idle connections to an endpoint."""
         if endpoint_id in self.pools:
             self.pools[endpoint_id].close_idle()
 
     def close_stale(self) -> None:
-        """Close what was idle nearly as long as endpoints allow: an attempt that met their close is reset."""
-        before = monotonic() - self.max_idle_time
-        while self.idle and (oldest := next(iter(self.idle))).idle_since < before:
+        """Close connections that were idle longer than `max_idle_time`.
+
+        This is a little shorter than the endpoints' idle timeout, because an attempt that is sent just as the
+        endpoint closes its connection is reset.
+        """
+        idle_limit = monotonic() - self.max_idle_time
+        while self.idle and (oldest := next(iter(self.idle))).idle_since < idle_limit:
             oldest.close()
 
     # Lifecycle
 
     def start_maintenance(self) -> None:
-        """Check for stale and stalled connections, now and then regularly until `close`."""
+        """Close stale and stalled connections now, and again every IDLE_CHECK_INTERVAL_S until `close`."""
         self.close_stale()
         now = monotonic()
         for connection in list(self.connections):
-            connection.check(now)
+            connection.close_if_stalled(now)
         self._check_timer = asyncio.get_running_loop().call_later(
             IDLE_CHECK_INTERVAL_S, self.start_maintenance
         )
 
     def close(self) -> None:
-        """Stop all pools and close all connections for good."""
+        """Stop all pools and close all connections permanently."""
         if self._check_timer is not None:
             self._check_timer.cancel()
         for pool in self.pools.values():
--- a/api_gateway/upstream/load_report.py
+++ b/api_gateway/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""Reading of the load reports that endpoints attach to their answers."""
+"""Parsing of the load reports that endpoints attach to their answers."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from api_gateway.settings_parser import LOAD_REPORT_FIELDS, read_load_report
 
-# A plain number of the protocol. float() alone would take 1_0, too.
+# A plain number as the protocol defines it. float() alone would also accept 1_0.
 PLAIN_NUMBER = re.compile(r"(?:[0-9]+\.?[0-9]*|\.[0-9]+)(?:[eE][+-]?[0-9]+)?")
 
-# Values by the decision module's name of the field; times in seconds.
+# Values by the decision module's field names; times are in seconds.
 LoadReport = dict[str, float]
 
 
@@ -18,10 +18,10 @@
     """Parse a load report of the form `name=value,name=value`.
 
     Args:
-        text: What stood in the report's place: bytes, text, or anything else that an answer can hold.
+        text: What the answer has in place of a load report: bytes, text, or any other type of reply.
 
     Returns:
-        The known fields. Empty where the report is missing or any part of it is malformed.
+        The known fields. Empty if the report is missing or any part of it is malformed.
     """
     if isinstance(text, bytes):
         text = text.decode("utf-8", "replace")
@@ -32,7 +32,7 @@
         fields = dict(pairs)
     except ValueError:
         return {}
-    if len(fields) < len(pairs):  # a field that stands twice
+    if len(fields) < len(pairs):  # duplicate field
         return {}
     for name, value in fields.items():
         if value and name in LOAD_REPORT_FIELDS and not PLAIN_NUMBER.fullmatch(value):
--- a/api_gateway/upstream/pool.py
+++ b/api_gateway/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint: idle ones, those that settle, and those that are coming up."""
+"""The connections to one endpoint: idle, settling and pending ones."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 if TYPE_CHECKING:
     from api_gateway.upstream.endpoint_pools import EndpointPools
 
-# s after an answer in which a second one may still come: a spoilt one is late by milliseconds.
+# Seconds after an answer in which a second one may still arrive: faulty ones are milliseconds late.
 SETTLE_TIME_S = 0.05
-# Part of an endpoint's typical response time that an attempt waits for a connection to settle.
+# Longest wait for a connection to settle, as a fraction of the endpoint's typical response time.
 SETTLE_WAIT_FRACTION = 0.5
-# Weight of the latest answer in the typical response time.
+# Weight of the latest response time in the moving average.
 RESPONSE_TIME_GAIN = 0.2
-# Margin past the end of a time, since the event loop's timers may fire early.
+# Added to timer delays, because the event loop's timers may fire early.
 TIMER_MARGIN_S = 0.002
 
 
-class ShortageError(Exception):
-    """The gateway has nothing left to open a connection with, which is no evidence about the endpoint.
+class ResourceExhaustedError(Exception):
+    """The gateway lacks a local resource to open a connection, which is no evidence about the endpoint.
 
     Attributes:
-        cause: What the system said.
+        cause: The operating system's error.
     """
 
     def __init__(self, cause: OSError) -> None:
-        """Keep the cause."""
+        """Create the error with the cause's message."""
         super().__init__(str(cause))
         self.cause = cause
 
 
 class ReservedConnection(NamedTuple):
-    """A connection that is reserved for an attempt until no second answer can come on it."""
+    """A connection that is reserved for an attempt until it has settled."""
 
     connection: Connection
     timer: asyncio.TimerHandle
@@ -50,36 +50,37 @@
 class Pool:
     """The connections to one address of an endpoint.
 
-    A connection that has just brought an answer is left alone until no second answer can come on it.
+    After an answer, a connection is not reused until it has settled, which means that no second answer can
+    arrive on it any more.
 
     Attributes:
-        settle_time: Seconds that this takes.
-        endpoint_pools: The owner, with what holds for all pools.
-        address: Where the connections go.
-        is_open: Whether attempts may start here; False for good after `stop`.
-        idle: The idle connections, the latest used last.
+        settle_time: Seconds that a connection takes to settle.
+        endpoint_pools: The owner, with the state shared by all pools.
+        address: The address that the connections go to.
+        is_open: Whether the pool accepts attempts; False permanently after `stop`.
+        idle: The idle connections, most recently used last.
         typical_response_time: Moving average of the endpoint's response times, in seconds.
-        connecting: The connects under way, by what each is for.
-        settling: Reserved connections, by the attempt that each is for.
+        connecting: The pending connects, by the attempt or token that each was started for.
+        settling: Reserved connections, by the attempt that waits for each.
     """
 
     settle_time = SETTLE_TIME_S
 
     def __init__(self, endpoint_pools: EndpointPools, address: Address) -> None:
-        """Make a pool without connections."""
+        """Create a pool without connections."""
         self.endpoint_pools = endpoint_pools
         self.address = address
         self.is_open = True
         self.idle: list[Connection] = []
         self.typical_response_time = 0.0
-        self.connecting = Connects(endpoint_pools)
+        self.connecting = PendingConnects(endpoint_pools)
         self.settling: dict[Attempt, ReservedConnection] = {}
 
     def start(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle connection, on one that will have settled soon, or on a new one.
+        """Send an attempt on an idle connection, on one that will settle soon, or on a new one.
 
-        Waiting for one that settles costs the endpoint less than a new one. It is only done where the wait
-        is short beside the endpoint's typical response time.
+        Waiting for a connection to settle costs the endpoint less than a new connection. The attempt only
+        waits if the wait is short compared with the endpoint's typical response time.
         """
         if self.start_on_idle(attempt):
             return
@@ -101,7 +102,7 @@
         return connection is not None
 
     def take_settled(self) -> Connection | None:
-        """Take the latest used of the idle connections that have settled; unsound ones are closed."""
+        """Take the most recently used idle connection that has settled and is sound; close unsound ones."""
         settled_before = monotonic() - self.settle_time
         settled = [idle for idle in reversed(self.idle) if idle.idle_since <= settled_before]
         for connection in settled:
@@ -111,22 +112,22 @@
         return None
 
     def on_settled(self, attempt: Attempt) -> None:
-        """Send an attempt on the connection that has settled for it."""
+        """Send an attempt on its reserved connection, which has settled."""
         connection = self.settling[attempt].connection
         if not connection.is_sound():
-            connection.close()  # which starts the attempt on a new one
+            connection.close()  # this starts the attempt on a new connection
             return
         del self.settling[attempt]
-        attempt.started_at = monotonic()  # the wait so far is no evidence about the endpoint
+        attempt.started_at = monotonic()  # the time spent waiting is no evidence about the endpoint
         if not connection.start(attempt):
             self.return_idle(connection)
 
     def start_new(self, attempt: Attempt) -> None:
-        """Send an attempt on a new connection, where the limit of connections allows one."""
+        """Send an attempt on a new connection, if the connection limit allows one."""
         loop = asyncio.get_running_loop()
-        if self.endpoint_pools.reserve_capacity():
+        if self.endpoint_pools.ensure_capacity():
             self.connecting[attempt] = loop.create_task(self._connect_for(attempt))
-        else:  # all are in use, which is no evidence about this endpoint
+        else:  # all connections are in use, which is no evidence about this endpoint
             loop.call_soon(attempt.end, "moot")
 
     def cancel_wait(self, attempt: Attempt) -> None:
@@ -143,22 +144,22 @@
         """Open a connection.
 
         Returns:
-            The connection; None where it is refused or does not come up in time.
+            The connection, or None if it was refused or timed out.
 
         Raises:
-            ShortageError: The gateway itself has nothing left to open one with.
+            ResourceExhaustedError: The gateway itself lacks a resource to open one.
         """
         try:
             return await retry_after_reclaim(self._open_once, self.endpoint_pools.reclaim_descriptor)
-        except OSError as err:  # refused, or out of time
+        except OSError as err:  # refused or timed out
             if is_resource_exhaustion(err):
-                raise ShortageError(err) from err
-        except ValueError:  # no address at all
+                raise ResourceExhaustedError(err) from err
+        except ValueError:  # the address is invalid
             pass
         return None
 
     def add_idle(self, connection: Connection) -> None:
-        """Add a connection that has become idle now."""
+        """Add a connection that has just become idle, or close it if the pool is closed."""
         if self.is_open:
             connection.idle_since = monotonic()
             self.idle.append(connection)
@@ -167,21 +168,21 @@
             connection.close()
 
     def take_idle(self, connection: Connection) -> Connection:
-        """Remove a connection from the idle ones and return it."""
+        """Remove a connection from the idle connections and return it."""
         self.idle.remove(connection)
         self.endpoint_pools.idle.pop(connection, None)
         return connection
 
     def return_idle(self, connection: Connection) -> None:
-        """Return a connection that was taken and not used; it stays idle since the same time as before."""
+        """Return a connection that was taken but not used; its `idle_since` does not change."""
         if self.is_open and connection in self.endpoint_pools.connections:
             bisect.insort(self.idle, connection, key=lambda idle: idle.idle_since)
             self.endpoint_pools.add_idle(connection)
         else:
             connection.close()
 
-    def forget(self, connection: Connection) -> None:
-        """Forget a connection that closes; an attempt that it was reserved for gets a new one."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a closing connection. An attempt that it was reserved for gets a new one."""
         if connection in self.idle:
             self.take_idle(connection)
         self.endpoint_pools.connections.discard(connection)
@@ -192,20 +193,20 @@
                 self.start_new(attempt)
 
     def abandon(self, attempt: Attempt, result: str) -> None:
-        """Give up an attempt, and the connection that it is on."""
+        """End an attempt and close its connection."""
         self.endpoint_pools.abandon(attempt, result)
 
     def record_response_time(self, seconds: float) -> None:
-        """Add a response time to the endpoint's moving average."""
+        """Add a response time, in seconds, to the endpoint's moving average."""
         self.typical_response_time += RESPONSE_TIME_GAIN * (seconds - self.typical_response_time)
 
     def close_idle(self) -> None:
-        """Close the idle connections."""
+        """Close all idle connections of this pool."""
         for connection in list(self.idle):
             connection.close()
 
     def stop(self) -> None:
-        """Close the pool for good; attempts that wait for a connection end, those in flight go on."""
+        """Close the pool permanently. Attempts that wait for a connection end; those in flight continue."""
         self.is_open = False
         self.close_idle()
         for attempt, settling in list(self.settling.items()):
@@ -213,19 +214,19 @@
             settling.timer.cancel()
             settling.connection.close()
             attempt.end("connect_failed")
-        for waiting, task in list(self.connecting.items()):
-            del self.connecting[waiting]
+        for key, task in list(self.connecting.items()):
+            del self.connecting[key]
             task.cancel()
-            if isinstance(waiting, Attempt):  # the connects of a shared pool are for no certain attempt
-                waiting.end("connect_failed")
+            if isinstance(key, Attempt):  # the connects of a SharedPool do not belong to an attempt
+                key.end("connect_failed")
 
     async def _connect_for(self, attempt: Attempt) -> None:
-        """Open a connection and send the attempt on it, if it still waits for one."""
+        """Open a connection and send the attempt on it, if the attempt still waits for one."""
         connection = None
         result = "connect_failed"
         try:
             connection = await self.open()
-        except ShortageError:
+        except ResourceExhaustedError:
             result = "moot"
         finally:
             is_awaited = self.connecting.pop(attempt, None) is not None
@@ -241,7 +242,7 @@
             attempt.end(result)
 
     async def _open_once(self) -> Connection:
-        """Raise OSError, TimeoutError among them, or ValueError where no connection comes up."""
+        """Open a connection, or raise OSError (which includes TimeoutError) or ValueError."""
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
@@ -259,29 +260,29 @@
                 sock.close()
 
 
-class Connects(dict[object, asyncio.Task[None]]):
-    """The connects of one pool, by what each is for; they count in the connects of all pools.
+class PendingConnects(dict[object, asyncio.Task[None]]):
+    """The pending connects of one pool, which also count in the total of all pools.
 
-    An entry goes when its connect has an outcome or is called off, whichever is first: a task that is
-    cancelled before its first step would never remove it.
+    An entry is removed when its connect ends or is cancelled, whichever comes first. The task cannot be
+    relied on to remove it, because a task that is cancelled before its first step never runs.
     """
 
     def __init__(self, endpoint_pools: EndpointPools) -> None:
-        """Make an empty map whose length counts in `endpoint_pools.connecting_count`."""
+        """Create an empty map whose entries count in `endpoint_pools.connecting_count`."""
         super().__init__()
         self.endpoint_pools = endpoint_pools
 
     def __setitem__(self, key: object, task: asyncio.Task[None]) -> None:
-        """Add a connect."""
+        """Add a pending connect."""
         self.endpoint_pools.connecting_count += key not in self
         super().__setitem__(key, task)
 
     def __delitem__(self, key: object) -> None:
-        """Remove a connect."""
+        """Remove a pending connect."""
         super().__delitem__(key)
         self.endpoint_pools.connecting_count -= 1
 
     def pop(self, key: object, default: asyncio.Task[None] | None = None) -> asyncio.Task[None] | None:  # type: ignore[override]
-        """Remove a connect and return it, or `default` where there is none."""
+        """Remove a pending connect and return it, or return `default` if there is none."""
         self.endpoint_pools.connecting_count -= key in self
         return super().pop(key, default)
