--- a/api_gateway/discovery/__init__.py
+++ b/api_gateway/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the endpoint list comes from: the client of discovery, its replicas and its subsets."""
+"""Client of the list service: polling and watches, failover between replicas, and endpoint subsets."""
--- a/api_gateway/discovery/compact_store.py
+++ b/api_gateway/discovery/compact_store.py
@@ -1,9 +1,9 @@
-"""All endpoints of a cluster in little memory, for a gateway that takes its subset from the full list.
+"""Stores all endpoints of a cluster compactly, for a gateway that selects its subset from the full list.
 
-An endpoint is one record of bytes on the ring of its group, zone and state: its position (POSITION_BYTES),
-its id, ID_END, the number of the full list that named it last (LIST_NUMBER_BYTES), and the rest as JSON.
-Records of a ring are sorted. There is no table of endpoints, which would take as much memory again: an
-endpoint is searched for on the rings of all zones.
+An endpoint is one bytes record on the ring of its group, zone and state. The record consists of its position
+(POSITION_BYTES), its id, ID_END, the number of the last full list that contained it (LIST_NUMBER_BYTES), and
+its other fields as JSON. The records of a ring are sorted. A table of endpoints by id would double the
+memory, so an endpoint is searched for on the rings of all zones instead.
 """
 
 from __future__ import annotations
@@ -18,41 +18,41 @@
 from api_gateway.base.endpoint_list import Address, AddressedEndpoint
 from api_gateway.base.subsets import EndpointRings, Ring, position_of_endpoint
 
-RECORDS_PER_TURN = 1000  # scanned in one turn of the event loop: some 1 ms
+RECORDS_PER_TURN = 1000  # records scanned per turn of the event loop, which takes about 1 ms
 POSITION_BYTES = 8
 LIST_NUMBER_BYTES = 4
-ID_END = b"\0\0"  # nothing else in an id starts with a byte as low, so that ids sort as they are
-ESCAPED_ZERO = b"\0\xff"  # stands for a zero byte in an id
+ID_END = b"\0\0"  # sorts before any byte of an escaped id, so that records sort in the order of their ids
+ESCAPED_ZERO = b"\0\xff"  # encodes a zero byte within an id
 
 encode_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
 @dataclass(slots=True)
 class RecordLocation:
-    """Where a record lies."""
+    """The location of a record in the store."""
 
     zone: str
     ring: Ring
-    records: list[bytes]  # one of the ring's two lists
-    index: int  # in that list
+    records: list[bytes]  # one of the two lists of the ring
+    index: int  # index in `records`
 
 
 class CompactEndpointStore(EndpointRings):
     """All endpoints of some kinds, by group, zone and state.
 
-    `touched_groups` are those in which something has changed since its owner emptied it. `list_number` counts
-    the full lists that were begun; its owner raises it.
+    `touched_groups` contains the groups that have changed since the owner of the store last cleared it.
+    `list_number` counts the full lists whose reading has begun; the owner increments it.
     """
 
     def __init__(self, kinds: tuple[str, ...]) -> None:
         """Initialise an empty store.
 
         Args:
-            kinds: Kinds of endpoints that are stored, each a group; none: all endpoints, as one group.
+            kinds: Kinds of endpoints to store, each a separate group; empty: all endpoints, as one group.
         """
         super().__init__()
         self.kinds = frozenset(kinds)
-        self.kind_by_id: dict[str, str] = {}  # only where kinds are named
+        self.kind_by_id: dict[str, str] = {}  # only filled if `kinds` are given
         self.touched_groups: set[str | None] = set()
         self.list_number = 0
 
@@ -60,7 +60,7 @@
 
     @staticmethod
     def position_key(position: int) -> bytes:
-        """Return what sorts before all records of a position and after those of the positions before."""
+        """Return a key that sorts before all records at a position and after those at lower positions."""
         return position.to_bytes(POSITION_BYTES, "big")
 
     @staticmethod
@@ -76,29 +76,29 @@
 
     @staticmethod
     def members_of(ring_keys: list[bytes]) -> list[bytes]:
-        """Return records as a Part holds them: as they are."""
+        """Return the records unchanged, as the members of a SubsetPart."""
         return ring_keys
 
     def record_prefix(self, endpoint_id: str) -> bytes:
-        """Return what the record of an endpoint begins with."""
+        """Return the prefix of the record of an endpoint: its position and its id."""
         escaped = endpoint_id.encode("utf-8", "surrogatepass").replace(b"\0", ESCAPED_ZERO)
         return self.position_key(position_of_endpoint(endpoint_id)) + escaped + ID_END
 
     @staticmethod
     def encoded_endpoint(record: bytes) -> bytes:
-        """Return what encode_endpoint() made of the endpoint of a record."""
+        """Return the part of a record that encode_endpoint() produced."""
         return record[record.index(ID_END, POSITION_BYTES) + len(ID_END) + LIST_NUMBER_BYTES :]
 
     @staticmethod
     def list_number_of(record: bytes) -> int:
-        """Return the number of the full list that named the endpoint of a record last."""
+        """Return the number of the last full list that contained the endpoint of a record."""
         start = record.index(ID_END, POSITION_BYTES) + len(ID_END)
         return int.from_bytes(record[start : start + LIST_NUMBER_BYTES], "big")
 
     # Endpoints
 
     def find(self, endpoint_id: str, zone: str = "") -> RecordLocation | None:
-        """Return where the record of an endpoint lies; `zone` is searched first. None: it is not stored."""
+        """Return the location of an endpoint, searching `zone` first; None if the endpoint is not stored."""
         prefix = self.record_prefix(endpoint_id)
         zones = self.groups.get(self.kind_by_id.get(endpoint_id) if self.kinds else None, {})
         for candidate in (zone, *zones) if zone in zones else zones:
@@ -110,16 +110,16 @@
         return None
 
     def store(self, endpoint: api.Endpoint, address: Address | None) -> None:
-        """Store an endpoint in place of what was known of it.
+        """Store an endpoint and replace its previous record.
 
-        One that is removed, or of another kind, is dropped.
+        An endpoint that is removed, or whose kind is not stored, is deleted from the store.
         """
         if endpoint.state == "down" or (self.kinds and endpoint.kind not in self.kinds):
             self.remove_endpoint(endpoint.id)
             return
         encoded = encode_endpoint(endpoint, address)
-        number = self.list_number.to_bytes(LIST_NUMBER_BYTES, "big")
-        record = self.record_prefix(endpoint.id) + number + encoded
+        encoded_list_number = self.list_number.to_bytes(LIST_NUMBER_BYTES, "big")
+        record = self.record_prefix(endpoint.id) + encoded_list_number + encoded
         if (location := self.find(endpoint.id, endpoint.zone)) is not None:
             if self.encoded_endpoint(location.records[location.index]) == encoded:
                 location.records[location.index] = record
@@ -132,17 +132,17 @@
         insort(ring.up if endpoint.state == "up" else ring.draining, record)
         self.touched_groups.add(group)
 
-    def remove_endpoint(self, name: str, number: int | None = None) -> None:
+    def remove_endpoint(self, name: str, list_number: int | None = None) -> None:
         """Remove an endpoint.
 
         Args:
-            name: Its id.
-            number: Of a full list; if given, the endpoint goes only where neither that list nor a later one
-                has named it.
+            name: Id of the endpoint.
+            list_number: Number of a full list; if given, the endpoint is removed only if neither that list
+                nor a later one contained it.
         """
         if (location := self.find(name)) is None:
             return
-        if number is not None and self.list_number_of(location.records[location.index]) >= number:
+        if list_number is not None and self.list_number_of(location.records[location.index]) >= list_number:
             return
         group = self.kind_by_id.pop(name) if self.kinds else None
         del location.records[location.index]
@@ -150,14 +150,14 @@
         self.touched_groups.add(group)
 
     def get(self, endpoint_id: str) -> AddressedEndpoint | None:
-        """Return an endpoint and its address; None: it is not stored."""
+        """Return an endpoint and its address; None if it is not stored."""
         location = self.find(endpoint_id)
         if location is None:
             return None
         return decode_endpoint(endpoint_id, self.encoded_endpoint(location.records[location.index]))
 
     def size(self) -> int:
-        """Return the count of endpoints."""
+        """Return the number of endpoints."""
         return sum(map(len, self.record_lists()))
 
     def record_lists(self) -> Iterator[list[bytes]]:
@@ -175,27 +175,27 @@
             for record in ring.draining
         ]
 
-    def ids_named_by(self, number: int) -> Iterator[list[str]]:
-        """Yield the ids that this full list named last, of RECORDS_PER_TURN records at a time."""
-        return self._scan(lambda last_number: last_number == number)
+    def ids_last_listed_in(self, list_number: int) -> Iterator[list[str]]:
+        """Yield the ids whose last full list was this one, one batch per RECORDS_PER_TURN scanned records."""
+        return self._scan(lambda last_list_number: last_list_number == list_number)
 
-    def ids_not_named_since(self, number: int) -> Iterator[list[str]]:
-        """Yield the ids that neither this full list nor a later one named, as ids_named_by() does."""
-        return self._scan(lambda last_number: last_number < number)
+    def ids_not_listed_since(self, list_number: int) -> Iterator[list[str]]:
+        """Yield the ids that neither this full list nor a later one contained, in batches as above."""
+        return self._scan(lambda last_list_number: last_list_number < list_number)
 
-    def _scan(self, is_wanted: Callable[[int], bool]) -> Iterator[list[str]]:
-        # Copies, as the rings may change between two of the lists that this yields.
+    def _scan(self, matches: Callable[[int], bool]) -> Iterator[list[str]]:
+        # The lists are copied because the rings may change between two batches.
         for records in [list(records) for records in self.record_lists()]:
             for start in range(0, len(records), RECORDS_PER_TURN):
                 yield [
                     self.id_of(record)
                     for record in records[start : start + RECORDS_PER_TURN]
-                    if is_wanted(self.list_number_of(record))
+                    if matches(self.list_number_of(record))
                 ]
 
 
 def encode_endpoint(endpoint: api.Endpoint, address: Address | None) -> bytes:
-    """Return all of an endpoint but its id, and its address, as a short text."""
+    """Return the fields of an endpoint except its id, and its address, as compact JSON."""
     return encode_json(
         [
             endpoint.zone,
@@ -210,6 +210,6 @@
 
 
 def decode_endpoint(endpoint_id: str, encoded: bytes) -> AddressedEndpoint:
-    """Return the endpoint and the address that encode_endpoint() wrote."""
+    """Return the endpoint and the address that encode_endpoint() encoded."""
     *fields, address = json.loads(encoded)
     return AddressedEndpoint(api.Endpoint(endpoint_id, *fields), tuple(address) if address else None)
--- a/api_gateway/discovery/fetcher.py
+++ b/api_gateway/discovery/fetcher.py
@@ -1,7 +1,7 @@
-"""JSON by HTTP/1.1 GET, over one connection that stays open between two calls.
+"""Fetches JSON by HTTP/1.1 GET over a connection that stays open between calls.
 
-h11 reads and writes the protocol. A complete HTTP library takes more CPU at a start than the rest of the
-gateway, and 14 MB; this client needs none of its parts but these.
+h11 implements the protocol. A complete HTTP library takes more CPU at startup than the rest of the gateway,
+and 14 MB of memory, while this client needs only GET requests.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from api_gateway.base.descriptors import reclaim_nothing, retry_after_reclaim
 from api_gateway.base.endpoint_list import Address
 
-MAX_BODY_BYTES = 16 * 1024 * 1024  # of an answer: a list of 1,000 endpoints takes 150 kB
-READ_BYTES = 64 * 1024  # read from the socket at once
+MAX_BODY_BYTES = 16 * 1024 * 1024  # of an answer; a list of 1,000 endpoints takes 150 kB
+READ_BYTES = 64 * 1024  # maximum size of one read from the socket
 
 
 class FetchError(Exception):
-    """A call failed other than by the network or by time."""
+    """A call failed for a reason other than a network error or a timeout."""
 
 
 class StatusError(FetchError):
-    """The answer's status is not 2xx."""
+    """The status of the answer is not 2xx."""
 
     def __init__(self, status: int) -> None:
         """Initialise the status error."""
@@ -34,7 +34,7 @@
 
 
 class BrokenConnectionError(FetchError):
-    """The connection ended before the answer was complete, or what came is no answer, or too large."""
+    """The connection ended before the answer was complete, or the answer is malformed or too large."""
 
     def __init__(self, reason: str) -> None:
         """Initialise the broken connection error."""
@@ -43,16 +43,17 @@
 
 
 class IdleConnectionClosedError(BrokenConnectionError):
-    """An idle connection was closed meanwhile, or brought what was not requested: no answer came."""
+    """An idle connection was closed, or received data without a request, before the next answer began."""
 
 
-# The answer to an operator's change of the configuration names an error by its class; that text stays.
+# The reply to an operator's configuration change contains the class name of an error. These names are part of
+# that interface and stay, although the classes have been renamed.
 StatusError.__name__ = "Refused"
 BrokenConnectionError.__name__ = "Broken"
 
 
 def format_host(address: Address) -> str:
-    """Return an address as a Host header has it."""
+    """Return an address as the value of a Host header."""
     host, port = address
     return f"{f'[{host}]' if ':' in host else host}:{port}"
 
@@ -61,7 +62,7 @@
     """Read JSON of any shape.
 
     Raises:
-        ValueError: It is none, or nested too deeply.
+        ValueError: The text is not JSON, or is nested too deeply.
     """
     try:
         return json.loads(text)
@@ -70,15 +71,15 @@
 
 
 class FetchConnection:
-    """One connection, whose calls follow one another. It owns the reader and the writer."""
+    """One HTTP connection, which makes one call at a time. It owns the reader and the writer."""
 
     def __init__(self, address: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Initialise the line."""
+        """Initialise the connection."""
         self.address = address
         self.reader = reader
         self.writer = writer
         self.protocol = h11.Connection(h11.CLIENT)
-        self.is_reused = False  # whether a call has ended on it
+        self.is_reused = False  # whether a call has been completed on it
 
     async def get(self, target: str) -> bytearray:
         """Make a call and return the body of the answer.
@@ -94,14 +95,14 @@
             raise BrokenConnectionError(str(err)) from err
 
     async def exchange(self, target: str) -> bytearray:
-        """Write a request and read its answer. Raises h11.RemoteProtocolError beside what get() raises."""
+        """Send a request and read its answer. Raises h11.RemoteProtocolError and whatever get() raises."""
         request = h11.Request(
             method="GET",
             target=target,
             headers=[("Host", format_host(self.address)), ("Accept", "application/json")],
         )
         if self.is_reused and not await self.is_quiet():
-            raise IdleConnectionClosedError("something came while it rested")
+            raise IdleConnectionClosedError("data arrived on the idle connection")
         self.writer.write(self.protocol.send(request) + self.protocol.send(h11.EndOfMessage()))
         status = 0
         body = bytearray()
@@ -112,7 +113,7 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
-                body += event.data  # joining pieces would take twice the memory
+                body += event.data  # joining a list of pieces would need twice the memory
                 if len(body) > MAX_BODY_BYTES:
                     raise BrokenConnectionError(f"an answer of more than {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
@@ -122,10 +123,10 @@
         return body
 
     async def read(self, *, before_status: bool) -> bytes:
-        """Read what comes next; nothing: the peer has closed.
+        """Read the next bytes; empty if the peer has closed the connection.
 
         Args:
-            before_status: Whether nothing of the answer has been read yet.
+            before_status: Whether the status of the answer has not been read yet.
         """
         was_idle = before_status and self.is_reused
         try:
@@ -133,11 +134,11 @@
         except ConnectionError as err:
             raise (IdleConnectionClosedError if was_idle else BrokenConnectionError)(str(err)) from err
         if not data and was_idle:
-            raise IdleConnectionClosedError("closed while it rested")
+            raise IdleConnectionClosedError("the connection was closed while idle")
         return data
 
     async def is_quiet(self) -> bool:
-        """Return whether nothing has come since the last answer: the next call would take it for its own."""
+        """Return whether no data has arrived that the next call would mistake for its answer."""
         unexpected = asyncio.ensure_future(self.reader.read(1))
         try:
             await asyncio.sleep(0)
@@ -147,11 +148,11 @@
         return isinstance(result, asyncio.CancelledError)
 
     def prepare_reuse(self) -> bool:
-        """Return whether another call may be made on this connection, and make it ready for one."""
+        """Prepare the connection for another call and return whether one can be made."""
         self.is_reused = True
         if (self.protocol.our_state, self.protocol.their_state) != (h11.DONE, h11.DONE):
             return False
-        if self.protocol.trailing_data != (b"", False):  # the next call would take that for its answer
+        if self.protocol.trailing_data != (b"", False):  # the next call would read it as its answer
             return False
         self.protocol.start_next_cycle()
         return not self.reader.at_eof()
@@ -162,9 +163,9 @@
 
 
 class Fetcher:
-    """Calls of one caller. Concurrent calls each have a connection of their own; one stays open when idle.
+    """Makes calls and keeps one idle connection open. Concurrent calls use separate connections.
 
-    `reclaim_descriptor` ends a connection of others where none can be opened.
+    `reclaim_descriptor` closes a connection elsewhere in this process if no connection can be opened.
     """
 
     def __init__(self) -> None:
@@ -173,19 +174,20 @@
         self.reclaim_descriptor = reclaim_nothing
 
     async def get(self, address: Address, target: str, limit: float) -> Any:
-        """Return the JSON at `target`, of any shape. Raises ValueError beside what fetch() raises."""
+        """Return the JSON at `target`, of any shape. Raises ValueError in addition to what fetch() raises."""
         return read_json(await self.fetch(address, target, limit))
 
     async def fetch(self, address: Address, target: str, limit: float) -> bytearray:
-        """Return the body at `target`.
+        """Return the body of the answer for `target`.
 
         Args:
-            address: Where the service listens.
+            address: Address of the service.
             target: Path and query.
             limit: Time limit of the call in seconds.
 
         Raises:
-            TimeoutError: The call took longer; beside what Line.get() raises.
+            TimeoutError: The call exceeded `limit`.
+            StatusError, BrokenConnectionError, OSError: As in FetchConnection.get().
         """
         async with asyncio.timeout(limit):
             idle = self.idle_connection
@@ -195,23 +197,23 @@
                     return await self.call(idle, target)
             elif idle is not None:
                 idle.close()
-            opened = await retry_after_reclaim(
+            streams = await retry_after_reclaim(
                 lambda: asyncio.open_connection(*address), self.reclaim_descriptor
             )
-            return await self.call(FetchConnection(address, *opened), target)
+            return await self.call(FetchConnection(address, *streams), target)
 
-    async def call(self, line: FetchConnection, target: str) -> bytearray:
-        """Make a call on a connection, and keep it open or close it."""
+    async def call(self, connection: FetchConnection, target: str) -> bytearray:
+        """Make a call on a connection, then keep it as the idle connection or close it."""
         stays_open = False
         try:
-            body = await line.get(target)
-            stays_open = line.prepare_reuse() and self.idle_connection is None
+            body = await connection.get(target)
+            stays_open = connection.prepare_reuse() and self.idle_connection is None
             return body
         finally:
             if stays_open:
-                self.idle_connection = line
+                self.idle_connection = connection
             else:
-                line.close()
+                connection.close()
 
     def close(self) -> None:
         """Close the idle connection, if there is one."""
--- a/api_gateway/discovery/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -1,9 +1,9 @@
-"""Discovery from a list service of several replicas, through whose outages the last good list serves.
+"""Discovery from a list service with several replicas; the last good list serves during their outages.
 
-One replica is called at a time, the next one after a failure. A version that goes backwards within an epoch
-is that of a replica that lags, and its list is not taken. Another epoch is another incarnation of the
-service, and its list counts. The list is cached under $TMPDIR, so that a process which starts in an outage
-begins with the list of the process before it.
+One replica is called at a time, and the next one after a failure. If a version goes backwards within an
+epoch, the replica lags and its list is rejected. A different epoch means another incarnation of the service,
+whose full list is accepted. The list is cached under $TMPDIR, so that a process started during an outage
+begins with the list of the previous process.
 """
 
 from __future__ import annotations
@@ -37,46 +37,52 @@
 
 
 class StaleReplicaError(Exception):
-    """A replica lags: its list is older than the known one."""
+    """A replica lags behind: its list is older than the last one."""
 
     def __init__(self, version: int, known_version: int) -> None:
         """Initialise the stale replica error."""
-        super().__init__(f"version {version}, where {known_version} is known")
+        super().__init__(f"version {version} is older than the known version {known_version}")
         self.version = version
         self.known_version = known_version
 
 
 class Replicas(Discovery):
-    """Discovery that calls several replicas in turn and caches the list in a file.
+    """Discovery that fails over between several replicas and caches the list in a file.
 
-    `clock` times the cached list, in seconds that the process which reads it later can compare.
+    `clock` returns the time stored with the cached list, in seconds that a later process can compare with its
+    own clock.
     """
 
     clock: Callable[[], float] = staticmethod(time.time)
 
     def __init__(
-        self, address: Address, others: tuple[Address, ...], folder: Path | None, name: str, *args: Any
+        self,
+        address: Address,
+        other_addresses: tuple[Address, ...],
+        folder: Path | None,
+        name: str,
+        *args: Any,
     ) -> None:
         """Initialise the replicas.
 
         Args:
             address: The first replica.
-            others: The other replicas.
-            folder: Where the list is cached; None: nowhere.
-            name: Of this process, unique in the folder.
-            args: Further arguments of Discovery.
+            other_addresses: The other replicas.
+            folder: Folder for the cached list; None: the list is not cached.
+            name: Name of this process, unique in the folder.
+            args: Remaining arguments of Discovery.
         """
         super().__init__(address, *args)
-        self.replica_addresses = [address, *others]
+        self.replica_addresses = [address, *other_addresses]
         self.replica_index = 0
-        self.epoch = ""  # of the last list
-        self.newest_version = 0  # that of the last list
+        self.epoch = ""  # epoch of the last list
+        self.newest_version = 0  # version of the last list
         self.endpoints: dict[str, tuple[api.Endpoint, Address | None]] = {}
         self.cache_file = SharedFile(folder / f"{name}-list.json" if folder else None)
         self.cache_timer: asyncio.TimerHandle | None = None
 
     def load_cached_list(self) -> EndpointListing | None:
-        """Return the cached list as if it had just come; its age goes on. None: there is none to use."""
+        """Restore the cached list with its original age and return it; None if no usable list is cached."""
         try:
             text = self.cache_file.read()
             if text is None:
@@ -86,7 +92,9 @@
             answered_at = float(document["at"])
             total = int(document.get("total", 0))
         except (OSError, ValueError, KeyError, TypeError, OverflowError, RecursionError) as err:
-            log.error("cached endpoint list passed over file=%s error=%s", self.cache_file.path, err)
+            log.error(
+                "cached endpoint list is unreadable and ignored file=%s error=%s", self.cache_file.path, err
+            )
             return None
         if not listing.endpoint_list.endpoints:
             return None
@@ -95,30 +103,30 @@
         if not self.subset or self.subset.resume(document.get("query")):
             self.version = self.newest_version
         else:
-            self.delays_first_call = True  # the subset is another one now
+            self.delays_first_call = True  # the subset has changed, so no watch continues from this list
         return replace(
             listing, endpoint_list=replace(listing.endpoint_list, mode="cached", available_total=total)
         )
 
     async def poll(self, params: Params, limit: float) -> bool:
-        """Call the current replica once; a watch names the epoch that it goes on from."""
-        known = {"epoch": quote(self.epoch, "")} if self.epoch and params else {}
-        return await super().poll({**params, **known}, limit)
+        """Call the current replica once; a watch also sends the epoch that it continues from."""
+        epoch_param = {"epoch": quote(self.epoch, "")} if self.epoch and params else {}
+        return await super().poll({**params, **epoch_param}, limit)
 
     async def attempt(self, params: Params, limit: float) -> bool:
-        """Call the current replica once and turn to the next one if that fails."""
-        is_answered = await super().attempt(params, limit)
-        if not is_answered and len(self.replica_addresses) > 1:
+        """Call the current replica once and switch to the next one if the call fails."""
+        has_answered = await super().attempt(params, limit)
+        if not has_answered and len(self.replica_addresses) > 1:
             self.replica_index = (self.replica_index + 1) % len(self.replica_addresses)
             self.address = self.replica_addresses[self.replica_index]
-        return is_answered
+        return has_answered
 
     def validate(self, listing: EndpointListing) -> None:
-        """Raise what speaks against taking a list.
+        """Raise an exception if a list must be rejected.
 
         Raises:
             StaleReplicaError: The replica lags.
-            ValueError: These are changes of another epoch.
+            ValueError: The list contains changes of another epoch.
         """
         is_same_epoch = bool(self.epoch) and listing.epoch == self.epoch
         if is_same_epoch and listing.endpoint_list.version < self.newest_version:
@@ -127,7 +135,7 @@
             raise ValueError("changes of another epoch")
 
     def accept_list(self, listing: EndpointListing) -> None:
-        """Let a list take effect, pass it on and have it cached. Raises what validate() raises."""
+        """Apply a list, pass it to `on_list` and schedule caching it. Raises what validate() raises."""
         self.validate(listing)
         if self.epoch and listing.epoch != self.epoch:
             log.warning(
@@ -142,7 +150,7 @@
             self.cache_timer = loop.call_later(CACHE_WRITE_INTERVAL_S, self.write_cache)
 
     def record_list(self, listing: EndpointListing) -> None:
-        """Note the endpoints of a list that takes effect, its epoch and its version."""
+        """Record the endpoints, the epoch and the version of a list that takes effect."""
         self.epoch = listing.epoch
         self.newest_version = listing.endpoint_list.version
         if listing.endpoint_list.mode != "delta":
@@ -154,7 +162,7 @@
                 self.endpoints[endpoint.id] = endpoint, listing.addresses.get(endpoint.id)
 
     def write_cache(self) -> None:
-        """Write the list to its file; a failure is logged and leaves the file as it was."""
+        """Write the list to the cache file; a failure is logged and leaves the file unchanged."""
         self.cache_timer = None
         document = {
             "at": self.clock() - (self.age() or 0.0),
@@ -168,28 +176,28 @@
             with self.cache_file.locked():
                 self.cache_file.write(json.dumps(document))
         except OSError as err:
-            log.error("endpoint list not cached file=%s error=%s", self.cache_file.path, err)
+            log.error("cannot write the cached endpoint list file=%s error=%s", self.cache_file.path, err)
 
     def _cached_subset(self) -> dict[str, Any]:
-        """Return which part of all endpoints the file holds; `query` where the service chose it."""
+        """Return the fields that describe the cached subset; `query` only if the service chose the subset."""
         if not self.subset:
             return {}
-        by_service = {"query": self.subset.view.query()} if self.subset.is_chosen_by_service else {}
-        return {"total": self.subset.total, **by_service}
+        subset_query = {"query": self.subset.spec.query()} if self.subset.is_chosen_by_service else {}
+        return {"total": self.subset.total, **subset_query}
 
     def move_to(self, address: Address, listing: EndpointListing | None = None) -> None:
-        """Go on at another first replica, from the list that was fetched there already or the full one."""
+        """Switch to another first replica, starting from a list fetched there or else from the full list."""
         self.replica_addresses[0] = address
         self.replica_index = 0
         self.epoch = ""
         super().move_to(address, listing)
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of the list, as JSON."""
+        """Return the status of the list for operators, including its epoch, as JSON."""
         return {**super().status(), "epoch": self.epoch}
 
     async def close(self) -> None:
-        """Write what is not cached yet, stop watching and close the connection."""
+        """Write a pending list to the cache file, stop watching and close the connection."""
         if self.cache_timer is not None:
             self.cache_timer.cancel()
             self.write_cache()
@@ -197,7 +205,7 @@
 
 
 def cached_entry(endpoint: api.Endpoint, address: Address | None) -> dict[str, Any]:
-    """Return an endpoint in discovery's form, as JSON."""
+    """Return an endpoint in the wire format of discovery, as JSON."""
     return {
         "id": endpoint.id,
         "zone": endpoint.zone,
--- a/api_gateway/discovery/subset_config.py
+++ b/api_gateway/discovery/subset_config.py
@@ -1,4 +1,4 @@
-"""The configuration key `view`: a gateway uses a subset of the endpoints."""
+"""Reads the configuration key `view`, with which a gateway uses a subset of the endpoints."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 from api_gateway.base.subsets import MAX_SUBSET_SIZE, SubsetSpec
 
-DEFAULT_GROWTH_FACTOR = 8  # times its size to which a subset grows at most, where `most` is not given
+DEFAULT_GROWTH_FACTOR = 8  # maximum size of a subset as a multiple of `size`, if `most` is not set
 
 
 @dataclass(frozen=True, slots=True)
 class SubsetConfig:
-    """Size and kinds of the subset."""
+    """Size, kinds and maximum size of the subset."""
 
     size: int  # available endpoints
-    kinds: tuple[str, ...]  # each a group of its own; none: all endpoints as one group
-    max_size: int  # to which the size may grow
+    kinds: tuple[str, ...]  # each kind is a separate group; empty: all endpoints form one group
+    max_size: int  # upper limit to which the size may grow
 
 
 def read_size(name: str, value: object) -> int:
-    """Return a size. Raises ValueError that names the key and what is allowed."""
+    """Return a valid size. Raises a ValueError that names the key and the allowed range."""
     if type(value) is not int or not 1 <= value <= MAX_SUBSET_SIZE:
         raise ValueError(f"view.{name} is {value!r}, not a whole number from 1 to {MAX_SUBSET_SIZE}")
     return value
 
 
 def read_subset_config(document: Any) -> SubsetConfig:
-    """Read the value of the key, which may be JSON of any shape.
+    """Read the value of the key `view`, which may be JSON of any shape.
 
     Raises:
-        ValueError: It names the key, its value and what is allowed.
+        ValueError: The value is invalid; the message names the key, the value and what is allowed.
     """
     if not isinstance(document, dict) or set(document) - {"size", "kinds", "most"}:
         raise ValueError("view may hold size, kinds and most")
--- a/api_gateway/discovery/subset_reader.py
+++ b/api_gateway/discovery/subset_reader.py
@@ -1,4 +1,4 @@
-"""Reads one list of a gateway that uses a subset, entry by entry, with turns of the event loop in between."""
+"""Reads a list for a gateway with a subset, entry by entry, yielding to the event loop in between."""
 
 from __future__ import annotations
 
@@ -16,23 +16,24 @@
 from api_gateway.base.entry_stream import EntryStream
 from api_gateway.discovery.compact_store import CompactEndpointStore
 
-ENTRIES_PER_TURN = 50  # of a long list, read in one turn of the event loop: some 2 ms
+ENTRIES_PER_TURN = 50  # entries of a list read per turn of the event loop, which takes about 2 ms
 
 OnPartialList = Callable[[EndpointListing], None]
 
 
 @dataclass(frozen=True, slots=True)
 class StoredListing(EndpointListing):
-    """A full list whose endpoints are all in a store and not in the list itself."""
+    """A full list whose endpoints are in a store instead of the list itself."""
 
     store: CompactEndpointStore | None = None
 
 
 class SubsetListReader:
-    """Reads one list: all endpoints go into a store; changes and a subset that the service chose do not.
+    """Reads one list, and puts its endpoints into a store if the list contains all endpoints.
 
-    Where `on_partial_list` is given the store is the current one, as two take twice the memory. Should the
-    list break off, the store holds a mix of two lists until the next list, which is a full one.
+    Changes and subsets chosen by the service are returned as they are. If `on_partial_list` is given, a full
+    list is read into the current store, because two stores would need twice the memory. If reading fails
+    halfway, the store contains a mix of two lists until the next list, which is a full one.
     """
 
     def __init__(
@@ -47,13 +48,14 @@
         """Prepare to read a list.
 
         Args:
-            body: Its text.
-            kinds: Kinds of endpoints that a new store takes.
+            body: Text of the list.
+            kinds: Kinds of endpoints that a new store accepts.
             current_store: The store in use.
-            is_used: Whether an endpoint is in the subset, by its id.
-            yield_turn: Lets the event loop turn.
-            on_partial_list: Gets what precedes the entries of a full list, and then, while it is read, those
-                of the subset that leave. It may raise. None: reading has no effect outside.
+            is_used: Returns whether the endpoint with an id is in the subset.
+            yield_turn: Yields to the event loop.
+            on_partial_list: Called with the header of a full list before its entries are read, then with the
+                endpoints of the subset that are draining or removed, as they are read. It may raise. None:
+                reading does not change the store in use.
         """
         self.entries = EntryStream(body)
         self.unreadable = UnreadableEntries()
@@ -63,35 +65,35 @@
         self.is_used = is_used
         self.yield_turn = yield_turn
         self.on_partial_list = on_partial_list
-        self.is_full = False  # whether what precedes the entries says that they are all endpoints
-        self.named: dict[str, AddressedEndpoint] = {}  # entries of what is not known to be a full list
-        self.departing: list[AddressedEndpoint] = []  # of the subset, not passed on yet
+        self.is_full = False  # whether the header says that the entries are all endpoints
+        self.collected: dict[str, AddressedEndpoint] = {}  # entries of a list not known to be a full one
+        self.departing: list[AddressedEndpoint] = []  # endpoints of the subset that were not reported yet
 
     async def read(self) -> EndpointListing:
-        """Read the list to its end. Raises ValueError where it is none."""
+        """Read the complete list. Raises ValueError if the body is not an endpoint list."""
         readable_count = 0
         for number, entry in enumerate(self.entries):
             if number == 0:
-                self._begin()
+                self._on_first_entry()
             if number % ENTRIES_PER_TURN == ENTRIES_PER_TURN - 1:
-                self._pass_departing_on()
+                self._report_departing()
                 await self.yield_turn()
             if (found := self.unreadable.read(entry)) is not None:
                 readable_count += 1
-                self._add(found)
+                self._add_entry(found)
         listing = read_list_header(self.entries.head)
         self.unreadable.check(readable_count, listing.endpoint_list.mode)
         if not listing.is_subset and listing.endpoint_list.mode != "delta":
-            await self._complete_store(self.named.values())
+            await self._complete_store(self.collected.values())
             return StoredListing(
                 listing.endpoint_list, listing.addresses, listing.epoch, listing.is_subset, self.store
             )
-        if self.is_full:  # that it is a subset stood after the entries
+        if self.is_full:  # the field that marks it as a subset followed the entries
             return with_endpoints(listing, self._stored_entries())
-        return with_endpoints(listing, self.named.values())
+        return with_endpoints(listing, self.collected.values())
 
-    def _begin(self) -> None:
-        """Decide by what precedes the entries where they go."""
+    def _on_first_entry(self) -> None:
+        """Choose the destination of the entries by the fields that precede them."""
         head = self.entries.head
         self.is_full = is_full_list(head)
         if self.is_full and self.on_partial_list and self.current_store is not None:
@@ -100,44 +102,44 @@
             self.store.list_number += 1
             self.list_number = self.store.list_number
 
-    def _add(self, found: AddressedEndpoint) -> None:
+    def _add_entry(self, found: AddressedEndpoint) -> None:
         endpoint = found.endpoint
         if self.is_full:
             self.store.store(*found)
         else:
-            self.named[endpoint.id] = found
+            self.collected[endpoint.id] = found
         if endpoint.state != "up" and self.is_used(endpoint.id):
             self.departing.append(found)
 
-    def _pass_departing_on(self) -> None:
+    def _report_departing(self) -> None:
         if self.is_full and self.on_partial_list and self.departing:
             self.on_partial_list(with_endpoints(read_list_header(self.entries.head), self.departing))
             self.departing = []
 
     def _stored_entries(self) -> list[AddressedEndpoint]:
-        """Return what this list has put into the store, by id."""
-        ids = sorted(name for some in self.store.ids_named_by(self.list_number) for name in some)
+        """Return the entries that this list has put into the store, sorted by id."""
+        ids = sorted(name for batch in self.store.ids_last_listed_in(self.list_number) for name in batch)
         return [found for name in ids if (found := self.store.get(name)) is not None]
 
-    async def _complete_store(self, named: Iterable[AddressedEndpoint]) -> None:
-        """Store entries that came before the list was known as a full one, and drop what it does not name."""
-        for count, found in enumerate(named, 1):
+    async def _complete_store(self, collected: Iterable[AddressedEndpoint]) -> None:
+        """Store the collected entries of a full list and remove the endpoints that it does not contain."""
+        for count, found in enumerate(collected, 1):
             self.store.store(*found)
             if count % ENTRIES_PER_TURN == 0:
                 await self.yield_turn()
-        unnamed = []
-        for some in self.store.ids_not_named_since(self.list_number):
-            unnamed += some
+        unlisted_ids = []
+        for batch in self.store.ids_not_listed_since(self.list_number):
+            unlisted_ids += batch
             await self.yield_turn()
-        for count, name in enumerate(unnamed, 1):
+        for count, name in enumerate(unlisted_ids, 1):
             self.store.remove_endpoint(name, self.list_number)
             if count % ENTRIES_PER_TURN == 0:
                 await self.yield_turn()
 
 
 def is_full_list(head: dict[str, Any]) -> bool:
-    """Return whether what precedes the entries says that they are all endpoints.
+    """Return whether the fields before the entries say that the list contains all endpoints.
 
-    A list that holds a subset which the service chose says so there.
+    A list with a subset chosen by the service is marked there as such.
     """
     return bool(head.get("full")) and head.get("view") is not True
--- a/api_gateway/discovery/subsets.py
+++ b/api_gateway/discovery/subsets.py
@@ -1,8 +1,8 @@
-"""The subset of the endpoints that a gateway uses. Only with the configuration key `view`.
+"""The subset of the endpoints that a gateway uses; only with the configuration key `view`.
 
-A list service that knows subsets sends the subset alone. Another one sends all endpoints: then the same
-subset is taken from them here. All of them lie in a compact store, so that any can be brought in when the
-subset changes.
+A list service that supports subsets sends only the subset. Any other service sends all endpoints, and the
+same subset is selected from them here. All endpoints are stored compactly, so that any of them can be used
+when the subset changes.
 """
 
 from __future__ import annotations
@@ -29,74 +29,74 @@
     SubsetListReader,
 )
 
-UNSUPPORTED_STATUSES = (400, 404, 414)  # by which a service may say that it knows no subsets
+UNSUPPORTED_STATUSES = (400, 404, 414)  # a service without support for subsets may return these
 
 
 class EndpointSubset:
-    """The subset of one gateway, from whatever service answers.
+    """The subset of one gateway, whether or not the service supports subsets.
 
-    Lists pass in their order through read(), then bring(), then take(); only what passes the last is in
-    force. `shelf` has all endpoints where the service sent them; None: the service chose the subset.
-    `reading` counts the lists that are being read.
+    Each list passes through read(), then store_changes(), then apply(), in the order of the lists. It takes
+    effect only with apply(). `endpoint_store` contains all endpoints if the service sends them, and is None
+    if the service chose the subset. `open_reads` is the number of lists that are being read.
     """
 
     def __init__(self, config: SubsetConfig, index: int, zone: str) -> None:
-        """Initialise the subset, of no endpoints yet.
+        """Initialise the subset without endpoints.
 
         Args:
-            config: Its size and kinds.
-            index: Number of the gateway.
-            zone: The gateway's own.
+            config: Size and kinds of the subset.
+            index: Index of the gateway.
+            zone: Zone of the gateway.
         """
         self.config = config
-        self.view = SubsetSpec(index, config.size, zone, config.kinds)
-        self.is_chosen_by_service = False  # then watches name the subset, too
-        self.shelf: CompactEndpointStore | None = None
-        self.used: dict[str, bytes] = {}  # encoded endpoints of the subset, as the decision module has them
-        self.applied_view: SubsetSpec | None = None  # that of `used`, where the subset was taken here
-        self.group_members: dict[str | None, set[str]] = {}  # ids of `used`, by group
+        self.spec = SubsetSpec(index, config.size, zone, config.kinds)
+        self.is_chosen_by_service = False  # if so, watches send the subset query as well
+        self.endpoint_store: CompactEndpointStore | None = None
+        self.selected: dict[str, bytes] = {}  # encoded endpoints that the decision module has, by id
+        self.applied_spec: SubsetSpec | None = None  # spec of `selected`, if the subset was selected here
+        self.group_members: dict[str | None, set[str]] = {}  # ids in `selected`, by group
         self.total = 0  # available endpoints in all groups of the subset
-        self.reading = 0
+        self.open_reads = 0
 
     def resize(self, size: int) -> bool:
-        """Ask for `size` available endpoints, within the bounds.
+        """Change the size to `size` available endpoints, within the bounds.
 
         Returns:
-            Whether the subset is another one now.
+            Whether the subset has changed.
         """
         bounded = min(max(self.config.size, size), self.config.max_size)
-        return self.move(self.view.index, self.view.zone, bounded)
+        return self.relocate(self.spec.index, self.spec.zone, bounded)
 
-    def move(self, index: int, zone: str, size: int | None = None) -> bool:
-        """Take the subset for another gateway index and zone.
+    def relocate(self, index: int, zone: str, size: int | None = None) -> bool:
+        """Switch to the subset for another gateway index and zone.
 
         Returns:
-            Whether it is another one now.
+            Whether the subset has changed.
         """
-        last_view = self.view
-        self.view = replace(self.view, index=index, zone=zone, size=size or self.view.size)
-        return self.view != last_view
+        previous_spec = self.spec
+        self.spec = replace(self.spec, index=index, zone=zone, size=size or self.spec.size)
+        return self.spec != previous_spec
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of the subset, as JSON."""
+        """Return the status of the subset for operators, as JSON."""
         return {
-            "size": self.view.size,
-            "hosts": len(self.used),
+            "size": self.spec.size,
+            "hosts": len(self.selected),
             "total": self.total,
             "by_service": self.is_chosen_by_service,
-            "shelf": 0 if self.shelf is None else self.shelf.size(),
+            "shelf": 0 if self.endpoint_store is None else self.endpoint_store.size(),
         }
 
-    def may_enter(self, name: str) -> bool:
-        """Return whether an endpoint may enter the subset.
+    def may_contain(self, endpoint_id: str) -> bool:
+        """Return whether an endpoint may become part of the subset.
 
-        A service that sends the subset alone names no others, so any may.
+        A service that sends only the subset does not list the other endpoints, so any endpoint may.
         """
-        return self.shelf is None or self.shelf.find(name) is not None
+        return self.endpoint_store is None or self.endpoint_store.find(endpoint_id) is not None
 
     # Calls
 
-    async def ask(
+    async def fetch(
         self,
         fetcher: Fetcher,
         address: Address,
@@ -105,48 +105,48 @@
         limit: float,
         on_partial_list: OnPartialList | None = None,
     ) -> EndpointListing:
-        """Fetch a list; without `on_partial_list` that has no effect here.
+        """Fetch a list. Without `on_partial_list` the subset and its store stay unchanged.
 
         Args:
             fetcher: Makes the calls.
-            address: Where discovery listens.
-            path: Of the endpoint list.
-            query: Of a watch; empty: the full list is fetched.
+            address: Address of discovery.
+            path: URL path of the endpoint list.
+            query: URL query of a watch; empty: the full list is fetched.
             limit: Time limit of each call in seconds.
-            on_partial_list: As SubsetListReader has it.
+            on_partial_list: As in SubsetListReader.
 
         Raises:
-            ValueError: The answer is no list, or the service refuses to watch a subset.
+            ValueError: The answer is not a list, or the service refuses to watch a subset.
             FetchError, OSError: The call failed.
         """
         if query and not self.is_chosen_by_service:
             return await self.read(await fetcher.fetch(address, f"{path}?{query}", limit), on_partial_list)
-        subset_query = f"{query}&{self.view.query()}" if query else self.view.query()
+        subset_query = f"{query}&{self.spec.query()}" if query else self.spec.query()
         try:
             body = await fetcher.fetch(address, f"{path}?{subset_query}", limit)
         except StatusError as err:
             if err.status not in UNSUPPORTED_STATUSES:
                 raise
             if query:
-                raise ValueError(f"the watch of a view is refused: {err}") from err
+                raise ValueError(f"the service refuses to watch a subset: {err}") from err
             body = await fetcher.fetch(address, path, limit)
         return await self.read(body, on_partial_list)
 
     async def read(
         self, body: bytes | bytearray, on_partial_list: OnPartialList | None = None
     ) -> EndpointListing:
-        """Read a list, as SubsetListReader does.
+        """Read a list with a SubsetListReader.
 
         Raises:
-            ValueError: It is none, or has changes of another subset than the one in force.
+            ValueError: The body is not a list, or contains changes of another subset than the current one.
         """
-        self.reading += 1
+        self.open_reads += 1
         try:
             reader = SubsetListReader(
                 body,
-                self.view.kinds,
-                self.shelf,
-                lambda endpoint_id: endpoint_id in self.used,
+                self.spec.kinds,
+                self.endpoint_store,
+                lambda endpoint_id: endpoint_id in self.selected,
                 self.yield_turn,
                 on_partial_list,
             )
@@ -155,127 +155,129 @@
                 raise ValueError("changes of another part of the hosts")
             return listing
         finally:
-            self.reading -= 1
+            self.open_reads -= 1
 
     async def yield_turn(self) -> None:
-        """Let the event loop turn."""
+        """Yield to the event loop."""
         await asyncio.sleep(0)
 
-    # Lists that take effect
+    # Applying lists
 
-    async def bring(self, listing: EndpointListing) -> None:
-        """Put changes into the store.
+    async def store_changes(self, listing: EndpointListing) -> None:
+        """Put the changes of a list into the store, yielding to the event loop in between.
 
-        A call that ends in between is made again from the same version on, and what was stored already is
-        stored once more.
+        If this is interrupted, the call is repeated from the same version and stores the same changes again.
         """
-        if self.shelf is None or listing.endpoint_list.mode != "delta":
+        if self.endpoint_store is None or listing.endpoint_list.mode != "delta":
             return
         for count, endpoint in enumerate(listing.endpoint_list.endpoints, 1):
-            self.shelf.store(endpoint, listing.addresses.get(endpoint.id))
+            self.endpoint_store.store(endpoint, listing.addresses.get(endpoint.id))
             if count % ENTRIES_PER_TURN == 0:
                 await self.yield_turn()
 
-    def take(
+    def apply(
         self,
         listing: EndpointListing,
         correct: Callable[[api.Endpoint], api.Endpoint],
         drained_ids: Iterable[str],
     ) -> EndpointListing:
-        """Let a list take effect and return what of it the decision module is to get.
+        """Apply a list and return the list to pass to the decision module.
 
         Args:
             listing: The list.
-            correct: Returns an endpoint as it holds here, as a list that lags may bring back others.
-            drained_ids: Endpoints that lists have named as draining or removed.
+            correct: Returns an endpoint with the state that applies here, since a stale list may contain
+                endpoints that have been drained or removed.
+            drained_ids: Ids of endpoints that lists have marked as draining or removed.
         """
         if listing.endpoint_list.mode != "delta":
             self.is_chosen_by_service = listing.is_subset
-            self.shelf = listing.store if isinstance(listing, StoredListing) else None
-            self._forget()
-        store = self.shelf
+            self.endpoint_store = listing.store if isinstance(listing, StoredListing) else None
+            self._clear_selection()
+        store = self.endpoint_store
         if store is None:
             return self._record_chosen_subset(listing)
-        for endpoint in listing.endpoint_list.endpoints:  # changes, which are in the store
+        for endpoint in listing.endpoint_list.endpoints:  # changes, which store_changes() has stored
             correct(endpoint)
         if isinstance(listing, StoredListing):
             names = (*store.draining_ids(), *drained_ids)
             for endpoint, address in [found for name in names if (found := store.get(name))]:
                 store.store(correct(endpoint), address)
-        return self.shift(
+        return self.update_selection(
             EndpointListing(
                 listing.endpoint_list, listing.addresses, listing.epoch, listing.is_subset
             )  # without the store
         )
 
     def _record_chosen_subset(self, listing: EndpointListing) -> EndpointListing:
-        """Note what the service sent as the subset."""
+        """Record the endpoints that the service sent as the subset."""
         self.total = listing.endpoint_list.available_total
         for endpoint in listing.endpoint_list.endpoints:
             if endpoint.state == "down":
-                self.used.pop(endpoint.id, None)
+                self.selected.pop(endpoint.id, None)
             else:
-                self.used[endpoint.id] = encode_endpoint(endpoint, listing.addresses.get(endpoint.id))
+                self.selected[endpoint.id] = encode_endpoint(endpoint, listing.addresses.get(endpoint.id))
         return listing
 
-    def shift(self, listing: EndpointListing) -> EndpointListing:
-        """Return the list with the endpoints that the subset takes from the store.
+    def update_selection(self, listing: EndpointListing) -> EndpointListing:
+        """Select the subset from the store again and return the list with its changed endpoints.
 
-        Of changes, with what changed among these since the last time.
+        After a full list, which clears the previous selection, these are all endpoints of the subset.
         """
-        assert self.shelf is not None
-        store = self.shelf
-        is_moved = self.view != self.applied_view
-        groups = [group for group in self.view.groups if is_moved or group in store.touched_groups]
-        before = {name: self.used.pop(name) for group in groups for name in self.group_members.get(group, ())}
+        assert self.endpoint_store is not None
+        store = self.endpoint_store
+        is_spec_changed = self.spec != self.applied_spec
+        groups = [group for group in self.spec.groups if is_spec_changed or group in store.touched_groups]
+        before = {
+            name: self.selected.pop(name) for group in groups for name in self.group_members.get(group, ())
+        }
         after = self._select(store, groups)
-        self.used |= after
-        self.applied_view = self.view
+        self.selected |= after
+        self.applied_spec = self.spec
         store.touched_groups = set()
         if groups:
-            self.total = store.total(self.view)
+            self.total = store.total(self.spec)
         listing = with_endpoints(listing, changed_endpoints(before, after))
         return replace(listing, endpoint_list=replace(listing.endpoint_list, available_total=self.total))
 
     def _select(self, store: CompactEndpointStore, groups: list[str | None]) -> dict[str, bytes]:
-        """Return the encoded endpoints of the subset in these groups, and note their ids."""
+        """Return the encoded endpoints of the subset in these groups, and record their ids."""
         selected: dict[str, bytes] = {}
         for group in groups:
-            records = [record for part in store.parts(self.view, group) for record in part.members]
+            records = [record for part in store.parts(self.spec, group) for record in part.members]
             encoded = {store.id_of(record): store.encoded_endpoint(record) for record in records}
             self.group_members[group] = set(encoded)
             selected |= dict(sorted(encoded.items()))
         return selected
 
-    def _forget(self) -> None:
-        """Forget what the decision module has: the next list is a full one."""
-        self.used = {}
-        self.applied_view = None
+    def _clear_selection(self) -> None:
+        """Clear the selection, because the next list to the decision module is a full one."""
+        self.selected = {}
+        self.applied_spec = None
         self.group_members = {}
 
     def resume(self, query: object) -> bool:
-        """Return whether watches may go on from a cached list.
+        """Return whether watches may continue from a cached list.
 
         Args:
-            query: That of the subset which the service chose, as the list was cached with it.
+            query: Query of the subset chosen by the service, as stored with the cached list.
         """
-        self.is_chosen_by_service = query == self.view.query()
+        self.is_chosen_by_service = query == self.spec.query()
         return self.is_chosen_by_service
 
-    def cut(self, listing: EndpointListing) -> EndpointListing:
-        """Return the subset of a list that is known from before."""
-        self._forget()
-        self.shelf = CompactEndpointStore(self.view.kinds)
+    def select_from(self, listing: EndpointListing) -> EndpointListing:
+        """Select the subset from the initial list and return the list with its endpoints."""
+        self._clear_selection()
+        self.endpoint_store = CompactEndpointStore(self.spec.kinds)
         for endpoint in listing.endpoint_list.endpoints:
-            self.shelf.store(endpoint, listing.addresses.get(endpoint.id))
-        subset = self.shift(listing)
-        self.shelf = None
-        self.total = max(self.total, listing.endpoint_list.available_total)  # the list may be a subset itself
+            self.endpoint_store.store(endpoint, listing.addresses.get(endpoint.id))
+        subset = self.update_selection(listing)
+        self.endpoint_store = None
+        self.total = max(self.total, listing.endpoint_list.available_total)  # the list itself may be a subset
         return replace(subset, endpoint_list=replace(subset.endpoint_list, available_total=self.total))
 
 
 def changed_endpoints(before: dict[str, bytes], after: dict[str, bytes]) -> list[AddressedEndpoint]:
-    """Return what is new or different in `after`, then what is gone from `before`, as removed endpoints."""
+    """Return the endpoints that are new or changed in `after`, then those missing from it, as removed."""
     changed = [
         decode_endpoint(name, encoded) for name, encoded in after.items() if before.get(name) != encoded
     ]
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -252,16 +252,16 @@
         turn = viewing.yield_turn
 
         async def turning():
-            turns.append(viewing.shelf.size())
+            turns.append(viewing.endpoint_store.size())
             await turn()
 
         viewing.yield_turn = turning
         lists.servers = lists.servers + hosts(10_000, host.port)[60:]
         lists.version += 1
         node.node.discovery.fetch_full_list()
-        await wait_until(lambda: viewing.reading)
+        await wait_until(lambda: viewing.open_reads)
         n = 0
-        while viewing.reading:
+        while viewing.open_reads:
             writer.write(command(b"r%d" % (n := n + 1)))
             assert await read_reply(reader) == SERVED
             served.append(len(turns))
@@ -286,7 +286,7 @@
         def handling(now, event):
             if isinstance(event, api.EndpointList):
                 left = {host.id: host.state for host in event.endpoints if host.state != "up"}
-                seen.append((event.mode, viewing.reading, left))
+                seen.append((event.mode, viewing.open_reads, left))
             return handle(now, event)
 
         node.node.engine.handle = handling
@@ -373,9 +373,11 @@
     for n in range(3):
         laid(shelf, f"h{n}")  # as they were
     laid(shelf, "h3", weight=2.0)
-    gone = [name for some in shelf.ids_not_named_since(1) for name in some]
+    gone = [name for some in shelf.ids_not_listed_since(1) for name in some]
     assert sorted(gone) == [f"h{n}" for n in range(4, 9)]
-    assert sorted(name for some in shelf.ids_named_by(1) for name in some) == [f"h{n}" for n in range(4)]
+    assert sorted(name for some in shelf.ids_last_listed_in(1) for name in some) == [
+        f"h{n}" for n in range(4)
+    ]
     laid(shelf, "h8")
     for name in gone:
         shelf.remove_endpoint(name, 1)
@@ -452,7 +454,7 @@
         own = viewed(servers, 20, kinds)
         await wait_until(lambda: pools(node) == own and serving.service.waiting)
         viewing, seen = node.node.discovery.subset, told(node)
-        assert viewing.is_chosen_by_service and viewing.shelf is None
+        assert viewing.is_chosen_by_service and viewing.endpoint_store is None
         total = sum(not kinds or entry["kind"] in kinds for entry in servers)
         assert viewing.total == total
         servers = [e | {"state": "draining"} if e["id"] == own[0] else e for e in servers]
@@ -511,7 +513,7 @@
                 node.node.reload()
                 await wait_until(lambda known=known: pools(node) == viewed(known, 12))
                 assert node.node.endpoint_updates.known_ids == set(pools(node))
-                assert (node.node.discovery.subset.shelf is None) == (place is serving)
+                assert (node.node.discovery.subset.endpoint_store is None) == (place is serving)
             changed = [known[0] | {"state": "draining"}, *known[1:]]
             if place is serving:
                 rewrite(serving, changed)
@@ -535,7 +537,7 @@
             f"POST /config/apply?expect={seen['version']}", json.dumps(tree).encode()
         )
         assert status == 200 and pools(node) == viewed(theirs, 12)  # as it is answered
-        assert node.node.discovery.subset.shelf is not None
+        assert node.node.discovery.subset.endpoint_store is not None
 
 
 class Strict(Lists):
@@ -605,8 +607,8 @@
         rings = EndpointRings()
         for entry in every.values():
             rings.set_endpoint(entry["id"], entry["kind"], entry["zone"], entry["state"] == "up")
-        assert mirror.keys() == rings.members(viewing.view) and event.available_total == rings.total(
-            viewing.view
+        assert mirror.keys() == rings.members(viewing.spec) and event.available_total == rings.total(
+            viewing.spec
         )
         assert all((every[name]["state"] == "up") == (state == "up") for name, state in mirror.items())
 
@@ -628,9 +630,13 @@
             if step == 0 or rng.random() < 0.1
             else listing("delta", changed.values())
         )
-        await viewing.bring(told)
-        tell(viewing.take(told, lambda host: host, []).endpoint_list)
+        await viewing.store_changes(told)
+        tell(viewing.apply(told, lambda host: host, []).endpoint_list)
         if rng.random() < 0.2 and (
-            viewing.resize(rng.randrange(60)) or viewing.move(rng.randrange(9), rng.choice("abcd"))
+            viewing.resize(rng.randrange(60)) or viewing.relocate(rng.randrange(9), rng.choice("abcd"))
         ):
-            tell(viewing.shift(read_list({"version": 1, "full": False, "servers": []})).endpoint_list)
+            tell(
+                viewing.update_selection(
+                    read_list({"version": 1, "full": False, "servers": []})
+                ).endpoint_list
+            )
--- a/tests/discovery/test_replicas.py
+++ b/tests/discovery/test_replicas.py
@@ -133,7 +133,7 @@
     async with StubHost() as host, Serving() as service:
         await service.register("h1", addr=f"127.0.0.1:{host.port}")
         async with Node(path=tmp_path, config_overrides=using(service.port, keep=True)) as node:
-            assert "passed over" in caplog.text
+            assert "unreadable and ignored" in caplog.text
             await wait_until(lambda: pools(node) == ["h1"])
         assert json.loads((tmp_path / "n0-list.json").read_text())["epoch"] == "e1"
 
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -230,7 +230,7 @@
     ):
         await lists.watched()
         assert pools(node) == viewed(servers, 120, kinds) and len(pools(node)) == 3 * USED
-        assert node.node.discovery.subset.shelf.size() == 3 * USED
+        assert node.node.discovery.subset.endpoint_store.size() == 3 * USED
 
 
 # Names of equal hash
@@ -367,7 +367,7 @@
         await wait_until(lambda: pools(node) == viewed(rest, 12))
         assert len(pools(node)) == 12
         rewrite(serving, [])
-        await wait_until(lambda: not pools(node) and not node.node.discovery.subset.used)
+        await wait_until(lambda: not pools(node) and not node.node.discovery.subset.selected)
         assert not (await node.send_command(command())).startswith(b"$")
         rewrite(serving, every)
         await wait_until(lambda: pools(node) == own)
