--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Lists of hosts: changes, drains, malformed answers."""
+"""Tests of the discovery client: changes, drains, unreadable answers, outages and time limits."""
 
 import asyncio
 import json
@@ -17,22 +17,22 @@
 
 
 @on_loop
-async def test_a_drained_host_gets_nothing_new_nor_what_waits_for_a_connection(tmp_path):
+async def test_a_draining_host_gets_no_new_or_queued_attempts(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
-        for n in range(4):
-            await node.send_command(command(b"a%d" % n))
+        for number in range(4):
+            await node.send_command(command(b"a%d" % number))
         await node.discovery.call()
         node.discovery.change([entry(one, "h1", "draining")])
         while (await node.discovery.call()).get("index") != "2":
-            pass  # the watch that follows the change: it has been told
+            pass  # the watch that follows the change: the client has it
         before = len(one.commands)
-        for n in range(8):
-            assert await node.send_command(command(b"b%d" % n)) == SERVED
+        for number in range(8):
+            assert await node.send_command(command(b"b%d" % number)) == SERVED
         assert len(one.commands) == before
 
 
 @on_loop
-async def test_hosts_move_with_the_list(tmp_path):
+async def test_a_changed_host_address_takes_effect(tmp_path):
     async with StubHost() as old, StubHost() as new, Node(old, path=tmp_path) as node:
         assert await node.send_command(command(b"a")) == SERVED
         await node.discovery.call()
@@ -53,7 +53,7 @@
     ],
 )
 @on_loop
-async def test_malformed_lists_leave_the_last_one_in_force(raw, tmp_path):
+async def test_malformed_lists_keep_the_last_list_in_use(raw, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         await node.discovery.call()
         await node.discovery.call()
@@ -61,16 +61,16 @@
         node.discovery.change([])
         assert await node.send_command(command()) == SERVED
         while "index" in await node.discovery.call():
-            pass  # it asks for the whole list again
+            pass  # the client requests the full list again
         assert await node.send_command(command(b"r2")) == SERVED
 
 
 @on_loop
-async def test_the_module_hears_of_a_drain_before_what_ends_by_it(tmp_path):
+async def test_the_engine_gets_a_drain_before_the_attempts_that_it_ends(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         seen, done = [], asyncio.Event()
 
-        class Sender:
+        class RecordingEngine:
             def handle(self, now, event):
                 seen.append(type(event))
                 if isinstance(event, api.AttemptEnded):
@@ -79,8 +79,8 @@
                     return [api.FailRequest(event.request_id)]
                 return [api.SendAttempt(event.request_id, "h1")] if isinstance(event, api.Request) else []
 
-        node.node.dispatcher.engine = Sender()
-        asked = asyncio.create_task(node.send_command(command()))
+        node.node.dispatcher.engine = RecordingEngine()
+        request = asyncio.create_task(node.send_command(command()))
         pool = node.node.upstream.pools["h1"]
         while not pool.connecting:  # the attempt waits for its connection
             await asyncio.sleep(0)
@@ -90,34 +90,34 @@
         )
         await done.wait()
         assert seen == [api.EndpointList, api.AttemptEnded, "connect_failed"]
-        assert (await asked).startswith(b"-ERR") and not host.commands
+        assert (await request).startswith(b"-ERR") and not host.commands
 
 
 @on_loop
-async def test_silent_discovery_is_asked_again_while_the_last_list_serves(tmp_path, monkeypatch, caplog):
+async def test_silent_discovery_is_polled_again_while_the_last_list_serves(tmp_path, monkeypatch, caplog):
     monkeypatch.setattr(polling, "AGENT_WATCH_WAIT_FRACTION", 0.1)
     monkeypatch.setattr(polling, "AGENT_WATCH_OVERRUN_FRACTIONS", (0.1, 0.2))
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.call():
             pass
         node.discovery.silent = True
-        for _ in range(3):  # for what has changed since its last list, with no wait
-            assert (told := await node.discovery.call())["index"] == "1"
-        assert told["wait"] == "0"
+        for _ in range(3):  # polls for changes since the last list, without a wait
+            assert (params := await node.discovery.call())["index"] == "1"
+        assert params["wait"] == "0"
         assert await node.send_command(command()) == SERVED
         node.discovery.silent = False
         node.discovery.change([entry(host, "h2")])
         while (await node.discovery.call())["index"] != "2":
-            pass  # it goes on from there
+            pass  # the client continues from there
         assert await node.send_command(command(b"r2")) == SERVED
-        assert caplog.text.count("the last list stays") == 1  # not a line a try
+        assert caplog.text.count("the last list stays") == 1  # logged once, not for each attempt
 
 
 @on_loop
-async def test_discovery_that_refuses_is_asked_for_changes_again_and_said_once(tmp_path, caplog):
+async def test_failing_discovery_is_polled_for_changes_again_and_logged_once(tmp_path, caplog):
     caplog.set_level("INFO")
-    asked = {**SETTINGS, "registry_mode": "on_request"}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=asked) as node:
+    on_request_settings = {**SETTINGS, "registry_mode": "on_request"}
+    async with StubHost() as host, Node(host, path=tmp_path, settings=on_request_settings) as node:
         node.discovery.refuses = True
         node.discovery.change([])  # ends the watch that may have begun
         for _ in range(3):
@@ -132,64 +132,69 @@
 
 
 @on_loop
-async def test_where_lists_must_be_asked_for_the_first_call_is_for_changes_of_the_known_one(tmp_path):
-    asked = {**SETTINGS, "registry_mode": "on_request"}
-    async with StubHost() as host, Node(host, path=tmp_path, settings=asked) as node:
+async def test_on_request_discovery_first_polls_for_changes_of_the_known_list(tmp_path):
+    on_request_settings = {**SETTINGS, "registry_mode": "on_request"}
+    async with StubHost() as host, Node(host, path=tmp_path, settings=on_request_settings) as node:
         assert (await node.discovery.call())["index"] == "1"
         assert await node.send_command(command()) == SERVED
 
 
 @on_loop
-async def test_without_a_known_host_the_whole_list_is_asked_for(tmp_path):
-    asked = {**SETTINGS, "registry_mode": "on_request"}
-    async with Node(path=tmp_path, settings=asked) as node:
+async def test_without_known_hosts_the_full_list_is_requested(tmp_path):
+    on_request_settings = {**SETTINGS, "registry_mode": "on_request"}
+    async with Node(path=tmp_path, settings=on_request_settings) as node:
         assert "index" not in await node.discovery.call()
 
 
-def drawn(grace, fails=0):
-    """The watch calls of 40 gateways."""
+def watch_calls(grace, failures=0):
+    """Return the clients of 40 gateways and the watch call of each."""
     for seed in range(40):
-        made = discovery.Discovery(("127.0.0.1", 1), 7, print, print, 200, seed, grace)
-        made.backoff.failure_count = fails
-        yield made, *made.schedule.watch_call(made.version)
+        client = discovery.Discovery(("127.0.0.1", 1), 7, print, print, 200, seed, grace)
+        client.backoff.failure_count = failures
+        yield client, *client.schedule.watch_call(client.version)
 
 
-def test_a_silent_watch_is_opened_anew_before_its_news_counts_as_told():
-    """It counts 6 s after the watch fell silent, or 2 s after its wait if that is later; and the watches of
-    all, which fall silent at one moment, are not given up at one moment."""
+def test_a_silent_watch_is_reopened_before_its_changes_must_be_known():
+    """Changes must be known 6 s after the watch fell silent, or 2 s after its wait if that is later.
+
+    The watches of all gateways fall silent at the same time and must not be abandoned at the same time.
+    """
     limits = []
-    for _, params, limit in drawn(None):
+    for _, params, limit in watch_calls(None):
         assert params["index"] == 7 and limit < max(6.0, params["wait"] / 1000 + 2.0) - 0.2
         limits.append(limit)
     assert len(set(limits)) == 40 and max(limits) - min(limits) > 0.3
 
 
 @pytest.mark.parametrize("grace", [0.5, 0.9, 1.0, 2.0, 5.0])
-def test_no_silence_of_an_agent_is_waited_out_past_half_of_the_drains_grace(grace):
-    """What it has counts as told the moment that it is back, and the grace runs from then: neither a watch
-    that fell silent nor a call made just before that, with the longest pause after it, may take it up."""
-    for _, params, limit in drawn(grace):
+def test_a_silent_agent_is_abandoned_within_half_the_drain_grace(grace):
+    """Changes count as known as soon as the agent is back, and the drain grace period starts then.
+
+    Neither a silent watch nor a call made just before, with the longest delay after it, may use up that
+    period.
+    """
+    for _, params, limit in watch_calls(grace):
         assert params["wait"] > 0 and limit <= grace / 2
-    for made, params, limit in drawn(grace, fails=9):
-        longest = max(made.backoff.next_delay() for _ in range(50))
+    for client, params, limit in watch_calls(grace, failures=9):
+        longest = max(client.backoff.next_delay() for _ in range(50))
         assert params["wait"] == 0 and limit + longest <= grace / 2 + 1e-9
-        assert made.schedule.timeouts.full_list <= grace / 2
+        assert client.schedule.timeouts.full_list <= grace / 2
 
 
 @on_loop
-async def test_another_grace_is_in_force_with_the_settings_that_say_so(tmp_path):
-    short = {**SETTINGS, "rules": {**SETTINGS["rules"], "drain_grace": 800_000_000}}
+async def test_a_changed_drain_grace_takes_effect_on_reload(tmp_path):
+    short_grace = {**SETTINGS, "rules": {**SETTINGS["rules"], "drain_grace": 800_000_000}}
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        file = json.loads(node.file.read_text())
-        node.file.write_text(json.dumps(file | {"settings": short}))
+        config = json.loads(node.file.read_text())
+        node.file.write_text(json.dumps(config | {"settings": short_grace}))
         node.node.reload()
         client = node.node.discovery
         assert client.schedule.watch_call(client.version)[1] <= 0.4
 
 
 @on_loop
-async def test_a_change_that_cannot_be_read_is_asked_for_again_in_the_whole_list(tmp_path):
-    """From its version on it would never be told again: the host that drains would be used for good."""
+async def test_an_unreadable_change_is_requested_again_with_the_full_list(tmp_path):
+    """A watch from the new version would not return the change, so a draining host would stay in use."""
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.call():
             pass
@@ -208,141 +213,142 @@
         assert await node.send_command(command()) == SERVED and not one.commands
 
 
-@pytest.mark.parametrize("started, used", [(0, False), (5000, True)])
+@pytest.mark.parametrize("started, is_used", [(0, False), (5000, True)])
 @on_loop
-async def test_an_address_that_lags_brings_no_host_back_that_was_told_to_leave(started, used, tmp_path):
-    async with StubHost() as host, StubDiscovery() as behind, Node(host, path=tmp_path) as node:
+async def test_a_lagging_address_does_not_restore_a_drained_host(started, is_used, tmp_path):
+    async with StubHost() as host, StubDiscovery() as lagging, Node(host, path=tmp_path) as node:
         while "index" not in await node.discovery.call():
             pass
         node.discovery.version = 41
         node.discovery.change([entry(host, "h1", "draining")])
         await wait_until(lambda: not node.node.upstream.pools)
-        behind.version, behind.servers = 40, [entry(host, "h1") | {"started_ms": started}]
-        file = json.loads(node.file.read_text())
-        node.file.write_text(json.dumps(file | {"discovery": f"127.0.0.1:{behind.port}"}))
+        lagging.version, lagging.servers = 40, [entry(host, "h1") | {"started_ms": started}]
+        config = json.loads(node.file.read_text())
+        node.file.write_text(json.dumps(config | {"discovery": f"127.0.0.1:{lagging.port}"}))
         node.node.reload()
-        while "index" not in await behind.call():
-            pass  # its whole list has come
-        assert bool(node.node.upstream.pools) == used
-        behind.change([entry(host, "h1")])  # that one is news
+        while "index" not in await lagging.call():
+            pass  # its full list has arrived
+        assert bool(node.node.upstream.pools) == is_used
+        lagging.change([entry(host, "h1")])  # this change is newer
         await wait_until(lambda: node.node.upstream.pools)
 
 
 @on_loop
-async def test_a_list_that_is_asked_for_beside_a_watch_cannot_come_after_a_newer_one(tmp_path):
-    """The first call's answer is held until the second one's has come."""
+async def test_a_delayed_answer_cannot_replace_a_newer_list(tmp_path):
+    """The answer of the first call is delayed until the second call has been answered."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        held, real = asyncio.Event(), node.discovery.watch
+        released, original_watch = asyncio.Event(), node.discovery.watch
 
-        async def holding(index, wait):
-            told = [entry(host, "h1")]
-            await held.wait()
-            return told
+        async def delayed_watch(index, wait):
+            listed = [entry(host, "h1")]
+            await released.wait()
+            return listed
 
-        node.discovery.watch = holding
+        node.discovery.watch = delayed_watch
         while "index" not in await node.discovery.call():
             pass
         node.discovery.change([entry(host, "h1", "draining")])
-        node.discovery.watch = real
+        node.discovery.watch = original_watch
         node.node.discovery.fetch_full_list()
         await wait_until(lambda: not node.node.upstream.pools)
-        held.set()
+        released.set()
         while "index" not in await node.discovery.call():
             pass
         assert not node.node.upstream.pools and node.node.discovery.version == 2
 
 
 @on_loop
-async def test_clients_are_let_in_when_what_the_agent_has_is_known(tmp_path, monkeypatch):
-    """It counts as told from a process's first moment, and the known list may be old."""
-    listen, lists = client_server.ClientServer.listen, []
+async def test_clients_are_accepted_once_the_list_of_the_agent_is_known(tmp_path, monkeypatch):
+    """What the agent has must be known from the start of a process, and the initial list may be old."""
+    listen, pools_at_listen = client_server.ClientServer.listen, []
 
-    async def listening(self, *args):
-        lists.append(sorted(node.node.upstream.pools))
+    async def record_pools(self, *args):
+        pools_at_listen.append(sorted(node.node.upstream.pools))
         return await listen(self, *args)
 
-    monkeypatch.setattr(client_server.ClientServer, "listen", listening)
+    monkeypatch.setattr(client_server.ClientServer, "listen", record_pools)
     async with StubHost() as one, StubHost() as two:
         node = Node(one, two, path=tmp_path)
-        started = StubDiscovery.__aenter__
+        enter = StubDiscovery.__aenter__
 
-        async def drained(self):
-            await started(self)
+        async def enter_drained(self):
+            await enter(self)
             self.version = 9
 
-        monkeypatch.setattr(StubDiscovery, "__aenter__", drained)
-        answer = after_drain(StubDiscovery.answer, entry(one, "h1", "draining"))
+        monkeypatch.setattr(StubDiscovery, "__aenter__", enter_drained)
+        answer = with_drained_host(StubDiscovery.answer, entry(one, "h1", "draining"))
         monkeypatch.setattr(StubDiscovery, "answer", answer)
         async with node:
-            assert lists == [["h2"]]
+            assert pools_at_listen == [["h2"]]
 
 
-def after_drain(answer, drained):
-    async def answering(self, request):
+def with_drained_host(answer, drained):
+    async def answer_with_drain(self, request):
         self.servers = [drained if listed["id"] == drained["id"] else listed for listed in self.servers]
         return await answer(self, request)
 
-    return answering
+    return answer_with_drain
 
 
 @on_loop
-async def test_an_agent_that_is_silent_at_a_start_does_not_keep_clients_out(tmp_path, monkeypatch):
-    monkeypatch.setattr(StubDiscovery, "answer", silent_answer)
+async def test_a_silent_agent_does_not_prevent_the_start(tmp_path, monkeypatch):
+    monkeypatch.setattr(StubDiscovery, "answer", never_answer)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         assert await node.send_command(command()) == SERVED
 
 
-async def silent_answer(self, request):
+async def never_answer(self, request):
     await asyncio.Event().wait()
 
 
 @on_loop
-async def test_watches_that_end_at_once_with_nothing_are_no_spin(tmp_path):
+async def test_empty_watches_that_end_at_once_are_delayed(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        node.discovery.watch = nothing
+        node.discovery.watch = empty_watch
         node.discovery.change([])
-        slept, sleep = [], asyncio.sleep
+        delays, sleep = [], asyncio.sleep
 
-        async def sleeping(seconds, *rest):
-            slept.append(seconds)
+        async def record_sleep(seconds, *rest):
+            delays.append(seconds)
             await sleep(seconds, *rest)
 
-        monkey = pytest.MonkeyPatch()
-        monkey.setattr(discovery.asyncio, "sleep", sleeping)
-        await wait_until(lambda: slept.count(discovery.EMPTY_WATCH_DELAY_S) > 2)
-        monkey.undo()
+        patch = pytest.MonkeyPatch()
+        patch.setattr(discovery.asyncio, "sleep", record_sleep)
+        await wait_until(lambda: delays.count(discovery.EMPTY_WATCH_DELAY_S) > 2)
+        patch.undo()
 
 
-async def nothing(index, wait):
+async def empty_watch(index, wait):
     return []
 
 
 @pytest.mark.parametrize("error, calls, least", [(TimeoutError, 2, 2.75), (OSError, 1, 1.375)])
 @on_loop
-async def test_a_watch_that_falls_silent_is_asked_again_at_once_and_only_then(
-    error, calls, least, monkeypatch
-):
-    """What fails at one moment for all waits, the longer the more gateways there are, as far as the time
-    allows after which changes count as told: after the first failure that is half of it at most."""
-    asked, slept, done = [], [], asyncio.Event()
+async def test_only_a_silent_watch_is_retried_without_delay(error, calls, least, monkeypatch):
+    """A failure that hits all gateways at once is followed by a delay that grows with their number.
+
+    The delay is bounded by the time within which changes must be known, after the first failure by half of
+    it.
+    """
+    polls, delays, done = [], [], asyncio.Event()
 
     async def poll(self, params, limit):
-        asked.append(params)
+        polls.append(params)
         raise error
 
     async def sleep(seconds):
-        slept.append(seconds)
-        if len(slept) > 1:
+        delays.append(seconds)
+        if len(delays) > 1:
             done.set()
             await asyncio.Event().wait()
 
     monkeypatch.setattr(discovery.Discovery, "poll", poll)
-    made = discovery.Discovery(("127.0.0.1", 1), 7, print, lambda: None, 200, 1)
+    client = discovery.Discovery(("127.0.0.1", 1), 7, print, lambda: None, 200, 1)
     monkeypatch.setattr(discovery.asyncio, "sleep", sleep)
-    task = asyncio.ensure_future(made.run(0.0))
+    task = asyncio.ensure_future(client.run(0.0))
     await done.wait()
     task.cancel()
-    assert len(asked) == calls and least <= slept[1] <= 2 * least
+    assert len(polls) == calls and least <= delays[1] <= 2 * least
 
 
 def first_calls(gateways):
@@ -356,49 +362,51 @@
     assert first_calls(5) == [0.0] * 5
 
 
-def test_pauses_after_failures_are_drawn_apart_and_grow_with_the_fleet():
+def test_backoff_delays_differ_and_grow_with_the_number_of_gateways():
     few, many = ([Backoff(gateways, random.Random(seed)) for seed in range(40)] for gateways in (2, 40))
-    for tries in range(12):
-        short, long = ([backoff.next_delay() for backoff in fleet] for fleet in (few, many))
-        assert len({round(pause, 6) for pause in long}) == 40 and min(short) >= 0.05
-        assert max(short) <= min(1.0, 0.05 * 2 ** (tries + 1))
+    for failures in range(12):
+        short, long = ([backoff.next_delay() for backoff in backoffs] for backoffs in (few, many))
+        assert len({round(delay, 6) for delay in long}) == 40 and min(short) >= 0.05
+        assert max(short) <= min(1.0, 0.05 * 2 ** (failures + 1))
         assert 10 * sum(short) < sum(long) < 40 * sum(short)
-    assert sum(long) / 40 > 5.0  # in the end all 40 ask fewer than 8 times a second
+    assert sum(long) / 40 > 5.0  # in the end the 40 gateways make fewer than 8 calls a second
 
 
 @on_loop
-async def test_watches_that_all_bring_garbage_are_no_spin_and_fill_no_log(tmp_path, caplog):
-    """The whole list comes each time, so no failure follows another: without a pause it would be asked for
-    without end."""
+async def test_unreadable_watch_answers_are_delayed_and_logged_once(tmp_path, caplog):
+    """The full list is fetched after each failed watch, so failures never follow one another.
+
+    Without a delay the client would call discovery in a tight loop.
+    """
     async with StubHost() as host, Node(host, path=tmp_path) as node:
 
-        async def garbled(index, wait):
+        async def unreadable_watch(index, wait):
             return [{"id": "h1", "state": "draining"}, {"id": 5}]
 
-        monkey, slept, sleep = pytest.MonkeyPatch(), [], asyncio.sleep
+        patch, delays, sleep = pytest.MonkeyPatch(), [], asyncio.sleep
 
-        async def sleeping(seconds, *rest):
-            slept.append(seconds)
+        async def record_sleep(seconds, *rest):
+            delays.append(seconds)
             await sleep(0 if seconds < 1 else seconds, *rest)
 
-        node.discovery.watch = garbled
+        node.discovery.watch = unreadable_watch
         while "index" not in await node.discovery.call():
             pass
-        monkey.setattr(discovery.asyncio, "sleep", sleeping)
+        patch.setattr(discovery.asyncio, "sleep", record_sleep)
         node.discovery.calls.clear()
         node.discovery.change([])
         while len(node.discovery.calls) < 20:
             await sleep(0.01)
-        monkey.undo()
-        pauses = [seconds for seconds in slept if 0.05 <= seconds <= 0.1]
-        assert len(pauses) >= 7  # after each garbled watch but one a second
+        patch.undo()
+        retry_delays = [seconds for seconds in delays if 0.05 <= seconds <= 0.1]
+        assert len(retry_delays) >= 7  # after each unreadable watch except one per second
         assert caplog.text.count("the last list stays") == 1
 
 
-@pytest.mark.parametrize("how", ["silent", "refuses"])
+@pytest.mark.parametrize("outage", ["silent", "refuses"])
 @on_loop
-async def test_a_signal_to_an_address_that_tells_nothing_yet_keeps_the_last_list(how, tmp_path):
-    """And the old address, which goes on telling, is heard no more."""
+async def test_reload_to_an_unavailable_address_keeps_the_last_list(outage, tmp_path):
+    """Lists that the old address still sends are ignored."""
     async with (
         StubHost() as one,
         StubHost() as two,
@@ -407,22 +415,22 @@
     ):
         while "index" not in await node.discovery.call():
             pass
-        setattr(other, how, True)
+        setattr(other, outage, True)
         other.version, other.servers = 7, [entry(two, "h2")]
-        file = json.loads(node.file.read_text())
-        node.file.write_text(json.dumps(file | {"discovery": f"127.0.0.1:{other.port}"}))
+        config = json.loads(node.file.read_text())
+        node.file.write_text(json.dumps(config | {"discovery": f"127.0.0.1:{other.port}"}))
         node.node.reload()
         node.discovery.change([entry(one, "h1", "draining"), entry(two, "h2", "draining")])
         for _ in range(3):
             assert "index" not in await other.call()
         assert sorted(node.node.upstream.pools) == ["h1", "h2"]
-        setattr(other, how, False)
+        setattr(other, outage, False)
         await wait_until(lambda: sorted(node.node.upstream.pools) == ["h2"])
         assert node.node.discovery.version == 7
 
 
 @on_loop
-async def test_a_list_of_the_old_address_that_comes_in_the_turn_of_a_signal_is_not_taken(tmp_path):
+async def test_a_list_from_the_old_address_during_a_reload_is_ignored(tmp_path):
     async with (
         StubHost() as one,
         StubHost() as two,
@@ -432,142 +440,170 @@
         while "index" not in await node.discovery.call():
             pass
         other.version, other.servers = 3, [entry(one, "h1")]
-        file = json.loads(node.file.read_text())
-        node.file.write_text(json.dumps(file | {"discovery": f"127.0.0.1:{other.port}"}))
-        told, taken = discovery.Discovery.accept_list, []
+        config = json.loads(node.file.read_text())
+        node.file.write_text(json.dumps(config | {"discovery": f"127.0.0.1:{other.port}"}))
+        accept_list, accepted = discovery.Discovery.accept_list, []
 
-        def taking(self, listing):
-            taken.append([host.id for host in listing.endpoint_list.endpoints])
-            told(self, listing)
+        def record_accepted(self, listing):
+            accepted.append([host.id for host in listing.endpoint_list.endpoints])
+            accept_list(self, listing)
 
-        monkey = pytest.MonkeyPatch()
-        monkey.setattr(discovery.Discovery, "accept_list", taking)
-        ask = discovery.fetch_list
+        patch = pytest.MonkeyPatch()
+        patch.setattr(discovery.Discovery, "accept_list", record_accepted)
+        fetch_list = discovery.fetch_list
 
-        async def answered(*args):
-            listing = await ask(*args)
+        async def fetch_then_reload(*args):
+            listing = await fetch_list(*args)
             if listing.addresses.get("h2"):
-                node.node.reload()  # between the answer and its being taken
+                node.node.reload()  # after the answer, before it is applied
             return listing
 
-        monkey.setattr(discovery, "fetch_list", answered)
+        patch.setattr(discovery, "fetch_list", fetch_then_reload)
         node.discovery.calls.clear()
-        await node.discovery.call()  # a watch that began since
+        await node.discovery.call()  # a watch that has begun since
         node.discovery.change([entry(two, "h2")])
         await wait_until(lambda: sorted(node.node.upstream.pools) == ["h1"])
-        monkey.undo()
-        assert taken and not any("h2" in hosts for hosts in taken)
+        patch.undo()
+        assert accepted and not any("h2" in hosts for hosts in accepted)
 
 
-class Over(BaseException):
-    """The play has ended."""
+class SimulationEnded(BaseException):
+    """The simulation has ended."""
 
 
 class Outage:
-    """Discovery and the gateway's clock, played: it is away from `away` to `back`, and each change is told by
-    the first call that is answered from then on. Silent: a call that meets the outage hangs until it is given
-    up, also past its end; else it is refused at once. A call's answer takes `answer` s."""
-
-    def __init__(self, away, back, silent, spoilt, answer, monkeypatch):
-        self.now, self.away, self.back, self.silent, self.spoilt = 0.0, away, back, silent, spoilt
-        self.answer, self.calls, self.told = answer, [], None
+    """Simulates discovery and the clock of a gateway, with an outage from `starts_at` to `ends_at`.
+
+    The first call that is answered after the outage returns the change. If `silent`, a call during the outage
+    hangs until its time limit, even past the end of the outage; otherwise it is refused at once. The first
+    `unreadable_answers` answers after the outage are unreadable. An answer takes `answer_s` seconds.
+    """
+
+    def __init__(self, starts_at, ends_at, silent, unreadable_answers, answer_s, monkeypatch):
+        self.now, self.starts_at, self.ends_at, self.silent, self.unreadable_answers = (
+            0.0,
+            starts_at,
+            ends_at,
+            silent,
+            unreadable_answers,
+        )
+        self.answer_s, self.calls, self.known_at = answer_s, [], None
         monkeypatch.setattr(discovery, "monotonic", lambda: self.now)
         monkeypatch.setattr(discovery.asyncio, "sleep", self.sleep)
 
     async def sleep(self, seconds):
         self.now += seconds
 
-    async def poll(self, made, params, limit):
+    async def poll(self, client, params, limit):
         self.calls.append(self.now)
         wait = params.get("wait", 0) / 1000
-        if self.now < self.away and self.now + wait <= self.away:  # nothing changes until then
-            self.now += wait or self.answer
-            made.version = 7
+        if (
+            self.now < self.starts_at and self.now + wait <= self.starts_at
+        ):  # nothing changes before the outage
+            self.now += wait or self.answer_s
+            client.version = 7
             return False
-        if self.now < self.back:
-            self.now = self.now + limit if self.silent else max(self.now, self.away)
+        if self.now < self.ends_at:
+            self.now = self.now + limit if self.silent else max(self.now, self.starts_at)
             raise TimeoutError if self.silent else ConnectionRefusedError
-        if self.spoilt:
-            self.spoilt -= 1
-            self.now += self.answer
-            raise ValueError("spoilt")
-        self.now += self.answer
-        self.told = self.now
-        raise Over
-
-
-def played(monkeypatch, gateways, seed, silent, spoilt, kind=discovery.Discovery, answer=0.1, **more):
+        if self.unreadable_answers:
+            self.unreadable_answers -= 1
+            self.now += self.answer_s
+            raise ValueError("unreadable")
+        self.now += self.answer_s
+        self.known_at = self.now
+        raise SimulationEnded
+
+
+def simulate_outage(
+    monkeypatch,
+    gateways,
+    seed,
+    silent,
+    unreadable_answers,
+    client_type=discovery.Discovery,
+    answer_s=0.1,
+    **client_options,
+):
     rng = random.Random(seed)
-    away = rng.uniform(0.0, 12.0)
-    back = away + rng.choice((0.0, 0.2, 3.0, 8.0, 30.0)) + rng.random()
-    outage = Outage(away, back, silent, spoilt, answer, monkeypatch)
-    made = kind(("127.0.0.1", 1), 7, print, lambda: None, gateways, seed, **more)
-    made.poll = lambda params, limit: outage.poll(made, params, limit)
-    with pytest.raises(Over):
-        asyncio.run(made.run(0.0))
+    starts_at = rng.uniform(0.0, 12.0)
+    ends_at = starts_at + rng.choice((0.0, 0.2, 3.0, 8.0, 30.0)) + rng.random()
+    outage = Outage(starts_at, ends_at, silent, unreadable_answers, answer_s, monkeypatch)
+    client = client_type(("127.0.0.1", 1), 7, print, lambda: None, gateways, seed, **client_options)
+    client.poll = lambda params, limit: outage.poll(client, params, limit)
+    with pytest.raises(SimulationEnded):
+        asyncio.run(client.run(0.0))
     return outage
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 5, 30, 200])
 @pytest.mark.parametrize("silent", [False, True])
-@pytest.mark.parametrize("spoilt", [0, 1])
-def test_what_an_outage_hid_is_in_by_the_time_it_counts_as_told(gateways, silent, spoilt, monkeypatch):
-    """6 s after discovery could be reached, whatever call was out then and whatever pause was drawn; a watch
-    that fell silent before has 2 s after its wait."""
+@pytest.mark.parametrize("unreadable_answers", [0, 1])
+def test_changes_during_an_outage_are_known_in_time(gateways, silent, unreadable_answers, monkeypatch):
+    """Changes are known 6 s after discovery is reachable, whatever call was in flight or delay was drawn.
+
+    A watch that fell silent before has until 2 s after its wait.
+    """
     latest = 0.0
     for seed in range(300):
-        outage = played(monkeypatch, gateways, seed, silent, spoilt)
-        begun = [at for at in outage.calls if at < outage.away]
-        watch = begun[-1] + polling.WATCH_WAIT_S + 2.0 if begun and silent else 0.0
-        assert outage.told <= max(outage.back + 6.0, watch)
-        latest = max(latest, outage.told - outage.back)
-    assert gateways < 30 or silent or latest > 4.0  # and they ask no sooner than they have to
+        outage = simulate_outage(monkeypatch, gateways, seed, silent, unreadable_answers)
+        calls_before = [at for at in outage.calls if at < outage.starts_at]
+        watch_deadline = calls_before[-1] + polling.WATCH_WAIT_S + 2.0 if calls_before and silent else 0.0
+        assert outage.known_at <= max(outage.ends_at + 6.0, watch_deadline)
+        latest = max(latest, outage.known_at - outage.ends_at)
+    assert gateways < 30 or silent or latest > 4.0  # and the gateways do not call earlier than necessary
 
 
-class TwoPlaces(Replicas):
-    """The other address is away, too."""
+class TwoReplicas(Replicas):
+    """Two replicas; the outage affects both."""
 
-    def __init__(self, address, *args, **more):
-        super().__init__(address, (("127.0.0.1", 2),), None, "n0", *args, **more)
+    def __init__(self, address, *args, **client_options):
+        super().__init__(address, (("127.0.0.1", 2),), None, "n0", *args, **client_options)
 
 
 @pytest.mark.parametrize("silent", [False, True])
-@pytest.mark.parametrize("spoilt", [0, 1])
-def test_what_an_outage_of_all_replicas_hid_is_in_by_the_time_it_counts_as_told(silent, spoilt, monkeypatch):
+@pytest.mark.parametrize("unreadable_answers", [0, 1])
+def test_changes_during_an_outage_of_all_replicas_are_known_in_time(silent, unreadable_answers, monkeypatch):
     for seed in range(300):
-        outage = played(monkeypatch, 30, seed, silent, spoilt, TwoPlaces)
-        begun = [at for at in outage.calls if at < outage.away]
-        watch = begun[-1] + polling.WATCH_WAIT_S + 2.0 if begun and silent else 0.0
-        assert outage.told <= max(outage.back + 6.0, watch)
+        outage = simulate_outage(monkeypatch, 30, seed, silent, unreadable_answers, TwoReplicas)
+        calls_before = [at for at in outage.calls if at < outage.starts_at]
+        watch_deadline = calls_before[-1] + polling.WATCH_WAIT_S + 2.0 if calls_before and silent else 0.0
+        assert outage.known_at <= max(outage.ends_at + 6.0, watch_deadline)
 
 
 @pytest.mark.parametrize("grace", [0.5, 1.0, 2.0, 5.0])
 @pytest.mark.parametrize("silent", [False, True])
-def test_what_an_outage_of_the_agent_hid_is_in_within_a_part_of_the_drains_grace(silent, grace, monkeypatch):
-    """It counts from the agent's return, and the grace of a drain among it runs from then."""
+def test_changes_during_an_agent_outage_are_known_within_part_of_the_drain_grace(silent, grace, monkeypatch):
+    """Changes must be known from the return of the agent, when the drain grace period starts."""
     latest = 0.0
     for seed in range(300):
-        outage = played(monkeypatch, 200, seed, silent, 0, grace=grace, answer=0.0)
-        latest = max(latest, outage.told - outage.back)
+        outage = simulate_outage(monkeypatch, 200, seed, silent, 0, grace=grace, answer_s=0.0)
+        latest = max(latest, outage.known_at - outage.ends_at)
     assert latest <= (0.5 if silent else 0.1) * grace + 1e-9
 
 
-def test_an_outage_is_no_rush_of_calls(monkeypatch):
-    """Two hundred gateways ask less than 60 times a second over 8 s of refusals, their calls spread."""
+def test_an_outage_causes_no_burst_of_calls(monkeypatch):
+    """200 gateways make fewer than 60 calls a second during 8 s of refusals, spread over time."""
     outages = [
         outage
         for seed in range(400)
-        for outage in [played(monkeypatch, 200, seed, False, 0)]
-        if outage.back - outage.away > 8.0
+        for outage in [simulate_outage(monkeypatch, 200, seed, False, 0)]
+        if outage.ends_at - outage.starts_at > 8.0
+    ]
+    calls = [
+        at - outage.starts_at for outage in outages for at in outage.calls if 0 <= at - outage.starts_at < 8.0
     ]
-    calls = [at - outage.away for outage in outages for at in outage.calls if 0 <= at - outage.away < 8.0]
     assert len(calls) / 8.0 / len(outages) * 200 < 60.0
-    later = [at for at in calls if at < 3.0]  # their second ones, after all watches broke at one moment
-    assert max(sum(at <= other < at + 0.5 for other in later) for at in later) < 0.65 * len(later)
+    second_calls = [
+        at for at in calls if at < 3.0
+    ]  # the second calls, after all watches broke at the same time
+    assert max(sum(at <= other < at + 0.5 for other in second_calls) for at in second_calls) < 0.65 * len(
+        second_calls
+    )
 
 
 @on_loop
-async def test_what_a_whole_list_does_not_name_is_gone_though_it_still_answers(tmp_path):
+async def test_a_host_missing_from_a_full_list_is_removed_though_it_still_answers(tmp_path):
     async with StubHost() as one, StubHost() as two, Node(one, two, path=tmp_path) as node:
         while "index" not in await node.discovery.call():
             pass
@@ -575,6 +611,6 @@
         node.discovery.change([])
         await wait_until(lambda: sorted(node.node.upstream.pools) == ["h2"])
         before = len(one.commands)
-        for n in range(8):
-            assert await node.send_command(command(b"r%d" % n)) == SERVED
+        for number in range(8):
+            assert await node.send_command(command(b"r%d" % number)) == SERVED
         assert len(one.commands) == before and len(two.commands) == 8
