--- a/api_gateway/gateway/request_parser.py
+++ b/api_gateway/gateway/request_parser.py
@@ -9,7 +9,7 @@
 # Seconds before the client's deadline by which the decision module must have settled a request.
 ANSWER_RESERVE_S = 0.03
 # Longest deadline in seconds that a client may set.
-MAX_CLIENT_DEADLINE_S = 3600.0
+CLIENT_DEADLINE_LIMIT_S = 3600.0
 # Customer ids are below this number.
 CUSTOMER_ID_LIMIT = 2**33
 
@@ -64,7 +64,7 @@
         raise BadRequestError("class does not go with this command")
     # The decision module compares the units of a request with the mean of all requests. One request of 1e12
     # units would distort that mean for a long time.
-    is_in_range = 0 < units <= settings.max_request_units and milliseconds <= 1000 * MAX_CLIENT_DEADLINE_S
+    is_in_range = 0 < units <= settings.max_request_units and milliseconds <= 1000 * CLIENT_DEADLINE_LIMIT_S
     if not is_in_range or not 1 <= spread <= settings.gateway_count or first >= settings.gateway_count:
         raise BadRequestError("field out of range")
     return api.Request(
