--- a/api_gateway/downstream/client_connection.py
+++ b/api_gateway/downstream/client_connection.py
@@ -160,12 +160,12 @@
         self.incoming_body = None
         if body and isinstance(command, list):
             command[-1] = body.data
-        slot = PendingReply(self)
-        self.pending_replies.append(slot)
+        pending_reply = PendingReply(self)
+        self.pending_replies.append(pending_reply)
         self.server.idle.discard(self)
-        self.server.handler.handle_command(slot, command)
+        self.server.handler.handle_command(pending_reply, command)
         if (
-            body and slot.request is None
+            body and pending_reply.request is None
         ):  # the handler did not accept the command, so it won't release the body
             self.server.body_budget.release(len(body.data))
 
@@ -336,17 +336,17 @@
         self.broken = True
         pending = self.pending_replies
         self.pending_replies = deque()
-        for slot in pending:
-            if slot.encoded_reply is None:
-                self.server.handler.on_client_disconnected(slot)
+        for pending_reply in pending:
+            if pending_reply.encoded_reply is None:
+                self.server.handler.on_client_disconnected(pending_reply)
 
     def _fail(self, error_reply: bytes) -> None:
         """Stop reading because the framing is lost; pending replies are sent before `error_reply`."""
         self.closing = True
         self.broken = True
-        slot = PendingReply(self)
-        self.pending_replies.append(slot)
-        slot.complete(error_reply)
+        pending_reply = PendingReply(self)
+        self.pending_replies.append(pending_reply)
+        pending_reply.complete(error_reply)
         self.update_reading()
 
     def _must_close_for_drain(self) -> bool:
--- a/api_gateway/downstream/client_server.py
+++ b/api_gateway/downstream/client_server.py
@@ -60,12 +60,12 @@
 class CommandHandler(Protocol):
     """Serves the commands of all connections."""
 
-    def handle_command(self, slot: PendingReply, command: Any, /) -> None:
-        """Serve a RESP value of any shape: complete `slot` now, or set `slot.request` to do so later."""
+    def handle_command(self, pending_reply: PendingReply, command: Any, /) -> None:
+        """Serve a RESP value of any shape: complete `pending_reply`, or set its `request` to do so later."""
         ...
 
-    def on_client_disconnected(self, slot: PendingReply, /) -> None:
-        """Cancel the command of `slot`, because its client has disconnected and nothing can be written."""
+    def on_client_disconnected(self, pending_reply: PendingReply, /) -> None:
+        """Cancel the command of `pending_reply`, whose client has disconnected."""
         ...
 
 
--- a/api_gateway/downstream/fair_queueing.py
+++ b/api_gateway/downstream/fair_queueing.py
@@ -189,7 +189,7 @@
         self.queued = False
         self.window = INITIAL_WINDOW
         self.handled_commands = 0
-        # Value of handled_commands at which all commands in flight at the last halving will be handled.
+        # handled_commands must exceed this number before the window is halved again.
         self.halved_up_to = 0
 
     def read_commands(self) -> None:
--- a/tests/downstream/test_bad_client_storms.py
+++ b/tests/downstream/test_bad_client_storms.py
@@ -1,4 +1,4 @@
-"""Bad peers by the hundred beside a client that asks one thing after another; nothing of them stays."""
+"""Hundreds of misbehaving peers beside a client with sequential requests: it is served, no state leaks."""
 
 import asyncio
 import os
@@ -21,14 +21,17 @@
 
 
 async def drip(reader, writer):
-    """A byte at a time, never a whole command; it is owed an error line and an end within 3 s. It rests
-    before its time is up: a byte that stands unread at the close would reset what was sent."""
-    ended, began = asyncio.create_task(reader.read()), monotonic()
+    """Send single bytes, never a complete command, and expect an error line and a close within 3 s.
+
+    It stops sending before the time-out, because a byte that is unread at the close would reset the
+    connection and lose the error line.
+    """
+    closed, started_at = asyncio.create_task(reader.read()), monotonic()
     for byte in PING[:-1]:
-        if monotonic() - began < COMMAND_TIMEOUT_S / 2:
+        if monotonic() - started_at < COMMAND_TIMEOUT_S / 2:
             writer.write(bytes([byte]))
-            await asyncio.wait([ended], timeout=0.3)
-    assert (await asyncio.wait_for(ended, 3.0)).startswith(b"-ERR")
+            await asyncio.wait([closed], timeout=0.3)
+    assert (await asyncio.wait_for(closed, 3.0)).startswith(b"-ERR")
 
 
 async def come_and_go(reader, writer):
@@ -64,7 +67,7 @@
     reset(writer)
 
 
-BAD = (
+MISBEHAVIOURS = (
     drip,
     come_and_go,
     reset_at_once,
@@ -76,11 +79,11 @@
 
 
 @pytest.mark.parametrize("more", [{"edge": {"connects": 4, "new_per_source": 1e5}}, None])
-@pytest.mark.parametrize("bad", BAD)
+@pytest.mark.parametrize("bad", MISBEHAVIOURS)
 @on_loop
-async def test_a_client_is_answered_beside_bad_peers_and_nothing_of_them_stays(bad, more, scratch):
+async def test_a_client_is_served_beside_bad_peers_that_leave_no_state(bad, more, scratch):
     async with StubHost() as host, Node(host, path=scratch, config_overrides=more) as node:
-        server, answers = node.node.clients, []
+        server, replies = node.node.clients, []
         light = await node.connect()
         light[1].write(PING)
         await read_reply(light[0])
@@ -91,24 +94,26 @@
             await bad(reader, writer)
             writer.close()
 
-        async def ask():
+        async def send_requests():
             while True:
-                light[1].write(command(b"l%d" % len(answers), customer=b"%016x" % 7777))
-                answers.append(await read_reply(light[0]))
+                light[1].write(command(b"l%d" % len(replies), customer=b"%016x" % 7777))
+                replies.append(await read_reply(light[0]))
                 await asyncio.sleep(0.01)
 
-        asking = asyncio.create_task(ask())
+        request_task = asyncio.create_task(send_requests())
         for _ in range(2):
             await asyncio.gather(*(peer() for _ in range(PEERS)), return_exceptions=bad is not drip)
-        seen = len(answers)
-        await wait_until(lambda: len(answers) > seen)  # it is served still
-        asking.cancel()
-        assert {answer[:1] for answer in answers} <= {b"$", b"-"}
+        answered_before = len(replies)
+        await wait_until(lambda: len(replies) > answered_before)  # it is still being served
+        request_task.cancel()
+        assert {reply[:1] for reply in replies} <= {b"$", b"-"}
+        await wait_until(
+            lambda: len(server.connections) == 1 and set(node.node.in_flight) <= {b"l%d" % len(replies)}
+        )
+        upstream = node.node.upstream
         await wait_until(
-            lambda: len(server.connections) == 1 and set(node.node.in_flight) <= {b"l%d" % len(answers)}
+            lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(upstream.connections) * 2
         )
-        pools = node.node.upstream
-        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= open_before + len(pools.connections) * 2)
         assert (
             len(server.timed_connections) <= 1
             and not server.body_budget.reserved_bytes
@@ -118,14 +123,14 @@
             listener = server.listener
             await wait_until(
                 lambda: not listener.connecting_tasks
-            )  # a task is done a turn before it takes itself off
+            )  # a finished task is removed one iteration later
             assert sum(source.open_connections for source in listener.limiter.sources.values()) == 1
             assert sum(source.connection_count for source in listener.scheduler.sources.values()) == 1
             await wait_until(lambda: listener.scheduler.count_waiting() == 0)
 
 
 @on_loop
-async def test_a_rush_in_a_drain_is_answered_and_sent_away(scratch):
+async def test_a_burst_of_commands_in_a_drain_is_answered_and_disconnected(scratch):
     async with StubHost() as host, Node(host, path=scratch, config_overrides={"edge": {}}) as node:
         peers = [await node.connect() for _ in range(40)]
         for number, (_, writer) in enumerate(peers):
--- a/tests/downstream/test_client_connection.py
+++ b/tests/downstream/test_client_connection.py
@@ -1,4 +1,4 @@
-"""Clients: bad input, the order of answers, those that leave."""
+"""Client connections: invalid input, the order of replies, disconnects, limits and shutdown."""
 
 import asyncio
 import contextlib
@@ -64,7 +64,7 @@
     ],
 )
 @on_loop
-async def test_bad_commands_are_answered_and_the_connection_goes_on(bad, tmp_path):
+async def test_bad_commands_get_an_error_and_the_connection_stays_open(bad, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad + b"*1\r\n$4\r\nPING\r\n")
@@ -90,7 +90,7 @@
     ],
 )
 @on_loop
-async def test_lost_framing_ends_only_its_own_connection(bad, tmp_path):
+async def test_lost_framing_closes_only_its_own_connection(bad, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(bad)
@@ -100,7 +100,7 @@
 
 
 @on_loop
-async def test_answers_come_in_the_order_of_the_commands(tmp_path):
+async def test_replies_are_in_command_order(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"slow"))
@@ -112,18 +112,18 @@
 
 
 @on_loop
-async def test_a_client_that_left_has_its_attempt_called_off(tmp_path):
+async def test_the_attempt_of_a_disconnected_client_is_cancelled(tmp_path):
     async with StubHost(answer=None) as host, Node(host, path=tmp_path) as node:
         _, writer = await node.connect()
         writer.write(command())
         await host.arrived.get()
         writer.close()
-        assert await host.arrived.get() is None  # the connection to the host ended
+        assert await host.arrived.get() is None  # the connection to the host was closed
         assert not node.node.in_flight
 
 
 @on_loop
-async def test_what_comes_on_a_connection_that_is_to_close_is_served(tmp_path):
+async def test_commands_on_a_connection_that_will_close_are_served(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"first"))
@@ -132,8 +132,8 @@
         writer.write(command(b"second"))
         while (await host.arrived.get())[2] != b"second":
             pass
-        for out in host.writers:
-            out.write(VALUE)
+        for host_writer in host.writers:
+            host_writer.write(VALUE)
         assert [await read_reply(reader) for _ in range(3)] == [SERVED, SERVED, b""]
 
 
@@ -141,7 +141,7 @@
     "part", [b"", b"*", b"*4\r\n$8\r\nAPI.READ\r\n", command()[:-9], command() + b"*1\r\n"]
 )
 @on_loop
-async def test_a_peer_without_a_whole_command_is_not_kept(part, tmp_path, monkeypatch):
+async def test_a_peer_without_a_complete_command_is_disconnected(part, tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
@@ -151,7 +151,7 @@
 
 
 @on_loop
-async def test_a_connection_between_requests_may_rest(tmp_path):
+async def test_a_connection_may_stay_idle_between_requests(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         for name in (b"r1", b"r2"):
@@ -162,7 +162,7 @@
 
 
 @on_loop
-async def test_past_the_limit_the_connection_that_rests_longest_goes(tmp_path):
+async def test_above_the_limit_the_longest_idle_connection_is_closed(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.clients.capacity = 2
         peers = [await node.connect() for _ in range(2)]
@@ -176,15 +176,15 @@
 
 
 @pytest.fixture
-def held(monkeypatch):
-    """Requests wait for a place at a host as long as the test likes."""
+def hold_requests(monkeypatch):
+    """Return a function that makes the requests of a node wait for capacity at a host indefinitely."""
     monkeypatch.setattr(shedding, "MAX_QUEUE_TIME_FRACTION", 100.0)
     monkeypatch.setattr(shedding, "MIN_QUEUE_LENGTH", 1000)
     return lambda node: setattr(node.node.engine.endpoint_pool, "is_at_limit", lambda *_: True)
 
 
 def stall_before(why, node, monkeypatch):
-    """How a gateway comes to read no more of a client whose requests wait."""
+    """Prepare a condition under which the gateway pauses reading from a client with waiting requests."""
     if why == "pipeline":
         monkeypatch.setattr(clients, "MAX_PENDING_COMMANDS", 2)
     elif why == "body":
@@ -201,19 +201,19 @@
         client.pause_writing()
 
 
-LONG = terms(d="60000")  # longer than a test lasts: no deadline ends what its client has left
+LONG = terms(d="60000")  # longer than a test lasts, so that only the disconnect can end a request
 UPLOAD = command(b"body", terms(c="write", k="7"), b"API.WRITE", body=b"x" * 100_000)
 
 
 @pytest.mark.parametrize("why", ["pipeline", "drain", "body", "answers"])
 @pytest.mark.parametrize("behind", [b"", command(b"behind") * 200])
 @on_loop
-async def test_of_a_client_that_went_while_it_was_not_read_nothing_is_sent_on(
-    why, behind, held, tmp_path, monkeypatch
+async def test_no_request_is_sent_for_a_client_that_disconnected_while_not_read(
+    why, behind, hold_requests, tmp_path, monkeypatch
 ):
-    """Its end stands behind bytes that nobody reads."""
+    """The end of file is queued behind bytes that are not read, so reading would not reveal it."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        held(node)
+        hold_requests(node)
         node.node.sibling_watch.timer.cancel()
         stall_before(why, node, monkeypatch)
         peer = Peer(node.port)
@@ -234,14 +234,14 @@
     [command(b"%d", LONG), command(b"%d", LONG) + command(b"b%d", LONG), command(b"%d", LONG) + b"*4\r\n$"],
 )
 @on_loop
-async def test_clients_that_go_in_one_burst_leave_nothing_to_send(sent, held, tmp_path):
+async def test_a_burst_of_disconnects_leaves_no_request_to_send(sent, hold_requests, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        held(node)
+        hold_requests(node)
         peers = [await node.connect() for _ in range(200)]
         for n, (_, writer) in enumerate(peers):
             writer.write(sent.replace(b"%d", b"%02d" % (n % 100) if n < 100 else b"%02x" % (n + 56)))
-        whole = 200 * sent.count(b"API.READ")
-        await wait_until(lambda: len(node.node.in_flight) >= 0.9 * whole)  # the rest share an id
+        total = 200 * sent.count(b"API.READ")
+        await wait_until(lambda: len(node.node.in_flight) >= 0.9 * total)  # the others have duplicate ids
         for _, writer in peers:
             writer.close()
         await wait_until(lambda: not node.node.in_flight and not node.node.clients.connections)
@@ -249,7 +249,7 @@
 
 
 class Peer:
-    """A client's socket that does what it is told within one turn of the gateway's loop."""
+    """A blocking client socket, whose actions take effect within one iteration of the gateway's loop."""
 
     def __init__(self, port, receive=0):
         self.sock = socket.socket()
@@ -261,15 +261,15 @@
         self.sock.sendall(data)
 
     async def read(self):
-        """All up to the end; raises ConnectionResetError where that is none."""
-        loop, got = asyncio.get_running_loop(), b""
+        """Return all bytes up to the end of file; raises ConnectionResetError after a reset."""
+        loop, received = asyncio.get_running_loop(), b""
         self.sock.setblocking(False)
         while data := await loop.sock_recv(self.sock, 65536):
-            got += data
-        return got
+            received += data
+        return received
 
 
-def unread(client):
+def count_unread(client):
     count = fcntl.ioctl(client.transport.get_extra_info("socket").fileno(), termios.FIONREAD, b"\0" * 4)
     return int.from_bytes(count, "little")
 
@@ -277,37 +277,44 @@
 @pytest.mark.parametrize("size", [5, 60_000])
 @pytest.mark.parametrize("what", [command(b"late"), command(b"late")[:20]])
 @on_loop
-async def test_a_request_that_crosses_a_close_takes_no_answer_along(size, what, tmp_path, monkeypatch):
-    """It comes between the gateway's last look at what is unread and its end: the answer before it still gets
-    there whole, the connection ends with no reset, and what crossed is not sent on."""
+async def test_a_request_that_arrives_during_a_close_loses_no_reply(size, what, tmp_path, monkeypatch):
+    """A request arrives between the gateway's last check for unread bytes and its close.
+
+    The earlier reply must still arrive completely, the connection must close without a reset, and the late
+    request must not be sent to a host.
+    """
     async with (
         StubHost(b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (size, b"v" * size)) as host,
         Node(host, path=tmp_path) as node,
     ):
-        peer, look, crossed = Peer(node.port, 4096), clients.ClientConnection.has_unread_bytes, []
+        peer, has_unread_bytes, notified = (
+            Peer(node.port, 4096),
+            clients.ClientConnection.has_unread_bytes,
+            [],
+        )
 
-        def looking(client):
-            found = look(client)
-            if not found and not crossed and host.commands:
-                crossed.append(client)
+        def check_then_send(client):
+            found = has_unread_bytes(client)
+            if not found and not notified and host.commands:
+                notified.append(client)
                 peer.send(what)
-                while not unread(client):
+                while not count_unread(client):
                     pass
             return found
 
-        monkeypatch.setattr(clients.ClientConnection, "has_unread_bytes", looking)
+        monkeypatch.setattr(clients.ClientConnection, "has_unread_bytes", check_then_send)
         peer.send(command(b"r1"))
         await wait_until(lambda: node.node.in_flight or host.commands)
         node.node.clients.set_draining(True)
-        await wait_until(lambda: crossed)
+        await wait_until(lambda: notified)
         assert await peer.read() == b"$%d\r\n%s\r\n" % (size, b"v" * size)
         peer.sock.close()
         await wait_until(lambda: not node.node.clients.connections)
-        assert [got[2] for got in host.commands] == [b"r1"]
+        assert [sent[2] for sent in host.commands] == [b"r1"]
 
 
 @on_loop
-async def test_a_client_that_does_not_end_its_side_is_not_kept(tmp_path, monkeypatch):
+async def test_a_client_that_does_not_close_its_side_is_aborted(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 0.1)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peer = Peer(node.port)
@@ -316,34 +323,34 @@
         node.node.clients.set_draining(True)
         peer.send(command(b"after"))
         await wait_until(lambda: not node.node.clients.connections)
-        assert [got[2] for got in host.commands] == [b"r1"]
+        assert [sent[2] for sent in host.commands] == [b"r1"]
 
 
 @on_loop
-async def test_past_the_limit_one_that_only_lingers_goes_first(tmp_path):
+async def test_above_the_limit_a_lingering_connection_is_closed_first(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
         node.node.clients.capacity = 2
-        lingers, rests = Peer(node.port), await node.connect()
+        lingering, idle = Peer(node.port), await node.connect()
         await wait_until(lambda: len(node.node.clients.connections) == 2)
         next(iter(node.node.clients.connections)).close_when_done()
         assert await node.send_command(command()) == SERVED
-        rests[1].write(command(b"r2"))
-        assert await read_reply(rests[0]) == SERVED
-        lingers.sock.close()
+        idle[1].write(command(b"r2"))
+        assert await read_reply(idle[0]) == SERVED
+        lingering.sock.close()
 
 
 @on_loop
-async def test_a_burst_past_the_limit_ends_one_that_lingers_for_each(tmp_path):
-    """An end takes effect a turn later: one and the same would be ended for all that come in a turn."""
+async def test_a_burst_above_the_limit_aborts_one_lingering_connection_each(tmp_path):
+    """An abort takes effect one iteration later, so the same connection could be chosen several times."""
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
         peers = [Peer(node.port) for _ in range(10)]
         for n, peer in enumerate(peers):
             peer.send(command(b"r%d" % n))
-        clients_of = node.node.clients.connections
+        connections = node.node.clients.connections
         await wait_until(
-            lambda: len(clients_of) == 10 and all(c.is_idle(time.monotonic()) for c in clients_of)
+            lambda: len(connections) == 10 and all(c.is_idle(time.monotonic()) for c in connections)
         )
         for client in list(node.node.clients.connections):
             client.close_when_done()
@@ -357,82 +364,86 @@
 
 
 @on_loop
-async def test_a_peer_that_never_asked_does_not_linger(tmp_path, monkeypatch):
+async def test_a_peer_that_never_sent_a_command_does_not_linger(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "LINGER_TIMEOUT_S", 1000.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         peer = Peer(node.port)
         peer.send(b"nonsense\r\n")
         assert (await peer.read()).startswith(b"-ERR")
-        await wait_until(lambda: not node.node.clients.connections)  # though the peer has not ended its side
+        await wait_until(lambda: not node.node.clients.connections)  # although the peer has not closed
 
 
 @on_loop
-async def test_a_request_that_had_come_before_its_connection_is_evicted_is_served(tmp_path, monkeypatch):
+async def test_a_request_received_before_its_connection_is_evicted_is_served(tmp_path, monkeypatch):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
         node.node.clients.capacity = 1
-        peer, joined = Peer(node.port), client_server.ClientServer.add_connection
+        peer, add_connection = Peer(node.port), client_server.ClientServer.add_connection
         await wait_until(lambda: node.node.clients.connections)
         (first,) = node.node.clients.connections
 
-        def joining(server, client):
+        def send_then_add(server, client):
             if client is not first:
                 peer.send(command(b"crossed"))
-                while not unread(first):
+                while not count_unread(first):
                     pass
-            joined(server, client)
+            add_connection(server, client)
 
-        monkeypatch.setattr(client_server.ClientServer, "add_connection", joining)
+        monkeypatch.setattr(client_server.ClientServer, "add_connection", send_then_add)
         assert await node.send_command(command(b"r2")) == SERVED
         assert await peer.read() == SERVED
 
 
 @on_loop
-async def test_connections_that_wait_when_the_listener_closes_are_served(tmp_path, monkeypatch):
-    """They came in one turn, and the loop takes one a turn: the listener's close would reset them."""
+async def test_connections_in_the_backlog_when_the_listener_closes_are_served(tmp_path, monkeypatch):
+    """They arrive in one iteration but the loop accepts one per iteration, so closing would reset them."""
     monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
-        peers, take = [], node.node.clients.accept_backlog
+        peers, accept_backlog = [], node.node.clients.accept_backlog
         set_in_flight_limit(node.node, 100.0)
         node.node.engine.endpoint_pool.is_at_limit = lambda *_: False
 
-        async def taking(within):
+        async def connect_then_accept(timeout_s):
             peers.extend(Peer(node.port) for _ in range(20))
             for n, peer in enumerate(peers):
                 peer.send(command(b"r%d" % n))
-            await take(5.0)
+            await accept_backlog(5.0)
 
-        node.node.clients.accept_backlog = taking
-        ending = asyncio.create_task(node.node.stop())
+        node.node.clients.accept_backlog = connect_then_accept
+        stop_task = asyncio.create_task(node.node.stop())
         await wait_until(lambda: len(peers) == 20)
         assert [await peer.read() for peer in peers] == [SERVED] * 20
         for peer in peers:
             peer.sock.close()
-        await ending
+        await stop_task
 
 
 @on_loop
-async def test_neither_a_host_that_hangs_nor_a_resting_client_leaves_a_request(tmp_path, monkeypatch):
-    """What is in work gets its answer before SIGKILL may come; a resting client is sent away, and what it
-    sends after that is read by nobody."""
+async def test_shutdown_completes_with_a_hanging_host_and_an_idle_client(tmp_path, monkeypatch):
+    """Requests in flight are answered before a SIGKILL is possible.
+
+    An idle client is disconnected, and what it sends after that is not read.
+    """
     monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     monkeypatch.setattr(shutdown, "KILL_DELAY_S", 0.5)
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
-        rests, works = Peer(node.port), Peer(node.port)
-        works.send(command(b"hangs"))
+        idle, busy = Peer(node.port), Peer(node.port)
+        busy.send(command(b"hangs"))
         assert (await host.arrived.get())[2] == b"hangs"
-        ending = asyncio.create_task(node.node.stop())
-        assert await rests.read() == b""
-        rests.send(command(b"after"))
-        assert await works.read() == b"-ERR failed\r\n"
-        await ending
-        assert [got[2] for got in host.commands] == [b"hangs"] and not node.node.in_flight
+        stop_task = asyncio.create_task(node.node.stop())
+        assert await idle.read() == b""
+        idle.send(command(b"after"))
+        assert await busy.read() == b"-ERR failed\r\n"
+        await stop_task
+        assert [sent[2] for sent in host.commands] == [b"hangs"] and not node.node.in_flight
 
 
 @on_loop
-async def test_with_short_deadlines_less_of_the_end_is_read(tmp_path, monkeypatch):
-    """All is over 0.4 s after the longest deadline: what came late would be failed there, unread it is tried
-    elsewhere."""
+async def test_with_short_deadlines_reading_stops_earlier_in_shutdown(tmp_path, monkeypatch):
+    """Shutdown ends 0.4 s after the longest deadline.
+
+    A late request would fail in it; unread, the client retries it elsewhere.
+    """
     monkeypatch.setattr(shutdown, "ACCEPT_PERIOD_S", 0.0)
     monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.0)
     short = {**SETTINGS, "services": [s | {"deadline": 900_000_000} for s in SETTINGS["services"]]}
@@ -440,26 +451,26 @@
         peer = Peer(node.port)
         peer.send(command(b"hangs"))
         assert (await host.arrived.get())[2] == b"hangs"
-        ending = asyncio.create_task(node.node.stop())
+        stop_task = asyncio.create_task(node.node.stop())
         (client,) = node.node.clients.connections
         await wait_until(lambda: client.reading_stopped)
-        assert node.node.in_flight  # and not only because all is over
+        assert node.node.in_flight  # reading did not stop only because the shutdown is complete
         peer.send(command(b"late"))
         assert await peer.read() == b"-ERR failed\r\n"
         peer.sock.close()
-        await ending
-        assert [got[2] for got in host.commands] == [b"hangs"]
+        await stop_task
+        assert [sent[2] for sent in host.commands] == [b"hangs"]
 
 
 @on_loop
-async def test_answers_of_a_pipeline_come_before_the_error_that_ends_it(tmp_path):
-    """A refused command, one in work, then no RESP, and more than the gateway will read."""
+async def test_replies_of_a_pipeline_precede_the_error_that_ends_it(tmp_path):
+    """Send a rejected command, one in flight, then bytes that are not RESP, more than the gateway reads."""
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"r1", terms(c="none")) + command(b"r2") + b"nonsense\r\n" + b"x" * 3_000_000)
         await host.arrived.get()
         (client,) = node.node.clients.connections
-        assert client.reading_paused  # the flood is not read
+        assert client.reading_paused  # the excess bytes are not read
         host.writers[0].write(VALUE)
         assert (await read_reply(reader)) == b"-ERR unknown class or plan\r\n"
         assert await read_reply(reader) == SERVED
@@ -468,25 +479,30 @@
 
 
 @on_loop
-async def test_what_fails_at_the_end_of_one_connection_reaches_no_other(tmp_path, monkeypatch):
-    """Neither the one that comes in its place, nor those whose time is up in the same look."""
+async def test_a_failure_while_closing_one_connection_affects_no_other(tmp_path, monkeypatch):
+    """Neither the new connection that displaces it nor those that time out in the same check are affected."""
     monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
-        peers, look = [await node.connect() for _ in range(3)], clients.ClientConnection.has_unread_bytes
+        peers, has_unread_bytes = (
+            [await node.connect() for _ in range(3)],
+            clients.ClientConnection.has_unread_bytes,
+        )
         await wait_until(lambda: len(node.node.clients.connections) == 3)
-        spoilt = next(iter(node.node.clients.connections))
+        failing = next(iter(node.node.clients.connections))
 
-        def broken(client, *_):
-            if client is spoilt:
-                raise OSError("spoilt")
-            return look(client)
+        def fail_for_failing(client, *_):
+            if client is failing:
+                raise OSError("injected failure")
+            return has_unread_bytes(client)
 
         for name in ("has_unread_bytes", "_check_write_progress"):
             monkeypatch.setattr(
                 clients.ClientConnection,
                 name,
-                broken if name == "has_unread_bytes" else lambda c, now: broken(c) if c is spoilt else None,
+                fail_for_failing
+                if name == "has_unread_bytes"
+                else lambda c, now: fail_for_failing(c) if c is failing else None,
             )
         node.node.clients.capacity = 3
         assert await node.send_command(command()) == SERVED
@@ -495,11 +511,11 @@
 
 
 @on_loop
-async def test_of_many_that_are_to_go_at_once_a_part_lingers_but_for_a_drain(tmp_path):
+async def test_lingering_connections_are_limited_except_in_a_drain(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
         server = node.node.clients
-        for drain, most in ((False, 10), (True, 40)):
+        for drain, max_lingering in ((False, 10), (True, 40)):
             peers = [Peer(node.port) for _ in range(40)]
             for peer in peers:
                 peer.send(PING)
@@ -512,7 +528,7 @@
             else:
                 for client in list(server.connections):
                     client.close_when_done()
-            assert sum(not c.transport.is_closing() for c in server.connections) == most
+            assert sum(not c.transport.is_closing() for c in server.connections) == max_lingering
             for peer in peers:
                 assert await peer.read() == b"+PONG\r\n"
                 peer.sock.close()
@@ -520,10 +536,12 @@
 
 
 @on_loop
-async def test_where_all_are_at_work_few_come_past_the_limit(tmp_path, monkeypatch):
-    joined, come = client_server.ClientServer.add_connection, []
+async def test_if_all_connections_are_busy_few_exceed_the_limit(tmp_path, monkeypatch):
+    add_connection, added = client_server.ClientServer.add_connection, []
     monkeypatch.setattr(
-        client_server.ClientServer, "add_connection", lambda *args: (joined(*args), come.append(args))
+        client_server.ClientServer,
+        "add_connection",
+        lambda *args: (add_connection(*args), added.append(args)),
     )
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
@@ -535,7 +553,7 @@
             peers.append(Peer(node.port))
             with contextlib.suppress(ConnectionError):
                 peers[-1].send(command(b"r%d" % n, LONG))
-            await wait_until(lambda n=n: len(come) == n + 1)
+            await wait_until(lambda n=n: len(added) == n + 1)
             assert sum(not client.transport.is_closing() for client in server.connections) <= 11
         assert len(node.node.in_flight) >= 10
         for peer in peers:
@@ -544,15 +562,15 @@
 
 
 @on_loop
-async def test_one_that_comes_costs_the_same_however_many_there_are(tmp_path):
-    """Whichever is to go is found without a look at all of them."""
+async def test_a_new_connection_has_a_constant_cost(tmp_path):
+    """The connection to close is found without iterating over all connections."""
 
     class Counted(dict):
-        looks = 0
+        visited = 0
 
         def __iter__(self):
             for client in dict.__iter__(self):
-                self.looks += 1
+                self.visited += 1
                 yield client
 
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -567,6 +585,6 @@
         server.connections, server.capacity = Counted(server.connections), 100
         for _ in range(20):
             assert await node.send_command(PING) == b"+PONG\r\n"
-        assert server.connections.looks <= 200
+        assert server.connections.visited <= 200
         for peer in peers:
             peer.sock.close()
--- a/tests/downstream/test_large_values.py
+++ b/tests/downstream/test_large_values.py
@@ -1,4 +1,4 @@
-"""Values and bodies above 64 KiB: in pieces, bounded, and never twice."""
+"""Values and bodies above 64 KiB are streamed in pieces, use bounded memory and are never duplicated."""
 
 import asyncio
 import random
@@ -24,21 +24,21 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_a_large_string_comes_whole_however_it_is_cut(seed):
-    luck = random.Random(seed)
-    body = bytes(luck.choice(b"ab\r\n$") for _ in range(STREAMING_THRESHOLD_BYTES + 1 + luck.randrange(3)))
+def test_a_large_string_is_complete_however_it_is_split(seed):
+    rng = random.Random(seed)
+    body = bytes(rng.choice(b"ab\r\n$") for _ in range(STREAMING_THRESHOLD_BYTES + 1 + rng.randrange(3)))
     ping = b"*1\r\n$4\r\nPING\r\n"
     text = ping + b"*2\r\n$1\r\na\r\n$%d\r\n%s\r\n" % (len(body), body) + ping
-    reader, got, pieces, at = RespReader(STREAMING_THRESHOLD_BYTES, (2, 1)), [], [], 0
-    while at < len(text) or reader.large_string_bytes:
-        size = luck.choice([1, 2, 3, 50, 40000])
-        reader.feed(text[at : at + size])
-        at += size
-        if reader.large_string_bytes and luck.random() < 0.6:
+    reader, values, pieces, offset = RespReader(STREAMING_THRESHOLD_BYTES, (2, 1)), [], [], 0
+    while offset < len(text) or reader.large_string_bytes:
+        size = rng.choice([1, 2, 3, 50, 40000])
+        reader.feed(text[offset : offset + size])
+        offset += size
+        if reader.large_string_bytes and rng.random() < 0.6:
             reader.pass_on(pieces.append)
-        while (one := reader.gets()) is not INCOMPLETE:
-            got.append(one)
-    assert b"".join(pieces) == body + b"\r\n" and got == [[b"PING"], [b"a", b""], [b"PING"]]
+        while (command_value := reader.gets()) is not INCOMPLETE:
+            values.append(command_value)
+    assert b"".join(pieces) == body + b"\r\n" and values == [[b"PING"], [b"a", b""], [b"PING"]]
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
     ],
 )
 @on_loop
-async def test_only_a_body_may_be_large_and_none_is_larger_than_the_protocol_allows(text, tmp_path):
+async def test_only_a_body_may_be_large_within_the_protocol_limit(text, tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(text)
@@ -60,19 +60,19 @@
 
 
 @on_loop
-async def test_the_first_bytes_of_a_large_value_are_forwarded_as_they_come(tmp_path):
+async def test_a_large_value_is_forwarded_as_it_arrives(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(terms=terms(d="400")))
         await host.arrived.get()
-        text, out = value(BIG), host.writers[0]
-        out.write(text[:100])
+        text, host_writer = value(BIG), host.writers[0]
+        host_writer.write(text[:100])
         head = b"$%d\r\n" % len(BIG)
         assert await reader.readexactly(len(head) + 50) == head + BIG[:50]
-        await asyncio.sleep(0.5)  # past its time, which counts to the first bytes
-        for at in range(100, len(text), 9999):
-            out.write(text[at : at + 9999])
-            await out.drain()
+        await asyncio.sleep(0.5)  # past the deadline, which applies only until the first bytes
+        for offset in range(100, len(text), 9999):
+            host_writer.write(text[offset : offset + 9999])
+            await host_writer.drain()
         rest = await reader.readexactly(len(BIG) - 50 + 2)
         assert rest == BIG[50:] + b"\r\n" and len(host.commands) == 1
         host.answer = value(b"value")
@@ -81,7 +81,7 @@
 
 
 @on_loop
-async def test_a_client_that_reads_slowly_holds_up_the_host_and_not_the_memory(tmp_path):
+async def test_a_slow_reader_slows_the_host_and_uses_bounded_memory(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.transport.pause_reading()
@@ -98,36 +98,36 @@
 
 
 @on_loop
-async def test_a_value_that_breaks_off_ends_the_connection_and_is_not_sent_again(tmp_path):
+async def test_a_truncated_value_closes_the_connection_and_is_not_retried(tmp_path):
     async with StubHost(None) as one, StubHost(None) as two, Node(one, two, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command())
         await wait_until(lambda: one.commands or two.commands)
-        out = (one.writers or two.writers)[0]
-        out.write(value(BIG)[:200000])
+        host_writer = (one.writers or two.writers)[0]
+        host_writer.write(value(BIG)[:200000])
         await reader.readexactly(1000)
-        out.close()
+        host_writer.close()
         assert len(await reader.read()) < len(BIG)
         assert len(one.commands) + len(two.commands) == 1 and not node.node.in_flight
         assert not node.node.engine.requests_in_flight
 
 
 @on_loop
-async def test_a_large_value_waits_for_the_answers_before_it(tmp_path):
+async def test_a_large_value_waits_for_earlier_replies(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command(b"r1") + command(b"r2"))
         await wait_until(lambda: len(host.commands) == 2)
-        later = next(n for n, got in enumerate(host.commands) if got[2] == b"r2")
+        later = next(n for n, sent in enumerate(host.commands) if sent[2] == b"r2")
         host.writers[later].write(value(BIG))
-        await wait_until(lambda: any(work.streaming_attempt for work in node.node.in_flight.values()))
+        await wait_until(lambda: any(request.streaming_attempt for request in node.node.in_flight.values()))
         host.writers[1 - later].write(value(b"value"))
         assert await read_reply(reader) == SERVED
         assert await read_reply(reader) == b"$%d\r\n%s\r\n" % (len(BIG), BIG)
 
 
 @on_loop
-async def test_a_client_that_leaves_midway_ends_the_attempt(tmp_path):
+async def test_a_client_that_disconnects_during_a_value_ends_the_attempt(tmp_path):
     async with StubHost(None) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.write(command())
@@ -139,7 +139,7 @@
 
 
 @on_loop
-async def test_a_large_body_that_comes_slowly_is_sent_whole_and_again_after_a_failure(tmp_path, monkeypatch):
+async def test_a_slow_large_body_is_sent_completely_and_retried_after_a_failure(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.3)
     answers = [b"-BUSY\r\n", value(b"value")]
     async with (
@@ -154,12 +154,12 @@
             await asyncio.sleep(0.2)
         assert await read_reply(reader) == SERVED
         sent = one.commands + two.commands
-        assert len(sent) == 2 and all(got[4] == BIG for got in sent)
+        assert len(sent) == 2 and all(parts[4] == BIG for parts in sent)
         assert node.node.clients.body_budget.reserved_bytes == 0
 
 
 @on_loop
-async def test_a_body_that_stops_ends_its_connection_and_gives_its_place_back(tmp_path, monkeypatch):
+async def test_a_stalled_body_closes_its_connection_and_releases_its_reservation(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "BODY_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
@@ -170,7 +170,7 @@
 
 
 @on_loop
-async def test_a_body_that_is_only_announced_holds_no_place(tmp_path, monkeypatch):
+async def test_a_body_that_is_only_announced_reserves_nothing(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "BODY_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
@@ -189,7 +189,7 @@
 
 
 @on_loop
-async def test_a_body_without_room_waits_unread_until_there_is_some(tmp_path):
+async def test_a_body_waits_unread_until_the_budget_has_capacity(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
         budget = node.node.clients.body_budget
@@ -203,11 +203,11 @@
         assert not host.commands
         first_writer.write(upload(b"w1")[70000:])
         assert await read_reply(first) == SERVED and await read_reply(second) == SERVED
-        assert [got[2] for got in host.commands] == [b"w1", b"w2"] and budget.reserved_bytes == 0
+        assert [sent[2] for sent in host.commands] == [b"w1", b"w2"] and budget.reserved_bytes == 0
 
 
 @on_loop
-async def test_a_large_body_that_is_not_taken_gives_its_place_back(tmp_path):
+async def test_a_rejected_large_body_releases_its_reservation(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         bad = command(b"w1", terms(c="nothing"), b"API.WRITE", body=BIG)
         assert (await node.send_command(bad)).startswith(b"-ERR")
@@ -216,29 +216,29 @@
         assert node.node.clients.body_budget.reserved_bytes == 0
 
 
-def test_the_first_that_waits_gets_in_first_and_one_always_does():
+def test_the_body_budget_admits_in_order_and_always_one():
     class Stub:
         def __init__(self):
-            self.transport, self.got = self, 0
+            self.transport, self.reserved = self, 0
 
         def is_closing(self):
-            return self.got < 0
+            return self.reserved < 0
 
         def on_body_reserved(self, length):
-            self.got = length
+            self.reserved = length
 
     budget, (one, two, three, four) = BodyBudget(), [Stub() for _ in range(4)]
     budget.capacity_bytes = 10
     for stub, length in ((one, 20), (two, 6), (three, 5), (four, 3)):
         budget.reserve(length, stub)
-    assert [s.got for s in (one, two, three, four)] == [20, 0, 0, 0]
-    three.got = -1  # it left
+    assert [waiter.reserved for waiter in (one, two, three, four)] == [20, 0, 0, 0]
+    three.reserved = -1  # closed meanwhile
     budget.release(20)
-    assert [s.got for s in (two, three, four)] == [6, -1, 3] and budget.reserved_bytes == 9
+    assert [waiter.reserved for waiter in (two, three, four)] == [6, -1, 3] and budget.reserved_bytes == 9
 
 
 @on_loop
-async def test_in_a_drain_a_body_that_is_still_coming_is_not_waited_for(tmp_path, monkeypatch):
+async def test_a_drain_does_not_wait_for_an_incomplete_body(tmp_path, monkeypatch):
     monkeypatch.setattr(client_server, "DRAIN_READ_S", 0.05)
     monkeypatch.setattr(clients, "DRAIN_FIRST_COMMAND_TIMEOUT_S", 0.05)
     async with StubHost() as host, Node(host, path=tmp_path) as node:
@@ -253,12 +253,12 @@
 
 
 @on_loop
-async def test_a_client_that_takes_nothing_more_is_given_up(tmp_path, monkeypatch):
+async def test_a_client_that_stops_reading_is_aborted(tmp_path, monkeypatch):
     monkeypatch.setattr(clients, "WRITE_PROGRESS_TIMEOUT_S", 0.3)
     async with StubHost(value(BIG * 4)) as host, Node(host, path=tmp_path) as node:
         reader, writer = await node.connect()
         writer.transport.pause_reading()
-        for n in range(6):  # more than the sockets between them hold
+        for n in range(6):  # more than the socket buffers hold
             writer.write(command(b"r%d" % n))
         await wait_until(lambda: node.node.clients.connections)
         await wait_until(lambda: not node.node.clients.connections)
@@ -266,15 +266,15 @@
 
 
 @on_loop
-async def test_past_the_limit_a_connection_whose_body_is_coming_does_not_go(tmp_path):
+async def test_above_the_limit_a_connection_receiving_a_body_is_not_closed(tmp_path):
     async with StubHost() as host, Node(host, path=tmp_path) as node:
         node.node.sibling_watch.timer.cancel()
         node.node.clients.capacity = 2
         reader, writer = await node.connect()
         writer.write(upload()[:90000])
         await wait_until(lambda: node.node.clients.body_budget.reserved_bytes)
-        rests, _ = await node.connect()
+        idle, _ = await node.connect()
         third, third_writer = await node.connect()
-        assert await rests.read() == b""
+        assert await idle.read() == b""
         writer.write(upload()[90000:])
         assert await read_reply(reader) == SERVED
