--- a/api_gateway/experiments/scale/__main__.py
+++ b/api_gateway/experiments/scale/__main__.py
@@ -391,8 +391,9 @@
 
 EVENT_SECONDS = 60.0  # after an event begins
 LONGER = {"apart": 120.0}  # where it takes longer: the guard lets hosts go in two spans
-# For which regions are cut off before they heal, in s: past what is remembered of hosts that went (FORGET of
-# the registry), so that an hour tells the same but for pauses that are drawn: 94 and 92 KB a gateway, of 131.
+# For which regions are cut off before they heal, in s: past what is remembered of hosts that went
+# (TOMBSTONE_LIFETIME_S of the registry), so that an hour tells the same but for pauses that are drawn: 94
+# and 92 KB a gateway, of 131.
 APART = 900.0
 EVENTS = ("rack", "zone", "rollout", "everything", "apart", "healed", "lost", "back")
 
--- a/api_gateway/experiments/scale/arithmetic.py
+++ b/api_gateway/experiments/scale/arithmetic.py
@@ -78,15 +78,19 @@
     name("gateways_of_a_region", of("gateways") / of("regions"), "gateways")
     name(
         "spans_until_a_region_lapsed",
-        book["hosts_of_a_region"] / (of("hosts") * book.code("registry.core", "GUARD_PART")),
+        book["hosts_of_a_region"] / (of("hosts") * book.code("registry.core", "SELF_PRESERVATION_FRACTION")),
         "spans",
     )
     name("renewals_s", of("hosts") * of("renewals_a_ttl") / of("ttl_s"), "renewals/s")
-    name("lapse_s", of("ttl_s") + book.code("registry.core", "DRAIN", "s"), "s")
-    name("hosts_that_may_lapse", of("hosts") * book.code("registry.core", "GUARD_PART"), "hosts")
+    name("lapse_s", of("ttl_s") + book.code("registry.core", "DRAIN_DURATION_S", "s"), "s")
+    name(
+        "hosts_that_may_lapse",
+        of("hosts") * book.code("registry.core", "SELF_PRESERVATION_FRACTION"),
+        "hosts",
+    )
     name(
         "gone_remembered",
-        of("restarted_a_day") / of("rollout_s") * book.code("registry.core", "FORGET", "s"),
+        of("restarted_a_day") / of("rollout_s") * book.code("registry.core", "TOMBSTONE_LIFETIME_S", "s"),
         "hosts",
     )
     for event in ("changes_in_a_day", "changes_in_a_rollout"):
--- a/api_gateway/experiments/scale/events.py
+++ b/api_gateway/experiments/scale/events.py
@@ -23,7 +23,15 @@
 from api_gateway.base.subsets import SubsetSpec
 from api_gateway.discovery.polling import ANSWER_MARGIN_S, KNOWN_WITHIN_S, Backoff
 from api_gateway.registry.config import DEFAULT_LEARNING_S, RegistryConfig
-from api_gateway.registry.core import DRAIN, GATHER, LOOK, Answer, Host, Registry, Stale
+from api_gateway.registry.core import (
+    BATCH_DELAY_S,
+    DRAIN_DURATION_S,
+    EXPIRY_CHECK_INTERVAL_S,
+    Answer,
+    Host,
+    RegistrationConflictError,
+    Registry,
+)
 from api_gateway.registry.service import Service
 
 AGAIN, WAIT = 0.01, 5.0  # s after an answer in which the next watch comes; of a watch
@@ -173,7 +181,7 @@
         """Watches of these gateways that wait break."""
         for number in numbers:
             if number in self.registry.watches:
-                self.registry.forget(number)
+                self.registry.cancel_watch(number)
                 self.fail(number)
 
     def lapse(self, numbers: Sequence[int]) -> None:
@@ -191,7 +199,7 @@
 
         try:
             self.registry.drain(self.now, name, 1)
-        except Stale:
+        except RegistrationConflictError:
             return
         self.at(self.now + AWAY, back)
 
@@ -335,7 +343,7 @@
         "service_bytes_out_s_most": float(max(service.values(), default=0)),
         "last_s": max(0.0, world.last - world.began),
         "hosts_up": float(sum(entry.host.state == "up" for entry in world.registry.entries.values())),
-        "hosts_held": float(len(world.registry.held)),
+        "hosts_held": float(len(world.registry.preserved_hosts)),
         "refused": float(world.refused.total()),
         "refused_s_most": float(max(world.refused.values(), default=0)),
     }
@@ -345,14 +353,14 @@
     """A rack that goes, as processes play it: the figures, the rack's hosts, and spans of the list service in
     s. `after`: s that are counted after they lapsed; None: until they are removed."""
     after = told.pop("after")
-    after = DRAIN if after is None else after
+    after = DRAIN_DURATION_S if after is None else after
     case = Case(**told, seconds=SHORT + after + 1.0)
     return {
         "figures": asyncio.run(play(case)),
         "rack": list(rack_of(case)),
         "after": after,
-        "look": LOOK,
-        "gather": GATHER,
+        "look": EXPIRY_CHECK_INTERVAL_S,
+        "gather": BATCH_DELAY_S,
     }
 
 
--- a/api_gateway/experiments/scale/page.py
+++ b/api_gateway/experiments/scale/page.py
@@ -824,7 +824,7 @@
         "loss_view_kb",
         "at a gateway with it in view",
         "lapse_s",
-        "`registry.core.Registry.look`, `policy.outlier_detection.HealthEstimator`",
+        "`registry.core.Registry.check_expiry`, `policy.outlier_detection.HealthEstimator`",
         "gateways with it in view; the list service's `GET /status`, by counts; callers, by an attempt more",
     ),
     Event(
@@ -835,7 +835,7 @@
         "restart",
         "restart_view_kb",
         "at a gateway with it in view",
-        "registry.core.DRAIN",
+        "registry.core.DRAIN_DURATION_S",
         "`policy.endpoint_table.EndpointState.slow_start_factor`",
         "gateways with it in view",
     ),
@@ -848,7 +848,7 @@
         "rack_view_kb_most",
         "at one gateway at most",
         "lapse_s",
-        "`registry.core.Registry.may_lapse`",
+        "`registry.core.Registry.may_expire`",
         "gateways with some of them in view; the list service's `GET /status`, by counts",
     ),
     Event(
@@ -861,7 +861,7 @@
         "zone_view_kb_most",
         "at one gateway at most",
         "lapse_s",
-        "`registry.core.Registry.may_lapse`, `base.subsets.SubsetSpec`",
+        "`registry.core.Registry.may_expire`, `base.subsets.SubsetSpec`",
         "all gateways; the list service's `GET /status`, and its log where the guard holds some",
     ),
     Event(
@@ -1012,7 +1012,7 @@
         "apart_view_kb_most",
         "at one gateway at most",
         "apart_s",
-        "`registry.core.Registry.may_lapse`, `policy.quota_leases.QuotaLeases.decide_without_counter`",
+        "`registry.core.Registry.may_expire`, `policy.quota_leases.QuotaLeases.decide_without_counter`",
         "`GET /members`, `GET /status`; callers, by what passes beyond a quota",
     ),
     Event(
--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -439,8 +439,8 @@
             book["gone_remembered"],
             book["hosts_of_a_zone"],
             "a zone",
-            book.code("registry.core", "MOST_GONE", "hosts"),
-            "`registry.core.Registry.drop`",
+            book.code("registry.core", "MAX_TOMBSTONES", "hosts"),
+            "`registry.core.Registry.drop_tombstone`",
             past="a watch from before what is remembered gets the whole list",
         ),
         Row(
@@ -544,7 +544,7 @@
             None,
             "a rollout",
             None,
-            "`registry.core.GATHER`",
+            "`registry.core.BATCH_DELAY_S`",
         ),
         Row(
             "s until all gateways that start together have their lists",
--- a/api_gateway/registry/registration.py
+++ b/api_gateway/registry/registration.py
@@ -9,7 +9,7 @@
 
 from api_gateway.registry.answer_encoding import HOST_KEYS
 from api_gateway.registry.config import read_host
-from api_gateway.registry.core import TTL_LEAST, TTL_MOST, Host
+from api_gateway.registry.core import MAX_TTL_S, MIN_TTL_S, Host
 from api_gateway.registry.errors import InvalidValueError
 
 INCARNATION_BOUND = 2**53  # incarnations are below it: they are exact in any JSON reader
@@ -47,8 +47,8 @@
     if type(incarnation) is not int or not 0 <= incarnation < INCARNATION_BOUND:
         text = "incarnation must be a whole number that grows with each life of the host"
         raise InvalidValueError("incarnation", text)
-    if type(ttl_ms) is not int or not TTL_LEAST * 1000 <= ttl_ms <= TTL_MOST * 1000:
-        text = f"ttl_ms must be a whole number, {TTL_LEAST * 1000:.0f} to {TTL_MOST * 1000:.0f}"
+    if type(ttl_ms) is not int or not MIN_TTL_S * 1000 <= ttl_ms <= MAX_TTL_S * 1000:
+        text = f"ttl_ms must be a whole number, {MIN_TTL_S * 1000:.0f} to {MAX_TTL_S * 1000:.0f}"
         raise InvalidValueError("ttl_ms", text)
     unknown = set(document) - set(HOST_KEYS)
     if unknown:
--- a/api_gateway/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -18,7 +18,7 @@
 from api_gateway.base.subsets import SubsetSpec, read_subset_spec
 from api_gateway.registry.answer_encoding import AnswerEncoder
 from api_gateway.registry.config import RegistryConfig, read_hosts
-from api_gateway.registry.core import Answer, Registry, Stale
+from api_gateway.registry.core import Answer, RegistrationConflictError, Registry
 from api_gateway.registry.errors import InvalidValueError
 from api_gateway.registry.registration import read_registration, read_whole_number
 from api_gateway.registry.subsets import TooManyViewsError
@@ -139,7 +139,7 @@
         self._timer = asyncio.get_running_loop().call_later(delay_s + TIMER_MARGIN_S, self._run_due)
 
     def _log_self_preservation(self) -> None:
-        host_count = len(self.registry.held)
+        host_count = len(self.registry.preserved_hosts)
         if bool(host_count) == self._is_self_preserving:
             return
         self._is_self_preserving = bool(host_count)
@@ -159,7 +159,7 @@
             return await self._dispatch(request)
         except ValueError as error:
             return error_response(400, str(error))
-        except Stale as error:
+        except RegistrationConflictError as error:
             return error_response(409, str(error))
         except TooManyViewsError as error:
             return error_response(503, str(error))
@@ -217,7 +217,7 @@
             return await waiter
         finally:  # also where the watcher has gone
             self.waiting.pop(key, None)
-            self.registry.forget(key)
+            self.registry.cancel_watch(key)
 
     async def _handle_host_call(self, request: web.BaseRequest) -> web.Response:
         """Register, renew, drain or remove the host that a call names."""
@@ -250,10 +250,10 @@
             "epoch": self.registry.epoch,
             "version": self.registry.version,
             "hosts": {state: state_counts[state] for state in ("up", "draining", "removed")},
-            "registered": sum(1 for entry in entries if entry.ttl and entry.host.state != "removed"),
+            "registered": sum(1 for entry in entries if entry.ttl_s and entry.host.state != "removed"),
             "watches": len(self.waiting),
             "views": len(self.registry.views.live_views),
-            "self_preservation": sorted(self.registry.held),
+            "self_preservation": sorted(self.registry.preserved_hosts),
         }
 
 
--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -388,7 +388,7 @@
 
 @on_loop
 async def test_a_subset_of_the_service_empties_and_fills_again(tmp_path, monkeypatch):
-    monkeypatch.setattr(core, "DRAIN", 0.05)
+    monkeypatch.setattr(core, "DRAIN_DURATION_S", 0.05)
     async with (
         StubHost() as stub,
         Serving(tmp_path, hosts(60, stub.port)) as serving,
--- a/tests/experiments/test_scale_page.py
+++ b/tests/experiments/test_scale_page.py
@@ -731,9 +731,9 @@
     "membership.local_health.MAX_HEALTH_SCORE",
     "membership.messages.MAX_NAME_CHARACTERS",
     "membership.state_merge.MAX_NOTICES",
-    "registry.core.WAIT_MOST",
-    "registry.core.TTL_MOST",
-    "registry.core.LOOK_MOST",
+    "registry.core.MAX_WAIT_S",
+    "registry.core.MAX_TTL_S",
+    "registry.core.MAX_EXPIRIES_PER_CHECK",
 }
 
 
@@ -961,7 +961,7 @@
 
 
 def test_a_constant_that_is_gone_is_an_error():
-    assert cells.constant("registry.core", "MOST_GONE") == 1000
+    assert cells.constant("registry.core", "MAX_TOMBSTONES") == 1000
     assert cells.constant("control.config_schema", "MAX_BODY_BYTES") == 512 * 1024
     assert cells.constant("policy.endpoints", "MAX_IN_FLIGHT_PER_ENDPOINT") == 4.0
     with pytest.raises(KeyError):
--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -165,7 +165,9 @@
     async with Serving(watchers=3) as serving:
         watches = [asyncio.create_task(serving.list(f"?index=41&wait={'9' * 17}")) for _ in range(3)]
         await wait_until(lambda: len(serving.service.waiting) == 3)
-        assert all(w.until < serving.service.clock() + 61 for w in serving.service.registry.watches.values())
+        assert all(
+            w.deadline < serving.service.clock() + 61 for w in serving.service.registry.watches.values()
+        )
         async with serving.session.get("/v1/endpoints?index=41&wait=5000") as answer:
             assert answer.status == 503 and answer.headers["Retry-After"]
         assert (await serving.list("?index=41&wait=0"))["servers"] == []  # what does not wait is answered
@@ -182,7 +184,7 @@
             await wait_until(lambda: serving.service.waiting)
             writer.transport.abort()
             await wait_until(lambda: not serving.service.waiting)
-        assert not serving.service.registry.watches and not serving.service.registry.ends
+        assert not serving.service.registry.watches and not serving.service.registry.watch_deadlines
 
 
 @on_loop
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -15,7 +15,7 @@
 from api_gateway.registry import service as module
 from api_gateway.registry import subsets as views
 from api_gateway.registry.config import read_config
-from api_gateway.registry.core import Registry, Stale
+from api_gateway.registry.core import RegistrationConflictError, Registry
 from api_gateway.registry.subsets import TooManyViewsError
 
 
@@ -62,11 +62,11 @@
     at, before = r.view(1.0, "k", view).version, members(r, view)
     gone = sorted(before)[0]
     back = r.entries[gone].host
-    r.leave(1.0, r.entries[gone])
+    r.drain_entry(1.0, r.entries[gone])
     assert [(h.id, h.state) for h in r.watch_view(1.0, "k", view, at, 0.0, "e").hosts if h.id == gone] == [
         (gone, "draining")
     ]
-    settle(r, 1.5 + core.DRAIN)
+    settle(r, 1.5 + core.DRAIN_DURATION_S)
     told = {h.id: h.state for h in r.watch_view(12.0, "k", view, at, 0.0, "e").hosts}
     entered = members(r, view) - before
     assert len(entered) == 1 and told == {gone: "removed", **dict.fromkeys(entered, "up")}
@@ -133,7 +133,7 @@
     settle(r, 61.9)
     assert view in r.views.live_views
     for n in range(5):
-        r.forget(n)
+        r.cancel_watch(n)
     assert not r.watches and not r.views.live_views[view].watch_keys
     settle(r, 63.0 + views.IDLE_LIFETIME_S)
     assert not r.views.live_views
@@ -172,7 +172,7 @@
 
 
 def test_a_zone_that_goes_is_told_to_views_as_changes_though_whole_lists_forget_it(monkeypatch):
-    monkeypatch.setattr(core, "MOST_GONE", 20)
+    monkeypatch.setattr(core, "MAX_TOMBSTONES", 20)
     r = filled(600, zones="abc")
     all_ = [SubsetSpec(n, 40, "abc"[n % 3]) for n in range(12)]
     before = {view: members(r, view) for view in all_}
@@ -183,7 +183,7 @@
     for name in lost:
         r.remove(2.0, r.entries[name])
     told = {answer.key: answer for answer in settle(r, 2.2)}
-    assert r.since(lists) is None and len(r.gone) <= 20
+    assert r.changes_since(lists) is None and len(r.tombstones) <= 20
     for view in all_:
         assert told[view].index is not None
         assert {h.id for h in told[view].hosts if h.state == "removed"} == before[view] & set(lost)
@@ -224,7 +224,7 @@
 
 
 def test_a_burst_is_told_as_a_whole_and_in_slices(monkeypatch):
-    monkeypatch.setattr(core, "SLICE", 100)
+    monkeypatch.setattr(core, "REFRESH_HOSTS_PER_TICK", 100)
     monkeypatch.setattr(views, "BURST_CHANGES", 20)
     r = filled(600, zones="abc")
     all_ = [SubsetSpec(n, 30, "abc"[n % 3]) for n in range(40)]
@@ -233,7 +233,7 @@
     before = {view: members(r, view) for view in all_}
     for n in range(0, 600, 3):
         change(r, 2.0, f"h{n}", state="draining")
-    assert r.views.has_burst and r.wake_at == 2.0 + core.GATHER
+    assert r.views.has_burst and r.wake_at == 2.0 + core.BATCH_DELAY_S
     told = []
     while r.due() <= 2.1:
         some = r.tick(2.1)
@@ -342,9 +342,9 @@
     monkeypatch.setattr(views, "IDLE_LIFETIME_S", 5.0)
     monkeypatch.setattr(views, "CHANGE_LIFETIME_S", rng.choice([1.0, 10.0, 600.0]))
     monkeypatch.setattr(views, "MAX_REMOVED_HOSTS", rng.choice([2, 4096]))
-    monkeypatch.setattr(core, "SLICE", rng.choice([1, 30, 16384]))
-    monkeypatch.setattr(core, "FORGET", 8.0)
-    monkeypatch.setattr(core, "MOST_GONE", 6)
+    monkeypatch.setattr(core, "REFRESH_HOSTS_PER_TICK", rng.choice([1, 30, 16384]))
+    monkeypatch.setattr(core, "TOMBSTONE_LIFETIME_S", 8.0)
+    monkeypatch.setattr(core, "MAX_TOMBSTONES", 6)
     r, now = Registry("e", 1), 0.0
     zones, kinds = rng.choice(["a", "ab", "abcd"]), rng.choice(["k", "kl"])
     clients = [
@@ -386,7 +386,7 @@
                     r.drain(now, name, 1)
                 else:
                     r.deregister(now, name, 1)
-            except Stale:
+            except RegistrationConflictError:
                 pass
         while r.due() <= now:
             for answer in r.tick(now):
@@ -396,7 +396,7 @@
         for client in clients:
             if client.asked:
                 if rng.random() < 0.05:
-                    r.forget(client)
+                    r.cancel_watch(client)
                     client.asked = False
             elif rng.random() < 0.5:
                 if client.index is None or rng.random() < 0.05:
