--- a/api_gateway/registry/__init__.py
+++ b/api_gateway/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list service: hosts register, or an operator names them, and gateways watch the list."""
+"""The list service: hosts register or are listed in a file, and gateways watch the list."""
--- a/api_gateway/registry/__main__.py
+++ b/api_gateway/registry/__main__.py
@@ -1,4 +1,4 @@
-"""The list service: `python -m api_gateway.registry`, with REGISTRY_CONFIG naming its configuration."""
+"""Entry point of the list service: REGISTRY_CONFIG=FILE python -m api_gateway.registry."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from api_gateway.registry.core import Registry
 from api_gateway.registry.service import Service
 
-EPOCH_BYTES = 8  # random, of the name that one run of the service has
+EPOCH_BYTES = 8  # random bytes of the epoch, which identifies one run of the service
 
 
 def create_service() -> Service:
-    """Return the service by its configuration.
+    """Create the service from its configuration file.
 
-    Versions begin with the clock's milliseconds, so that those of an earlier run are mostly lower than all of
-    this one's: watchers that know no epochs get the complete list then.
+    Versions start at the clock's milliseconds, so those of an earlier run are usually lower than all versions
+    of this run. Watchers that do not support epochs then get the complete list.
 
     Raises:
-        ConfigError: The configuration cannot be used.
+        ConfigError: The configuration is invalid or cannot be read.
     """
     config = read_config()
     epoch = secrets.token_hex(EPOCH_BYTES)
--- a/api_gateway/registry/answer_encoding.py
+++ b/api_gateway/registry/answer_encoding.py
@@ -1,4 +1,4 @@
-"""Encode answers of the list service: each host once for each of its changes, each answer once a version."""
+"""Encode answers of the list service: a host once per change, an answer once per version."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from api_gateway.base.subsets import SubsetSpec
 from api_gateway.registry.core import Answer, Host, Registry
 
-MAX_ENCODED_BYTES = 32 * 1024 * 1024  # of answers of one version that are cached; the last one in any case
-SPARE_HOST_TEXTS = 1000  # cached texts past two for each known host, after which the cache is emptied
+MAX_ENCODED_BYTES = 32 * 1024 * 1024  # limit for cached answers of one version; the newest is always kept
+SPARE_HOST_TEXTS = 1000  # the cache is emptied when it exceeds two texts per known host by this many
 
 
 class AnswerKey(NamedTuple):
-    """What tells two answers of one version apart.
+    """Key of a cached answer within one version.
 
     Attributes:
         since_version: The version that changes are counted from; None for a complete list.
-        view: The view that is told of; None for all hosts.
+        view: The view that the answer is limited to; None for all hosts.
     """
 
     since_version: int | None
@@ -25,24 +25,26 @@
 
 
 class AnswerEncoder:
-    """Caches encoded answers of the present version: many watches get the same one.
+    """Caches encoded answers of the current version, because many watches get the same one.
 
     Attributes:
-        answers: Encoded answers of `version`.
-        version: The version that is served now.
-        size_bytes: Of all cached answers.
+        answers: Encoded answers of `version` by key, oldest first.
+        version: The version of the cached answers.
+        size_bytes: Total size of the cached answers.
     """
 
     def __init__(self, registry: Registry) -> None:
-        """Encode answers of `registry`."""
+        """Start with an empty cache for the answers of `registry`."""
         self._registry = registry
-        self._host_texts: dict[str, tuple[Host, bytes]] = {}  # hosts as they were last encoded, by id
+        self._host_texts: dict[
+            str, tuple[Host, bytes]
+        ] = {}  # each host as last encoded, with its text, by id
         self.answers: dict[AnswerKey, bytes] = {}
         self.version = -1
         self.size_bytes = 0
 
     def encode(self, answer: Answer) -> bytes:
-        """Return the body of an answer."""
+        """Return the JSON body of an answer."""
         if self.version != answer.version:
             self.answers.clear()
             self.version = answer.version
@@ -56,7 +58,7 @@
         return self.answers[key]
 
     def encode_host(self, host: Host) -> bytes:
-        """Return the text of one host, made once for each of its changes."""
+        """Return the JSON text of a host; it is encoded once per change."""
         cached = self._host_texts.get(host.id)
         if cached is not None and cached[0] is host:
             return cached[1]
@@ -80,14 +82,14 @@
         return b'%s, "servers": [%s]}' % (json.dumps(head).encode()[:-1], servers)
 
     def _trim(self) -> None:
-        """Drop the oldest answers past the bound; the newest stays."""
+        """Drop the oldest answers above MAX_ENCODED_BYTES, but never the newest."""
         while self.size_bytes > MAX_ENCODED_BYTES and len(self.answers) > 1:
             oldest = next(iter(self.answers))
             self.size_bytes -= len(self.answers.pop(oldest))
 
 
 def host_document(host: Host) -> dict[str, Any]:
-    """Return a host in the protocol's form; the order of the keys is part of it."""
+    """Return a host as a JSON object of the protocol; the order of the keys is part of the protocol."""
     return {
         "id": host.id,
         "addr": host.addr,
@@ -100,4 +102,4 @@
     }
 
 
-HOST_KEYS = tuple(host_document(Host("", "")))  # that a registration may hold beside its lease
+HOST_KEYS = tuple(host_document(Host("", "")))  # keys that a registration may have besides its lease
--- a/api_gateway/registry/config.py
+++ b/api_gateway/registry/config.py
@@ -1,4 +1,4 @@
-"""Read the list service's configuration, a JSON file named by REGISTRY_CONFIG, and the file of hosts."""
+"""Read the list service's configuration, a JSON file named by REGISTRY_CONFIG, and the hosts file."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
     from api_gateway.membership.service import MembershipConfig
 
 CONFIG_KEYS = {"listen", "hosts", "watchers", "learn_ms", "membership", "views"}
-DEFAULT_LEARNING_S = 10.0  # s after a start in which hosts come back, where there is no file that names them
-LEARNING_LIMIT_MS = 3_600_000  # that `learn_ms` may say: an hour
-DEFAULT_MAX_WATCHES = MAX_VIEWS  # watches that wait at once, where the file does not say: one for each view
-WORD_CHARACTERS = 128  # of an id, an address, a zone or a kind at the most
-CELL_BOUND = 2**31  # cells are below it, and above its negative
-WEIGHT_BOUND = 1e9  # weights are below it
-TIME_BOUND_MS = 2**53  # times are below it: they are exact in any JSON reader
+DEFAULT_LEARNING_S = 10.0  # time for hosts to register again after a start, if there is no hosts file
+LEARNING_LIMIT_MS = 3_600_000  # upper limit of `learn_ms`: one hour
+DEFAULT_MAX_WATCHES = MAX_VIEWS  # one waiting watch for each view
+NAME_LENGTH_LIMIT = 128  # characters of an id, an address, a zone or a kind
+CELL_BOUND = 2**31  # exclusive, for the absolute value of a cell
+WEIGHT_BOUND = 1e9  # exclusive
+TIME_BOUND_MS = 2**53  # exclusive; every JSON parser reads smaller integers exactly
 
 
 @dataclass(frozen=True, slots=True)
 class RegistryConfig:
-    """What the list service runs by.
+    """Settings of the list service.
 
     Attributes:
-        listen: Address that it serves at.
-        hosts_path: The operator's file of hosts, if there is one.
-        max_watches: How many watches may wait at once.
-        learning_duration_s: Seconds after a start for which no list is served, since hosts are not back yet.
-        membership: Where this process takes part as a member; None: nowhere.
-        max_views: How many views may be live at once.
+        listen: Address that the service listens on.
+        hosts_path: The operator's hosts file, or None.
+        max_watches: Maximum number of waiting watches.
+        learning_duration_s: Seconds after a start without a list, until the hosts have registered again.
+        membership: The cluster that this process joins; None if it joins none.
+        max_views: Maximum number of live views.
     """
 
     listen: Address
@@ -50,10 +50,10 @@
 
 
 def read_config(env: Mapping[str, str] = os.environ) -> RegistryConfig:
-    """Read the file that REGISTRY_CONFIG names.
+    """Read the configuration file whose path is in REGISTRY_CONFIG.
 
     Raises:
-        ConfigError: It cannot be used; the text says why in one line.
+        ConfigError: It is missing or invalid; the message gives the reason in one line.
     """
     path = env.get("REGISTRY_CONFIG")
     if not path:
@@ -92,17 +92,19 @@
 
 
 def _parse_membership(value: Any) -> MembershipConfig:
-    """Parse the key `membership`; the package is imported only where the key is."""
+    """Parse the key `membership`; the package is imported only if the key is set."""
     from api_gateway.membership.service import read_membership_config
 
     return read_membership_config(value)
 
 
 def read_hosts(path: Path) -> list[Host]:
-    """Read the operator's file, {"servers": [...]} in the protocol's form, completely or not at all.
+    """Read the operator's hosts file, {"servers": [...]} with entries of the protocol.
+
+    One invalid entry rejects the complete file.
 
     Raises:
-        ConfigError: It cannot be used; the text says why in one line.
+        ConfigError: It is missing or has an invalid entry; the message gives the reason in one line.
     """
     with config_errors_in_one_line(str(path)), open(path, encoding="utf-8") as file:
         hosts = [read_host(entry) for entry in json.load(file)["servers"]]
@@ -112,14 +114,14 @@
 
 
 def read_host(value: Any, expected_id: str | None = None) -> Host:
-    """Check one entry in the protocol's form and return it.
+    """Validate an entry of the protocol and return it as a host.
 
     Args:
-        value: The entry, as JSON has it.
-        expected_id: The id that a call names; the entry may leave it out then.
+        value: The entry as parsed from JSON.
+        expected_id: The id in the path of a call; the entry may then omit its own.
 
     Raises:
-        ValueError: The entry cannot be used; the text says what is wrong with which key.
+        ValueError: The entry is invalid; the message names the key and the fault.
     """
     if not isinstance(value, dict):
         raise InvalidValueError("", "an entry must be an object")
@@ -138,12 +140,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryRule:
-    """What a key of an entry may hold.
+    """Rule for the value of one key of an entry.
 
     Attributes:
-        types: Types that its values have; a boolean is never a number.
-        is_valid: Further check of a value of these types.
-        expected: What is allowed, for the text of an error.
+        types: Allowed types; a boolean does not count as a number.
+        is_valid: Further check for a value of these types.
+        expected: Description of the allowed values, for error messages.
     """
 
     types: tuple[type, ...]
@@ -151,22 +153,22 @@
     expected: str
 
     def is_met_by(self, value: object) -> bool:
-        """Tell whether a value is allowed."""
+        """Return whether a value is allowed."""
         return isinstance(value, self.types) and not isinstance(value, bool) and self.is_valid(value)
 
 
-def is_word(text: str) -> bool:
-    """Tell whether a text can be an id: printable, with nothing that a path or a query divides at."""
-    return 0 < len(text) <= WORD_CHARACTERS and text.isprintable() and not set(text) & set(" /?#")
+def is_valid_name(text: str) -> bool:
+    """Return whether a text can be an id: printable, without spaces and URL delimiters."""
+    return 0 < len(text) <= NAME_LENGTH_LIMIT and text.isprintable() and not set(text) & set(" /?#")
 
 
 def _is_short(text: str) -> bool:
-    return len(text) <= WORD_CHARACTERS
+    return len(text) <= NAME_LENGTH_LIMIT
 
 
 ENTRY_RULES: dict[str, EntryRule] = {
-    "id": EntryRule((str,), is_word, "a word of 1 to 128 characters"),
-    "addr": EntryRule((str,), is_word, "HOST:PORT"),
+    "id": EntryRule((str,), is_valid_name, "a word of 1 to 128 characters"),
+    "addr": EntryRule((str,), is_valid_name, "HOST:PORT"),
     "zone": EntryRule((str,), _is_short, "a text of at most 128 characters"),
     "kind": EntryRule((str,), _is_short, "a text of at most 128 characters"),
     "cell": EntryRule((int,), lambda cell: abs(cell) < CELL_BOUND, "a whole number"),
--- a/api_gateway/registry/core.py
+++ b/api_gateway/registry/core.py
@@ -446,7 +446,7 @@
         if now >= self.wake_at:
             self.wake_at = math.inf
             answers = self.wake_full_list_watches()
-            self.views.release_gathered()
+            self.views.release_batch()
         if self.views.ready_views:
             answers += self.wake_view_watches()
         for answer in answers:
--- a/api_gateway/registry/errors.py
+++ b/api_gateway/registry/errors.py
@@ -4,17 +4,17 @@
 
 
 class RegistryError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class InvalidValueError(RegistryError, ValueError):
-    """A value of a configuration or of an entry that cannot be used.
+    """A value of the configuration or of an entry is invalid.
 
     Attributes:
-        key: The key at fault; empty where the document as a whole is.
+        key: The invalid key; empty if the whole document is invalid.
     """
 
     def __init__(self, key: str, text: str) -> None:
-        """Keep the key; `text` is what an operator or a caller sees."""
+        """Store the key; `text` is the message for the operator or the caller."""
         super().__init__(text)
         self.key = key
--- a/api_gateway/registry/registration.py
+++ b/api_gateway/registry/registration.py
@@ -1,4 +1,4 @@
-"""Read what hosts send to register themselves, and numbers of queries."""
+"""Parse registrations of hosts and numbers in query strings."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from api_gateway.registry.core import MAX_TTL_S, MIN_TTL_S, Host
 from api_gateway.registry.errors import InvalidValueError
 
-INCARNATION_BOUND = 2**53  # incarnations are below it: they are exact in any JSON reader
-NUMBER_DIGITS = 18  # of a number in a query at the most, so that it fits 64 bits
+INCARNATION_BOUND = 2**53  # exclusive; every JSON parser reads smaller integers exactly
+QUERY_DIGITS_LIMIT = 18  # so that a number in a query fits into 64 bits
 
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """A host that registers itself.
+    """A parsed registration of a host.
 
     Attributes:
         host: Its entry of the list.
-        incarnation: Number of its process, which grows with each start.
-        ttl_s: Seconds that its lease lasts without a renewal.
+        incarnation: Number of the host's process, which grows with each start.
+        ttl_s: Seconds that the lease lasts without a renewal.
     """
 
     host: Host
@@ -35,11 +35,11 @@
     """Parse the body of a registration.
 
     Args:
-        host_id: The host that the call names.
-        body: The body as it came.
+        host_id: The id in the path of the call.
+        body: The body of the request.
 
     Raises:
-        ValueError: It cannot be used; the text says what is wrong.
+        ValueError: The body is invalid; the message gives the reason.
     """
     document = _parse_object(body)
     incarnation = document.pop("incarnation", None)
@@ -61,12 +61,12 @@
 
 
 def read_whole_number(name: str, text: str) -> int:
-    """Parse a number of a query.
+    """Parse a number in a query string.
 
     Raises:
-        ValueError: The text is no whole number of 0 or more; the error names `name`.
+        ValueError: The text is not a whole number of 0 or more; the message contains `name`.
     """
-    if not (text.isascii() and text.isdecimal()) or len(text) > NUMBER_DIGITS:
+    if not (text.isascii() and text.isdecimal()) or len(text) > QUERY_DIGITS_LIMIT:
         raise InvalidValueError(name, f"{name} must be a whole number of 0 or more")
     return int(text)
 
@@ -84,4 +84,6 @@
 def _is_finite_number(value: object) -> bool:
     if isinstance(value, float):
         return math.isfinite(value)
-    return isinstance(value, int) and not isinstance(value, bool)  # of any size: isfinite() would overflow
+    return isinstance(value, int) and not isinstance(
+        value, bool
+    )  # isfinite() would overflow for a large integer
--- a/api_gateway/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -1,4 +1,4 @@
-"""The list service on its socket: HTTP in, answers of the registry out. Nothing here decides."""
+"""HTTP server of the list service; all decisions are made by the registry."""
 
 from __future__ import annotations
 
@@ -29,37 +29,37 @@
 LIST_PATH = "/v1/endpoints"
 HOSTS_PATH = "/v1/hosts/"
 LIST_QUERY_KEYS = {"index", "wait", "epoch", "view", "kinds"}
-ANSWER_TIMEOUT_S = 10.0  # after which a caller that does not take its answer is given up
-BODY_TIMEOUT_S = 2.0  # for a registration to come
-MAX_REGISTRATION_BYTES = 16 * 1024  # of its body
-MAX_REQUEST_LINE_BYTES = 64 * 1024  # of a call: a view may name many kinds
-WAIT_LIMIT_MS = 2**31  # that a watch may ask to wait; the registry's own limit is far below
-RETRY_AFTER = "5"  # s, for a call that finds no place
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-SHUTDOWN_TIMEOUT_S = 0.5  # for calls that are in work at the end
-TIMER_MARGIN_S = 0.001  # by which a timer is set later, so that it is not early by rounding
+ANSWER_TIMEOUT_S = 10.0  # then a client that does not read its answer is disconnected
+BODY_TIMEOUT_S = 2.0  # for the body of a registration to arrive
+MAX_REGISTRATION_BYTES = 16 * 1024  # limit for the body of a registration
+MAX_REQUEST_LINE_BYTES = 64 * 1024  # large, because the query of a view may contain many kinds
+WAIT_LIMIT_MS = 2**31  # for the wait in a query; the registry caps it far lower
+RETRY_AFTER = "5"  # seconds, sent with status 503
+LISTEN_BACKLOG = 1024
+SHUTDOWN_TIMEOUT_S = 0.5  # for requests that are still in flight
+TIMER_MARGIN_S = 0.001  # added to timers, so that rounding does not make them fire early
 
 log = logging.getLogger(__name__)
 
 
 class Service:
-    """Serves the list, watches and registrations.
+    """Serves the list and its watches, and accepts registrations.
 
     Attributes:
-        config: What it runs by.
-        registry: The list; this service is the only one that changes it.
-        clock: Seconds that only go forward.
-        server: aiohttp's part of it.
-        encoder: Encoded answers.
-        waiting: Watches that wait, by key.
-        learned_at: When the first list may be served, by `clock`.
-        member: This process as a member of a cluster, where it takes part.
+        config: The settings of the service.
+        registry: The list; only this service changes it.
+        clock: Monotonic clock in seconds.
+        server: The aiohttp server.
+        encoder: Encodes and caches answers.
+        waiting: Futures of the waiting watches, by key.
+        learning_ends_at: Time of `clock` before which no list is served.
+        member: Cluster membership of this process, if it is configured.
     """
 
     def __init__(
         self, config: RegistryConfig, registry: Registry, clock: Callable[[], float] = monotonic
     ) -> None:
-        """Prepare the service; `start` opens its socket."""
+        """Create the service; `start` opens its socket."""
         self.config = config
         self.registry = registry
         self.clock = clock
@@ -68,25 +68,25 @@
         )
         self.encoder = AnswerEncoder(registry)
         self.waiting: dict[object, asyncio.Future[Answer]] = {}
-        self.learned_at = 0.0
+        self.learning_ends_at = 0.0
         self.member: MembershipService | None = None
         self._listener: AcceptingServer | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._is_self_preserving = False
 
     async def start(self) -> int:
-        """Read the operator's file and open the socket.
+        """Read the operator's hosts file and open the socket.
 
         Returns:
-            The port that it serves at.
+            The port that the service listens on.
 
         Raises:
-            ConfigError: The operator's file cannot be used.
+            ConfigError: The hosts file is missing or invalid.
             OSError: An address cannot be bound.
         """
         if self.config.hosts_path is not None:
             self.registry.load(self.clock(), read_hosts(self.config.hosts_path))
-        self.learned_at = self.clock() + self.config.learning_duration_s
+        self.learning_ends_at = self.clock() + self.config.learning_duration_s
         self._listener = await serve(self.config.listen, self.server, LISTEN_BACKLOG)
         self._run_due()
         port: int = self._listener.sockets[0].getsockname()[1]
@@ -99,25 +99,25 @@
         return port
 
     def reload(self) -> None:
-        """Load the operator's file again, completely or not at all; SIGHUP asks for it."""
+        """Reload the operator's hosts file on SIGHUP; an invalid file changes nothing."""
         if self.config.hosts_path is None:
-            log.info("SIGHUP: there is no file of hosts")
+            log.info("SIGHUP: no hosts file is configured")
             return
         try:
             hosts = read_hosts(self.config.hosts_path)
         except ConfigError as error:
-            log.error("SIGHUP: %s; nothing changes", error)
+            log.error("SIGHUP: hosts file not usable, nothing changes error=%s", error)
             return
         self.registry.load(self.clock(), hosts)
         log.info("SIGHUP: %d hosts in the file, version %d", len(hosts), self.registry.version)
         self._run_due()
 
     def encode(self, answer: Answer) -> bytes:
-        """Return the body of an answer of the registry."""
+        """Return the JSON body of an answer of the registry."""
         return self.encoder.encode(answer)
 
     async def close(self) -> None:
-        """Stop serving, and leave the cluster."""
+        """Stop the server and leave the cluster."""
         if self._timer is not None:
             self._timer.cancel()
         if self.member is not None:
@@ -127,7 +127,7 @@
         await self.server.shutdown(SHUTDOWN_TIMEOUT_S)
 
     def _run_due(self) -> None:
-        """Give watches what the registry has for them, and come back when more is due."""
+        """Deliver due answers to their watches, and set the timer for the next tick."""
         for answer in self.registry.tick(self.clock()):
             waiter = self.waiting.pop(answer.key, None)
             if waiter is not None and not waiter.done():
@@ -139,14 +139,14 @@
         self._timer = asyncio.get_running_loop().call_later(delay_s + TIMER_MARGIN_S, self._run_due)
 
     def _log_self_preservation(self) -> None:
-        host_count = len(self.registry.preserved_hosts)
-        if bool(host_count) == self._is_self_preserving:
+        preserved_count = len(self.registry.preserved_hosts)
+        if bool(preserved_count) == self._is_self_preserving:
             return
-        self._is_self_preserving = bool(host_count)
-        change = "begins" if host_count else "ends"
-        log.warning("self-preservation %s: %d hosts have lapsed and stay listed", change, host_count)
+        self._is_self_preserving = bool(preserved_count)
+        change = "begins" if preserved_count else "ends"
+        log.warning("self-preservation %s: %d hosts with expired leases stay listed", change, preserved_count)
 
-    # Calls
+    # Requests
 
     async def _handle(self, request: web.BaseRequest) -> web.Response:
         response = await self._respond(request)
@@ -154,7 +154,7 @@
         return response
 
     async def _respond(self, request: web.BaseRequest) -> web.Response:
-        """Return the answer to a call; errors become answers here."""
+        """Return the response to a request; errors are converted to responses here."""
         try:
             return await self._dispatch(request)
         except ValueError as error:
@@ -168,24 +168,24 @@
 
     async def _dispatch(self, request: web.BaseRequest) -> web.Response:
         if request.path == LIST_PATH and request.method == "GET":
-            return await self.listed(request)
+            return await self.handle_list(request)
         if request.path == "/status" and request.method == "GET":
             return web.json_response(self.status())
         if request.path == "/members" and request.method == "GET" and self.member is not None:
             return web.json_response(self.member.status())
         if request.path.startswith(HOSTS_PATH):
-            return await self._handle_host_call(request)
+            return await self._handle_host_request(request)
         return error_response(404, "no such call")
 
-    async def listed(self, request: web.BaseRequest) -> web.Response:
-        """Answer a call for the list or a view, at once or when there is something newer."""
+    async def handle_list(self, request: web.BaseRequest) -> web.Response:
+        """Answer a request for the list or a view, at once or when there is a newer version."""
         query = request.query
         if set(query) - LIST_QUERY_KEYS:
             raise InvalidValueError("", "the query may hold index, wait, epoch, view and kinds")
         if "kinds" in query and "view" not in query:
             raise InvalidValueError("kinds", "kinds are those of a view, and the query holds none")
         view = read_subset_spec(query["view"], query.get("kinds")) if "view" in query else None
-        if self.clock() < self.learned_at:
+        if self.clock() < self.learning_ends_at:
             return error_response(503, "hosts are still coming back after the start")
         if "index" not in query:
             answer = self._complete_answer(view)
@@ -215,12 +215,12 @@
         self._run_due()
         try:
             return await waiter
-        finally:  # also where the watcher has gone
+        finally:  # also if the watcher has disconnected
             self.waiting.pop(key, None)
             self.registry.cancel_watch(key)
 
-    async def _handle_host_call(self, request: web.BaseRequest) -> web.Response:
-        """Register, renew, drain or remove the host that a call names."""
+    async def _handle_host_request(self, request: web.BaseRequest) -> web.Response:
+        """Register, renew, drain or remove the host in the path of a request."""
         host_id, _, action = request.path[len(HOSTS_PATH) :].partition("/")
         now = self.clock()
         if request.method == "PUT" and not action:
@@ -258,16 +258,16 @@
 
 
 def error_response(status: int, reason: str) -> web.Response:
-    """Return an answer that says why a call failed, and when to come again where there is no place now."""
+    """Return a response with the reason of a failure; status 503 also gets Retry-After."""
     headers = {"Retry-After": RETRY_AFTER} if status == 503 else {}
     return web.json_response({"error": reason}, status=status, headers=headers)
 
 
 def read_incarnation(request: web.BaseRequest) -> int:
-    """Return the number in the query of a call on a registered host.
+    """Return the incarnation in the query of a request for a registered host.
 
     Raises:
-        ValueError: The query holds none, or something else.
+        ValueError: It is missing or not a number, or the query contains other keys.
     """
     if set(request.query) != {"incarnation"}:
         raise InvalidValueError("incarnation", "the query must hold incarnation")
--- a/api_gateway/registry/subsets.py
+++ b/api_gateway/registry/subsets.py
@@ -1,9 +1,9 @@
-"""Live views: which hosts each of them holds, and which of them a change concerns.
+"""Live views: the hosts of each view, and which views a change affects.
 
-A change costs no pass over all views (see `view_arcs`). Only the views that it concerns are made anew, in
-time that grows with their size, when they are asked for or their watches are woken. Where more than
-BURST_CHANGES come together all views are made anew, and where a zone has its first host or has lost its last,
-all views of that group.
+A change needs no pass over all views (see `view_arcs`). Only the affected views are rebuilt, when they are
+requested or their watches are woken; the time grows with the size of the view. After a burst of more than
+BURST_CHANGES changes all views are rebuilt. When a zone gets its first host or loses its last one, all views
+of that group are rebuilt.
 """
 
 from __future__ import annotations
@@ -23,48 +23,48 @@
 if TYPE_CHECKING:
     from api_gateway.registry.core import Host
 
-MAX_VIEWS = 8192  # live at once, where nothing else is said
-IDLE_LIFETIME_S = 60.0  # for which a view that nobody asks for any longer is kept
-MIN_IDLE_LIFETIME_S = 5.0  # that it is kept though there are too many: the next watch comes sooner
-BURST_CHANGES = 512  # that are looked up one by one
-CHANGE_LIFETIME_S = 600.0  # for which a change is remembered, as removed hosts are
-HORIZON_STEPS = 10  # points in time, within that, of which the version is remembered
-MAX_REMOVED_HOSTS = 4096  # records of hosts that left views, which all of these share
+MAX_VIEWS = 8192  # default limit for live views
+IDLE_LIFETIME_S = 60.0  # how long a view without watches or requests is retained
+MIN_IDLE_LIFETIME_S = 5.0  # retained this long even at the limit, because the next watch comes sooner
+BURST_CHANGES = 512  # changes that are processed one by one; above that all views are rebuilt
+CHANGE_LIFETIME_S = 600.0  # how long a change is remembered; as long as tombstones
+HORIZON_STEPS = 10  # times within CHANGE_LIFETIME_S whose versions are remembered
+MAX_REMOVED_HOSTS = 4096  # records of hosts that left views, shared by all views
 
 HostsById = dict[str, "Host"]
 
 
 class TooManyViewsError(RegistryError):
-    """As many views are live as may be, and none of them is idle for long enough.
+    """The limit of live views is reached, and no view has been idle for long enough.
 
     Attributes:
-        limit: How many may be live.
+        limit: Maximum number of live views.
     """
 
     def __init__(self, limit: int) -> None:
-        """Keep the limit."""
+        """Store the limit."""
         super().__init__(f"{limit} views are live")
         self.limit = limit
 
 
 class LiveViews:
-    """All live views, over the hosts that the registry puts in and takes out.
+    """All live views of the hosts that the registry lists.
 
-    Times are seconds of the caller's clock, versions those of the registry.
+    Times are seconds of the caller's clock; versions are those of the registry.
 
     Attributes:
-        max_views: How many may be live at once.
-        rings: Where the listed hosts are.
-        live_views: The views, by what they are views of.
-        idle_until: Ends of those that no watch waits on, the earliest first.
-        arcs_by_group: What the views take of each group's rings.
-        versions_by_age: Times and the versions then, the oldest first.
-        has_burst: Whether more changed since the last pass than is looked up one by one.
-        ready_views: Views with watches, by number, that are to be made anew.
+        max_views: Maximum number of live views.
+        rings: The listed hosts on their rings.
+        live_views: The views by their specification.
+        idle_until: When views without watches are discarded, earliest first.
+        arcs_by_group: The arcs that the views take of each group's rings.
+        versions_by_age: Earlier times with the version at that time, oldest first.
+        has_burst: More than BURST_CHANGES changes are pending.
+        ready_views: Outdated views whose watches are due to be woken, by number.
     """
 
     def __init__(self, max_views: int = MAX_VIEWS) -> None:
-        """Start without hosts and views."""
+        """Start without hosts or views."""
         self.max_views = max_views
         self.rings = EndpointRings()
         self.live_views: dict[SubsetSpec, LiveView] = {}
@@ -75,17 +75,17 @@
         self.ready_views: dict[int, LiveView] = {}
         self._listed_hosts: HostsById = {}
         self._numbers = itertools.count()
-        self._now = 0.0  # of the last input that had a time
-        self._removed_hosts: dict[str, tuple[Host, Host]] = {}  # by id, as it was last, and as removed
-        self._pending_changes: list[tuple[str, str, int]] = []  # kind, zone and place of each
-        self._rezoned_groups: set[str | None] = set()  # groups that have other zones now
-        self._gathering: dict[int, LiveView] = {}  # outdated ones with watches, until these are woken
+        self._now = 0.0  # time of the last call that passed one
+        self._removed_hosts: dict[str, tuple[Host, Host]] = {}  # as last listed and as removed, by id
+        self._pending_changes: list[tuple[str, str, int]] = []  # kind, zone and ring position of each
+        self._rezoned_groups: set[str | None] = set()  # groups whose number of zones changed
+        self._batched_views: dict[int, LiveView] = {}  # outdated, and woken at the end of the batch
 
     # Changes of hosts
 
     def put(self, host: Host) -> None:
-        """Take a new or changed host; one that is removed goes."""
-        self.note_change(host.id)
+        """Add or replace a host; a host in state "removed" is taken out."""
+        self.add_pending_change(host.id)
         known = self.rings.entries.get(host.id)
         groups = {None, host.kind, known.kind if known is not None else None}
         zones = {group: self.rings.zone_count(group) for group in groups}
@@ -95,11 +95,11 @@
         else:
             self.rings.set_endpoint(host.id, host.kind, host.zone, host.state == "up")
             self._listed_hosts[host.id] = host
-            self.note_change(host.id)
+            self.add_pending_change(host.id)
         self._rezoned_groups |= {group for group in groups if self.rings.zone_count(group) != zones[group]}
 
-    def note_change(self, host_id: str) -> None:
-        """Note that something changes where a host is now."""
+    def add_pending_change(self, host_id: str) -> None:
+        """Record a pending change at the current ring position of a host."""
         known = self.rings.entries.get(host_id)
         if known is None or not self.live_views or self.has_burst:
             return
@@ -110,21 +110,21 @@
             self.has_burst = True
             self._pending_changes.clear()
 
-    def release_gathered(self) -> None:
-        """Make ready the views whose watches are to be woken."""
+    def release_batch(self) -> None:
+        """Make the outdated views with watches ready at the end of a batch of changes."""
         self._mark_outdated()
-        self.ready_views.update(self._gathering)
-        self._gathering.clear()
+        self.ready_views.update(self._batched_views)
+        self._batched_views.clear()
 
     def _mark_outdated(self) -> None:
-        """Mark the views that are concerned by what has changed since the last time."""
+        """Mark the views that the pending changes affect as outdated."""
         if self.has_burst:
             for live in self.live_views.values():
                 self._outdate(live, live.view.groups)
-        for kind, zone, place in self._pending_changes:
+        for kind, zone, position in self._pending_changes:
             for group in (None, kind):
                 if group in self.arcs_by_group:
-                    for live in self.arcs_by_group[group].affected_views(zone, place):
+                    for live in self.arcs_by_group[group].affected_views(zone, position):
                         self._outdate(live, (group,))
         for group in self._rezoned_groups:
             if group in self.arcs_by_group:
@@ -137,26 +137,26 @@
     def _outdate(self, live: LiveView, groups: Iterable[str | None]) -> None:
         live.outdated_groups.update(dict.fromkeys(groups))
         if live.watch_keys:
-            self._gathering[live.number] = live
+            self._batched_views[live.number] = live
 
     # Views
 
     def current(self, now: float, view: SubsetSpec, version: int) -> LiveView:
-        """Return a view as it is at the present version.
+        """Return a view, refreshed to the current version.
 
         Raises:
-            TooManyViewsError: It is not live, and no other can make place for it.
+            TooManyViewsError: It is not live, and no other view can make room for it.
         """
         self._now = now
         live = self.live_views.get(view)
         if live is None:
-            live = self._begin(view, version)
+            live = self._create_view(view, version)
         if not live.watch_keys:
-            self._keep_idle(live)
+            self._mark_idle(live)
         return self._refresh(live, version)
 
     def refresh_ready(self, host_limit: int, version: int) -> list[LiveView]:
-        """Make anew some of the views that are ready, about `host_limit` hosts in all, and return them."""
+        """Refresh some of the ready views, with about `host_limit` hosts in total, and return them."""
         refreshed = []
         while self.ready_views and host_limit > 0:
             live = self.ready_views.pop(next(iter(self.ready_views)))
@@ -165,29 +165,29 @@
         return refreshed
 
     def rebuild_group(self, live: LiveView, group: str | None) -> tuple[HostsById, HostsById]:
-        """Make anew what a view holds of a group, and return its hosts there before and now."""
+        """Rebuild a group of a view, and return its hosts before and after."""
         arcs = self.arcs_by_group.setdefault(group, GroupArcs())
         listed = self._listed_hosts
         new: HostsById = {}
         for part in self.rings.parts(live.view, group):
             arcs.put(live, part)
-            new.update({name: listed[name] for name in part.members})
+            new.update({host_id: listed[host_id] for host_id in part.members})
         old = live.hosts.get(group, {})
         live.hosts[group] = new
         return old, new
 
     def total(self, view: SubsetSpec) -> int:
-        """Return how many hosts are up in a view's groups."""
+        """Return the number of hosts that are up in a view's groups."""
         return self.rings.total(view)
 
-    def _begin(self, view: SubsetSpec, version: int) -> LiveView:
+    def _create_view(self, view: SubsetSpec, version: int) -> LiveView:
         if len(self.live_views) >= self.max_views:
             oldest = next(iter(self.idle_until), None)
             latest_end = self._now - MIN_IDLE_LIFETIME_S
             if oldest is None or self.idle_until[oldest] - IDLE_LIFETIME_S > latest_end:
                 raise TooManyViewsError(self.max_views)
-            self._end(oldest)
-        self._mark_outdated()  # of what changed before, the new view knows all
+            self._discard_view(oldest)
+        self._mark_outdated()  # first, because the new view includes all earlier changes
         live = LiveView(view, next(self._numbers), version)
         self.live_views[view] = live
         live.outdated_groups.update(dict.fromkeys(view.groups))
@@ -196,24 +196,24 @@
         return live
 
     def _refresh(self, live: LiveView, version: int) -> LiveView:
-        """Make a view anew where it may have changed, and return it."""
+        """Rebuild the outdated groups of a view, record what changed, and return it."""
         self._mark_outdated()
         if not live.outdated_groups:
             return live
         old, new = self._rebuild_outdated(live)
         if old.keys() - new.keys():
-            for host_id in [host_id for host_id in old if host_id not in new]:  # it is in no group now
+            for host_id in [host_id for host_id in old if host_id not in new]:  # it left all groups
                 live.record_change(version, self._as_removed(old[host_id]))
-        # The loop over all is the interpreter's own: it is most of what a change costs.
+        # map() and compress() run this loop in C, because it takes most of the time of a change.
         is_changed = map(is_not, new.values(), map(old.get, new))
         for host in list(itertools.compress(new.values(), is_changed)):
             live.record_change(version, host)
         live.outdated_groups.clear()
-        live.trim(self._horizon(version))
+        live.trim(self._oldest_kept_version(version))
         return live
 
     def _rebuild_outdated(self, live: LiveView) -> tuple[HostsById, HostsById]:
-        """Make the outdated groups anew; return the hosts of all of them before and now."""
+        """Rebuild the outdated groups, and return the hosts of all of them before and after."""
         pairs = [self.rebuild_group(live, group) for group in list(live.outdated_groups)]
         if len(pairs) == 1:
             return pairs[0]
@@ -224,8 +224,8 @@
             new.update(new_of_group)
         return old, new
 
-    def _horizon(self, version: int) -> int:
-        """Return the version of CHANGE_LIFETIME_S ago, or of a little before; -1 where none is that old."""
+    def _oldest_kept_version(self, version: int) -> int:
+        """Return the version CHANGE_LIFETIME_S ago or slightly earlier; -1 if no version is that old."""
         ages = self.versions_by_age
         if not ages or self._now - ages[-1][0] >= CHANGE_LIFETIME_S / HORIZON_STEPS:
             ages.append((self._now, version))
@@ -234,52 +234,52 @@
         return ages[0][1] if ages[0][0] <= self._now - CHANGE_LIFETIME_S else -1
 
     def _as_removed(self, host: Host) -> Host:
-        """Return a host as removed, though it may only have left a view: one object for all views."""
+        """Return a host that left a view in state "removed"; all views share one object for it."""
         host = self._listed_hosts.get(host.id, host)
-        known = self._removed_hosts.get(host.id)
-        if known is None or known[0] is not host:
+        record = self._removed_hosts.get(host.id)
+        if record is None or record[0] is not host:
             if len(self._removed_hosts) >= MAX_REMOVED_HOSTS:
                 self._removed_hosts.clear()
-            known = (host, replace(host, state="removed"))
-            self._removed_hosts[host.id] = known
-        return known[1]
+            record = (host, replace(host, state="removed"))
+            self._removed_hosts[host.id] = record
+        return record[1]
 
-    # Watches, and views that nobody watches
+    # Watches and idle views
 
     def add_watch(self, live: LiveView, key: object) -> None:
-        """Note that a watch waits on a view."""
+        """Add a watch that waits for a change in a view."""
         live.watch_keys[key] = None
         self.idle_until.pop(live.view, None)
 
     def remove_watch(self, view: SubsetSpec, key: object) -> None:
-        """Note that a watch waits no longer; without any the view is idle."""
+        """Remove a watch; a view without watches becomes idle."""
         live = self.live_views.get(view)
         if live is None or key not in live.watch_keys:
             return
         del live.watch_keys[key]
         if not live.watch_keys:
-            self._unqueue(live)
-            self._keep_idle(live)
+            self._remove_from_queues(live)
+            self._mark_idle(live)
 
     def expire(self, now: float) -> None:
-        """End the views that were idle for too long."""
+        """Discard the views that were idle for too long."""
         self._now = now
         ends = self.idle_until
         for view in list(itertools.takewhile(lambda view: ends[view] <= now, ends)):
-            self._end(view)
+            self._discard_view(view)
 
-    def _keep_idle(self, live: LiveView) -> None:
+    def _mark_idle(self, live: LiveView) -> None:
         self.idle_until.pop(live.view, None)
         self.idle_until[live.view] = self._now + IDLE_LIFETIME_S
 
-    def _unqueue(self, live: LiveView) -> None:
-        self._gathering.pop(live.number, None)
+    def _remove_from_queues(self, live: LiveView) -> None:
+        self._batched_views.pop(live.number, None)
         self.ready_views.pop(live.number, None)
 
-    def _end(self, view: SubsetSpec) -> None:
+    def _discard_view(self, view: SubsetSpec) -> None:
         live = self.live_views.pop(view)
         self.idle_until.pop(view, None)
-        self._unqueue(live)
+        self._remove_from_queues(live)
         for group in view.groups:
             arcs = self.arcs_by_group[group]
             arcs.discard(live)
--- a/api_gateway/registry/view_arcs.py
+++ b/api_gateway/registry/view_arcs.py
@@ -1,9 +1,9 @@
-"""Which views a change of a host concerns, without a pass over all views.
+"""Find the views that a change of a host may affect, without a pass over all views.
 
-What a view takes of a ring is an arc from its gateway's place to its last host. Only a change within an arc
-can change the view or, where the view takes all of a ring, any change there. So a change looks for the arcs
-that cover its place: those that begin at most the longest arc's length before it, found by bisection. With
-arcs of about one length that is about as many as are concerned, gateways * size / hosts.
+A view takes an arc of a ring, from its gateway's position to its last host. A change can affect the view only
+within this arc, or anywhere if the view takes the complete ring. So a change searches the arcs that cover its
+position: they start at most the longest arc's length before it, and bisection finds them. If the arcs have
+similar lengths, about as many arcs are searched as are affected: gateways * size / hosts.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 
 
 class Arcs:
-    """What the views of one zone take of one ring."""
+    """The arcs that the views of one zone take of one ring."""
 
     def __init__(self) -> None:
-        """Start without any view."""
-        self._starts: list[tuple[int, int]] = []  # place and number of each view with an arc, sorted
-        self._arc_by_number: dict[int, tuple[LiveView, int]] = {}  # each view with the length of its arc
-        self._full_ring_views: dict[int, LiveView] = {}  # those that take all of the ring, by number
+        """Start without views."""
+        self._starts: list[tuple[int, int]] = []  # position and number of each view, sorted
+        self._arc_by_number: dict[int, tuple[LiveView, int]] = {}  # each view with its arc length
+        self._full_ring_views: dict[int, LiveView] = {}  # views that take the complete ring, by number
         self._longest_length = 0
-        self._puts_since_longest = 0  # since the longest arc was looked for
+        self._puts_since_longest = 0  # since the longest arc was last determined
 
     def is_empty(self) -> bool:
-        """Tell whether no view takes anything here."""
+        """Return whether no view takes a part of the ring."""
         return not self._arc_by_number and not self._full_ring_views
 
     def views(self) -> Iterator[LiveView]:
-        """Yield all views that take something of the ring."""
+        """Yield all views that take a part of the ring."""
         yield from self._full_ring_views.values()
         yield from (live for live, _ in self._arc_by_number.values())
 
     def put(self, live: LiveView, part: SubsetPart) -> None:
-        """Note what a view takes, in place of what it took before."""
+        """Set the part of the ring that a view takes; it replaces the previous part."""
         if part.end is None:
             self._discard_arc(live)
             self._full_ring_views[live.number] = live
@@ -56,24 +56,24 @@
             self._puts_since_longest = 0
 
     def discard(self, live: LiveView) -> None:
-        """Forget a view, if it takes anything here."""
+        """Remove a view, if it takes a part of the ring."""
         self._discard_arc(live)
         self._full_ring_views.pop(live.number, None)
 
-    def covering(self, place: int) -> Iterator[LiveView]:
-        """Yield the views that a change at a place of the ring may concern."""
+    def covering(self, position: int) -> Iterator[LiveView]:
+        """Yield the views that a change at a position of the ring may affect."""
         yield from self._full_ring_views.values()
-        first = place - self._longest_length
-        ranges = [(max(first, 0), place)]
-        if first < 0:  # arcs that begin before the ring's zero
-            ranges.append((max(first + RING_SIZE, place + 1), RING_SIZE))
+        first = position - self._longest_length
+        ranges = [(max(first, 0), position)]
+        if first < 0:  # arcs that wrap around the end of the ring
+            ranges.append((max(first + RING_SIZE, position + 1), RING_SIZE))
         for low, high in ranges:
             begin = bisect_left(self._starts, (low, 0))
             end = bisect_left(self._starts, (high + 1, 0))
             for index in range(begin, end):
                 start, number = self._starts[index]
                 live, length = self._arc_by_number[number]
-                if (place - start) % RING_SIZE <= length:
+                if (position - start) % RING_SIZE <= length:
                     yield live
 
     def _discard_arc(self, live: LiveView) -> None:
@@ -83,27 +83,27 @@
 
 @dataclass(slots=True)
 class GroupArcs:
-    """The arcs of one group of hosts, by the views' own zones.
+    """The arcs of one group of hosts, by the zone of the view.
 
     Attributes:
-        same_zone_arcs: What views take of the ring of their own zone.
-        other_zone_arcs: What views take of the rings of the other zones.
+        same_zone_arcs: Arcs of the rings of the views' own zones.
+        other_zone_arcs: Arcs of the rings of the other zones.
     """
 
     same_zone_arcs: dict[str, Arcs] = field(default_factory=dict)
     other_zone_arcs: dict[str, Arcs] = field(default_factory=dict)
 
     def is_empty(self) -> bool:
-        """Tell whether no view takes anything of the group."""
+        """Return whether no view takes a part of the group."""
         return not self.same_zone_arcs and not self.other_zone_arcs
 
     def put(self, live: LiveView, part: SubsetPart) -> None:
-        """Note what a view takes of one ring."""
+        """Set the part that a view takes of one ring."""
         arcs_by_zone = self.same_zone_arcs if part.is_own_zone else self.other_zone_arcs
         arcs_by_zone.setdefault(live.view.zone, Arcs()).put(live, part)
 
     def discard(self, live: LiveView) -> None:
-        """Forget a view."""
+        """Remove a view."""
         zone = live.view.zone
         for arcs_by_zone in (self.same_zone_arcs, self.other_zone_arcs):
             if zone in arcs_by_zone:
@@ -112,14 +112,14 @@
                     del arcs_by_zone[zone]
 
     def views(self) -> Iterator[LiveView]:
-        """Yield the views of the group; one may come twice."""
+        """Yield the views of the group; a view may be yielded twice."""
         for arcs in itertools.chain(self.same_zone_arcs.values(), self.other_zone_arcs.values()):
             yield from arcs.views()
 
-    def affected_views(self, zone: str, place: int) -> Iterator[LiveView]:
-        """Yield the views that a change of a host in `zone`, at `place` of its ring, may concern."""
+    def affected_views(self, zone: str, position: int) -> Iterator[LiveView]:
+        """Yield the views that a change of a host in `zone`, at `position` of its ring, may affect."""
         if zone in self.same_zone_arcs:
-            yield from self.same_zone_arcs[zone].covering(place)
+            yield from self.same_zone_arcs[zone].covering(position)
         for view_zone, arcs in self.other_zone_arcs.items():
             if view_zone != zone or not view_zone:
-                yield from arcs.covering(place)
+                yield from arcs.covering(position)
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -594,20 +594,20 @@
             await wait_until(lambda: pool_ids(node) == subset_ids(servers, 12) and serving.service.waiting)
         cached = json.loads((tmp_path / "n0-list.json").read_text())
         assert sorted(entry["id"] for entry in cached["servers"]) == subset_ids(servers, 12)
-        watches, listed = [], serving.service.listed
+        watches, listed = [], serving.service.handle_list
 
         async def record_query(request):
             watches.append("index" in request.query)
             return await listed(request)
 
         # The service returns no list.
-        serving.service.listed, serving.service.learned_at = record_query, math.inf
+        serving.service.handle_list, serving.service.learning_ends_at = record_query, math.inf
         async with Node(
             path=tmp_path, config_overrides=replica_overrides(serving, size=size, keep=True)
         ) as node:
             await wait_until(lambda: watches)
             assert pool_ids(node) == subset_ids(servers, 12) and node.node.discovery.subset.total == 90
-            serving.service.learned_at = 0.0
+            serving.service.learning_ends_at = 0.0
             await wait_until(lambda: pool_ids(node) == subset_ids(servers, size) and serving.service.waiting)
             assert watches[0] != expects_full_list
 
--- a/tests/discovery/test_replicas.py
+++ b/tests/discovery/test_replicas.py
@@ -84,7 +84,7 @@
             await wait_until(lambda: node.node.discovery.backoff.failure_count > before + 1)
             assert pool_ids(node) == ["h1"]
             await restarted.register("h1", addr=address)
-            restarted.service.learned_at = 0.0  # the learning period is over
+            restarted.service.learning_ends_at = 0.0  # the learning period is over
             await wait_until(lambda: node.node.discovery.epoch == "e2")
             assert pool_ids(node) == ["h1"] and await node.send_command(command()) == SERVED
             await node.__aexit__()
--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -267,8 +267,8 @@
         status, told = await serving.call("GET", "/v1/endpoints?index=41&wait=5000")
         assert status == 503 and "coming back" in told["error"]
         assert (await serving.register("s-1"))[0] == 200
-        assert serving.service.learned_at > serving.service.clock() + 900
-        serving.service.learned_at = serving.service.clock()  # the time is over
+        assert serving.service.learning_ends_at > serving.service.clock() + 900
+        serving.service.learning_ends_at = serving.service.clock()  # the time is over
         assert [h["id"] for h in (await serving.list())["servers"]] == ["s-1"]
 
 
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -465,10 +465,10 @@
 
 def planted_old_place(monkeypatch):
     """A host that changes its zone or kind is looked up where it is now, not where it was."""
-    touch = views.LiveViews.note_change
+    touch = views.LiveViews.add_pending_change
     monkeypatch.setattr(
         views.LiveViews,
-        "note_change",
+        "add_pending_change",
         lambda self, name: (
             touch(self, name)
             if name in self._listed_hosts
@@ -483,7 +483,7 @@
         kept = self._listed_hosts.pop(told.id, None)
         put(self, told)
         if told.state == "removed" and kept is not None:
-            self.note_change(told.id)
+            self.add_pending_change(told.id)
 
     monkeypatch.setattr(views.LiveViews, "put", late)
 
