--- a/tests/discovery/test_subset_cases.py
+++ b/tests/discovery/test_subset_cases.py
@@ -21,9 +21,9 @@
     subset_overrides,
     write_hosts,
 )
-from test_registry import settle
+from test_registry import tick_until_idle
 from test_registry_service import Serving
-from test_registry_subsets import change, filled, members
+from test_registry_subsets import change_host, filled_registry, view_members
 from test_subsets import ZONES, rings_of
 
 from api_gateway import interface as api
@@ -217,7 +217,7 @@
 
 
 def test_a_gateway_is_sent_only_the_20_of_2600_services_that_it_uses(monkeypatch):
-    r = filled(3 * SERVICES, zones="abcdef", kinds=[f"k{n}" for n in range(SERVICES)])
+    r = filled_registry(3 * SERVICES, zones="abcdef", kinds=[f"k{n}" for n in range(SERVICES)])
     rng = random.Random(1)
     views = [
         SubsetSpec(n, 120, ZONES[n % 6], tuple(f"k{k}" for k in rng.sample(range(SERVICES), USED_SERVICES)))
@@ -237,8 +237,8 @@
     concerned = 0
     for n in range(50):  # fewer steps than the first watch waits
         kind = f"k{n}"
-        change(r, 2.0 + n, f"h{n}", weight=2.0)
-        answers = settle(r, 2.5 + n)
+        change_host(r, 2.0 + n, f"h{n}", weight=2.0)
+        answers = tick_until_idle(r, 2.5 + n)
         assert {a.key for a in answers} == {view for view in views if kind in view.kinds}
         assert all([h.id for h in a.hosts] == [f"h{n}"] for a in answers)
         for answer in answers:
@@ -273,7 +273,7 @@
 
     for module in (base, compact_store):
         monkeypatch.setattr(module, "position_of_endpoint", position)
-    r, store, rings = filled(40, zones="abc"), CompactEndpointStore(()), EndpointRings()
+    r, store, rings = filled_registry(40, zones="abc"), CompactEndpointStore(()), EndpointRings()
     for name, entry in sorted(r.entries.items(), reverse=True):
         store.store(api.Endpoint(name, entry.host.zone, 0, 1.0, "k", "up", 0.0), None)
         rings.set_endpoint(name, "k", entry.host.zone, True)
@@ -284,7 +284,7 @@
         assert len(received) == size
     view, version = SubsetSpec(1, 7, "b"), r.version
     r.view(1.0, None, view)
-    removed_id = sorted(members(r, view))[0]
+    removed_id = sorted(view_members(r, view))[0]
     r.remove(2.0, r.entries[removed_id])
     received = {h.id: h.state for h in r.watch_view(2.0, None, view, version, 0.0, "e").hosts}
     assert received.pop(removed_id) == "removed" and list(received.values()) == ["up"]
--- a/tests/registry/test_registry_service.py
+++ b/tests/registry/test_registry_service.py
@@ -1,4 +1,4 @@
-"""The list service on loopback: the protocol of discovery, registrations, a gateway that runs against it."""
+"""The list service over loopback sockets: discovery protocol, registrations, and a gateway that uses it."""
 
 import asyncio
 import gc
@@ -26,7 +26,7 @@
 
 
 class Serving:
-    """The service on a free port, and a session that calls it."""
+    """Runs the service on a free port, with a client session for it."""
 
     def __init__(self, path=None, hosts=(), watchers=1000, first=41, epoch="e1", port=0, learn=0.0):
         self.epoch, self.port, self.learn = epoch, port, learn
@@ -42,24 +42,24 @@
         self.session = aiohttp.ClientSession(f"http://127.0.0.1:{self.port}", trust_env=False)
         return self
 
-    async def call(self, method, path, told=None, raw=None):
-        body = raw if raw is not None else json.dumps(told).encode() if told is not None else None
-        async with self.session.request(method, path, data=body) as answer:
-            return answer.status, await answer.json(content_type=None)
+    async def call(self, method, path, document=None, raw=None):
+        body = raw if raw is not None else json.dumps(document).encode() if document is not None else None
+        async with self.session.request(method, path, data=body) as response:
+            return response.status, await response.json(content_type=None)
 
     async def list(self, query=""):
         return (await self.call("GET", "/v1/endpoints" + query))[1]
 
-    async def register(self, name, **kw):
-        told = {"addr": "127.0.0.1:6379", "incarnation": 1, "ttl_ms": 30_000} | kw
-        return await self.call("PUT", f"/v1/hosts/{name}", told)
+    async def register(self, name, **fields):
+        document = {"addr": "127.0.0.1:6379", "incarnation": 1, "ttl_ms": 30_000} | fields
+        return await self.call("PUT", f"/v1/hosts/{name}", document)
 
     async def __aexit__(self, *_):
         await self.session.close()
         await self.service.close()
 
 
-ONE = {
+HOST_ENTRY = {
     "id": "s-1",
     "addr": "10.1.0.18:6379",
     "zone": "a",
@@ -72,9 +72,9 @@
 
 
 @on_loop
-async def test_the_list_has_the_form_of_the_protocol(tmp_path):
-    async with Serving(tmp_path, [ONE]) as serving:
-        assert await serving.list() == {"version": 42, "full": True, "epoch": "e1", "servers": [ONE]}
+async def test_list_has_the_format_of_the_protocol(tmp_path):
+    async with Serving(tmp_path, [HOST_ENTRY]) as serving:
+        assert await serving.list() == {"version": 42, "full": True, "epoch": "e1", "servers": [HOST_ENTRY]}
         assert await serving.list("?index=42&wait=1") == {
             "version": 42,
             "full": False,
@@ -83,20 +83,20 @@
         }
         watch = asyncio.create_task(serving.list("?index=42&wait=20000"))
         await wait_until(lambda: serving.service.waiting)
-        serving.file.write_text(json.dumps({"servers": [ONE | {"state": "draining"}]}))
+        serving.file.write_text(json.dumps({"servers": [HOST_ENTRY | {"state": "draining"}]}))
         serving.service.reload()
         assert await watch == {
             "version": 43,
             "full": False,
             "epoch": "e1",
-            "servers": [ONE | {"state": "draining"}],
+            "servers": [HOST_ENTRY | {"state": "draining"}],
         }
         assert (await serving.list("?index=42&wait=0&epoch=e0"))["full"] is True
         assert not serving.service.waiting and not serving.service.registry.watches
 
 
 @on_loop
-async def test_a_host_registers_renews_drains_and_goes():
+async def test_host_registers_renews_drains_and_deregisters():
     async with Serving() as serving:
         assert await serving.register("s-9", zone="b") == (200, {"version": 42, "epoch": "e1"})
         assert [h["id"] for h in (await serving.list())["servers"]] == ["s-9"]
@@ -150,7 +150,7 @@
     ],
 )
 @on_loop
-async def test_what_is_malformed_is_refused_with_the_reason(call, body, status, word):
+async def test_malformed_request_is_rejected_with_a_reason(call, body, status, word):
     async with Serving() as serving:
         method, path = call.split()
         if isinstance(body, dict):
@@ -161,7 +161,7 @@
 
 
 @on_loop
-async def test_absurd_waits_are_capped_and_too_many_watches_are_told_to_come_back():
+async def test_long_waits_are_capped_and_excess_watches_get_retry_after():
     async with Serving(watchers=3) as serving:
         watches = [asyncio.create_task(serving.list(f"?index=41&wait={'9' * 17}")) for _ in range(3)]
         await wait_until(lambda: len(serving.service.waiting) == 3)
@@ -170,13 +170,14 @@
         )
         async with serving.session.get("/v1/endpoints?index=41&wait=5000") as answer:
             assert answer.status == 503 and answer.headers["Retry-After"]
-        assert (await serving.list("?index=41&wait=0"))["servers"] == []  # what does not wait is answered
+        # Requests that do not wait are still answered.
+        assert (await serving.list("?index=41&wait=0"))["servers"] == []
         await serving.register("s-1")
         assert [len((await w)["servers"]) for w in watches] == [1, 1, 1]
 
 
 @on_loop
-async def test_watchers_that_vanish_leave_their_places():
+async def test_disconnected_watchers_free_their_slots():
     async with Serving() as serving:
         for _ in range(20):
             _, writer = await asyncio.open_connection("127.0.0.1", serving.port)
@@ -188,26 +189,26 @@
 
 
 @on_loop
-async def test_a_slow_watcher_holds_up_nobody_and_is_given_up(tmp_path, monkeypatch):
+async def test_slow_watcher_blocks_nobody_and_is_disconnected(tmp_path, monkeypatch):
     monkeypatch.setattr(module, "ANSWER_TIMEOUT_S", 0.3)
-    many = [ONE | {"id": f"s-{n}", "kind": "k" * 120} for n in range(20_000)]
-    async with Serving(tmp_path, many) as serving:
-        slow = socket.socket()
-        slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        slow.connect(("127.0.0.1", serving.port))
-        slow.send(b"GET /v1/endpoints HTTP/1.1\r\nHost: x\r\n\r\n")
+    entries = [HOST_ENTRY | {"id": f"s-{n}", "kind": "k" * 120} for n in range(20_000)]
+    async with Serving(tmp_path, entries) as serving:
+        slow_socket = socket.socket()
+        slow_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        slow_socket.connect(("127.0.0.1", serving.port))
+        slow_socket.send(b"GET /v1/endpoints HTTP/1.1\r\nHost: x\r\n\r\n")
         await wait_until(lambda: serving.service.encoder.answers)
         assert (await serving.call("GET", "/status"))[0] == 200
         assert len(serving.service.server.connections) == 2
-        async with asyncio.timeout(8):  # long before the server would give it up by itself
+        async with asyncio.timeout(8):  # far less than aiohttp's own timeouts
             await wait_until(
                 lambda: len(serving.service.server.connections) == 1
-            )  # only the other one's is left
-        slow.close()
+            )  # only the connection of the other client is left
+        slow_socket.close()
 
 
 @on_loop
-async def test_four_hundred_watches_at_one_change_get_one_encoding():
+async def test_one_change_is_encoded_once_for_four_hundred_watches():
     async with Serving() as serving:
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector, trust_env=False) as session:
@@ -221,31 +222,37 @@
             await wait_until(lambda: len(serving.service.waiting) == 400)
             for n in range(5):
                 await serving.register(f"s-{n}")
-            told = await asyncio.gather(*watches)
-        assert all(len(answer["servers"]) == 5 for answer in told)
+            answers = await asyncio.gather(*watches)
+        assert all(len(answer["servers"]) == 5 for answer in answers)
         encoder = serving.service.encoder
         assert list(encoder.answers) == [(41, None)] and encoder.version == 46
 
 
 @on_loop
-async def test_a_broken_file_changes_nothing(tmp_path, caplog):
-    async with Serving(tmp_path, [ONE]) as serving:
-        bad = [
+async def test_invalid_hosts_file_changes_nothing(tmp_path, caplog):
+    async with Serving(tmp_path, [HOST_ENTRY]) as serving:
+        invalid_documents = [
             json.dumps({"servers": servers})
-            for servers in (5, [{}], [ONE, ONE], [ONE | {"state": "gone"}], [ONE, 5])
+            for servers in (
+                5,
+                [{}],
+                [HOST_ENTRY, HOST_ENTRY],
+                [HOST_ENTRY | {"state": "gone"}],
+                [HOST_ENTRY, 5],
+            )
         ]
-        for text in ("", "{", "[]", "{}", *bad):
+        for text in ("", "{", "[]", "{}", *invalid_documents):
             serving.file.write_text(text)
             caplog.clear()
             serving.service.reload()
             assert "nothing changes" in caplog.text
         serving.file.unlink()
         serving.service.reload()
-        assert (await serving.list())["servers"] == [ONE] and serving.service.registry.version == 42
+        assert (await serving.list())["servers"] == [HOST_ENTRY] and serving.service.registry.version == 42
 
 
 @on_loop
-async def test_a_gateway_runs_against_it(tmp_path):
+async def test_gateway_uses_the_list_service(tmp_path):
     async with StubHost() as host, StubHost() as other, Serving() as serving:
         await serving.register("h1", addr=f"127.0.0.1:{host.port}", zone="a")
         async with Node(path=tmp_path) as node:
@@ -262,13 +269,13 @@
 
 
 @on_loop
-async def test_after_a_start_no_list_is_told_until_hosts_had_time_to_come_back():
+async def test_no_list_is_served_until_the_learning_period_ends():
     async with Serving(learn=1000.0) as serving:
-        status, told = await serving.call("GET", "/v1/endpoints?index=41&wait=5000")
-        assert status == 503 and "coming back" in told["error"]
+        status, answer = await serving.call("GET", "/v1/endpoints?index=41&wait=5000")
+        assert status == 503 and "coming back" in answer["error"]
         assert (await serving.register("s-1"))[0] == 200
         assert serving.service.learning_ends_at > serving.service.clock() + 900
-        serving.service.learning_ends_at = serving.service.clock()  # the time is over
+        serving.service.learning_ends_at = serving.service.clock()  # ends the learning period
         assert [h["id"] for h in (await serving.list())["servers"]] == ["s-1"]
 
 
@@ -277,39 +284,40 @@
 
 class Cycle:
     def __init__(self):
-        self.me = self
+        self.itself = self
 
 
-def test_what_outlived_a_full_collection_is_not_looked_at_until_a_day_has_passed():
-    now, count = 0.0, gc.get_freeze_count()
+def test_survivors_of_a_full_collection_are_not_scanned_for_a_day():
+    now, frozen_before = 0.0, gc.get_freeze_count()
     with serving.short_collections(lambda: now):
         old = [Cycle() for _ in range(1000)]
         gc.collect()
-        assert gc.get_freeze_count() >= count + 1000 > len(gc.get_objects())  # left to look at
-        seen = [weakref.ref(node) for node in old]
-        del old  # they hold themselves
-        fresh = weakref.ref(Cycle())
+        # get_objects() returns the objects that a collection still scans.
+        assert gc.get_freeze_count() >= frozen_before + 1000 > len(gc.get_objects())
+        old_references = [weakref.ref(node) for node in old]
+        del old  # they are reference cycles
+        new_reference = weakref.ref(Cycle())
         gc.collect()
-        assert fresh() is None and all(ref() for ref in seen)
+        assert new_reference() is None and all(ref() for ref in old_references)
         now = serving.FULL_COLLECTION_INTERVAL_S
         gc.collect()
-        assert not any(ref() for ref in seen)
+        assert not any(ref() for ref in old_references)
         gc.collect()
         assert gc.get_freeze_count() > 1000
     assert gc.get_freeze_count() == 0 and not [c for c in gc.callbacks if "short_collections" in repr(c)]
 
 
-SERVED_SHORT = """
+SERVICE_PROGRAM = """
 import asyncio, gc, os, signal, types
 from api_gateway.base.serving import run
 
 class Service:
     config = types.SimpleNamespace(listen=("h", 1))
     async def start(self):
-        self.kept = [[] for _ in range(100_000)]
-        asyncio.get_running_loop().call_soon(self.told)
+        self.objects = [[] for _ in range(100_000)]
+        asyncio.get_running_loop().call_soon(self.report)
         return 1
-    def told(self):
+    def report(self):
         print(gc.get_freeze_count())
         os.kill(os.getpid(), signal.SIGTERM)
     def reload(self): pass
@@ -319,23 +327,23 @@
 """
 
 
-def test_a_service_that_runs_has_short_collections():
-    ended = subprocess.run(
-        [sys.executable, "-c", SERVED_SHORT], cwd=ROOT, capture_output=True, text=True, timeout=60
+def test_running_service_has_short_collections():
+    completed = subprocess.run(
+        [sys.executable, "-c", SERVICE_PROGRAM], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert ended.returncode == 0 and int(ended.stdout) >= 100_000
+    assert completed.returncode == 0 and int(completed.stdout) >= 100_000
 
 
-def test_the_fleet_has_room_for_a_watch_of_each_gateway(tmp_path):
+def test_default_limits_allow_a_watch_for_each_gateway_of_the_fleet(tmp_path):
     (tmp_path / "registry.json").write_text(json.dumps({"listen": "127.0.0.1:0"}))
     config = read_config({"REGISTRY_CONFIG": str(tmp_path / "registry.json")})
     assert config.max_watches >= config.max_views > 4200
 
 
-def start(tmp_path, told, **kw):
-    (tmp_path / "registry.json").write_text(told if isinstance(told, str) else json.dumps(told))
+def run_program(tmp_path, config, **options):
+    (tmp_path / "registry.json").write_text(config if isinstance(config, str) else json.dumps(config))
     env = {**os.environ, "REGISTRY_CONFIG": str(tmp_path / "registry.json")}
-    return subprocess.run(PROGRAM, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60, **kw)
+    return subprocess.run(PROGRAM, cwd=ROOT, env=env, capture_output=True, text=True, timeout=60, **options)
 
 
 @pytest.mark.parametrize(
@@ -351,16 +359,16 @@
         ({"listen": "127.0.0.1:0", "learn_ms": -1}, "learn_ms"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line_and_status_2(told, word, tmp_path):
-    ended = start(tmp_path, told)
-    assert ended.returncode == 2 and ended.stderr.startswith("api_gateway.registry: ")
-    assert ended.stderr.count("\n") == 1 and word in ended.stderr
+def test_invalid_configuration_is_reported_in_one_line_with_status_2(told, word, tmp_path):
+    completed = run_program(tmp_path, told)
+    assert completed.returncode == 2 and completed.stderr.startswith("api_gateway.registry: ")
+    assert completed.stderr.count("\n") == 1 and word in completed.stderr
 
 
 @on_loop
-async def test_the_program_serves_rereads_its_file_and_ends(tmp_path):
+async def test_program_serves_reloads_its_file_and_terminates(tmp_path):
     hosts = tmp_path / "hosts.json"
-    hosts.write_text(json.dumps({"servers": [ONE]}))
+    hosts.write_text(json.dumps({"servers": [HOST_ENTRY]}))
     (tmp_path / "registry.json").write_text(json.dumps({"listen": "127.0.0.1:0", "hosts": str(hosts)}))
     program = await asyncio.create_subprocess_exec(
         *PROGRAM,
@@ -373,12 +381,12 @@
         url = f"http://127.0.0.1:{port}/v1/endpoints"
         async with session.get(url) as answer:
             first = await answer.json()
-        assert first["servers"] == [ONE]
+        assert first["servers"] == [HOST_ENTRY]
         hosts.write_text(json.dumps({"servers": [entry(None, "s-2", port=9)]}))
         program.send_signal(signal.SIGHUP)
         assert b"1 hosts in the file" in await program.stderr.readline()
         async with session.get(f"{url}?index={first['version']}&wait=5000") as answer:
-            told = await answer.json()
-        assert {(h["id"], h["state"]) for h in told["servers"]} == {("s-1", "draining"), ("s-2", "up")}
+            changes = await answer.json()
+        assert {(h["id"], h["state"]) for h in changes["servers"]} == {("s-1", "draining"), ("s-2", "up")}
     program.terminate()
     assert await program.wait() == 0
--- a/tests/registry/test_registry_subsets.py
+++ b/tests/registry/test_registry_subsets.py
@@ -1,4 +1,4 @@
-"""Views in the list service: what a watch by view is told, by the core and over sockets."""
+"""Views of the list service: answers to watches of a view, from the core and over sockets."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 
 import pytest
 from netkit import on_loop, wait_until
-from test_registry import host, settle
+from test_registry import host, tick_until_idle
 from test_registry_service import Serving
 
 from api_gateway.base.subsets import RING_SIZE, SubsetSpec, position_of_endpoint
@@ -19,81 +19,96 @@
 from api_gateway.registry.subsets import TooManyViewsError
 
 
-def filled(count, zones="ab", kinds=("k",), most=8192):
-    r = Registry("e", 1, most)
-    r.load(0.0, [host(f"h{n}", zone=zones[n % len(zones)], kind=kinds[n % len(kinds)]) for n in range(count)])
-    settle(r, 1.0)
-    return r
+def filled_registry(count, zones="ab", kinds=("k",), most=8192):
+    registry = Registry("e", 1, most)
+    registry.load(
+        0.0, [host(f"h{n}", zone=zones[n % len(zones)], kind=kinds[n % len(kinds)]) for n in range(count)]
+    )
+    tick_until_idle(registry, 1.0)
+    return registry
 
 
-def members(r, view):
-    return r.views.rings.members(view)
+def view_members(registry, view):
+    return registry.views.rings.members(view)
 
 
-def outside(r, view):
-    return sorted(name for name in r.entries if name not in members(r, view))
+def hosts_outside_view(registry, view):
+    return sorted(name for name in registry.entries if name not in view_members(registry, view))
 
 
-def change(r, now, name, **kw):
-    old = r.entries[name]
-    r.put(now, core.Entry(core.replace(old.host, **kw)))
+def change_host(registry, now, host_id, **fields):
+    old = registry.entries[host_id]
+    registry.put(now, core.Entry(core.replace(old.host, **fields)))
 
 
 # The core
 
 
-def test_a_watch_by_view_is_told_what_changes_within_it_and_not_woken_by_the_rest():
-    r, view = filled(200), SubsetSpec(3, 20, "a")
-    whole = r.view(1.0, "k", view)
-    assert whole.index is None and {h.id for h in whole.hosts} == members(r, view) and whole.total == 200
-    assert r.watch_view(1.0, "k", view, whole.version, 60.0, "e") is None
-    change(r, 2.0, outside(r, view)[0], weight=2.0)
-    assert settle(r, 2.2) == [] and "k" in r.watches
-    inside = sorted(members(r, view))[0]
-    change(r, 3.0, inside, weight=2.0)
-    told = settle(r, 3.2)
-    assert [(a.key, a.index, a.version) for a in told] == [("k", whole.version, r.version)]
-    assert [(h.id, h.weight) for h in told[0].hosts] == [(inside, 2.0)]
-    assert not r.watches and not r.views.live_views[view].watch_keys
-
-
-def test_what_enters_and_leaves_is_told_as_changes():
-    r, view = filled(200), SubsetSpec(3, 20, "a")
-    at, before = r.view(1.0, "k", view).version, members(r, view)
-    gone = sorted(before)[0]
-    back = r.entries[gone].host
-    r.drain_entry(1.0, r.entries[gone])
-    assert [(h.id, h.state) for h in r.watch_view(1.0, "k", view, at, 0.0, "e").hosts if h.id == gone] == [
-        (gone, "draining")
-    ]
-    settle(r, 1.5 + core.DRAIN_DURATION_S)
-    told = {h.id: h.state for h in r.watch_view(12.0, "k", view, at, 0.0, "e").hosts}
-    entered = members(r, view) - before
-    assert len(entered) == 1 and told == {gone: "removed", **dict.fromkeys(entered, "up")}
-    middle = r.version
-    r.load(13.0, [e.host for e in r.entries.values() if e.host.id != gone] + [back])
-    told = {h.id: h.state for h in r.watch_view(13.0, "k", view, middle, 0.0, "e").hosts}
-    assert told[gone] == "up" and {told[name] for name in entered} == {"removed"}  # though they still exist
-    assert all(r.entries[name].host.state == "up" for name in entered)
-
-
-def test_a_host_that_moves_to_another_kind_leaves_one_view_and_enters_another():
-    r = filled(40, kinds=("k", "l"))
-    views_ = [SubsetSpec(1, 6, "a", (kind,)) for kind in "kl"]
-    at = [r.view(1.0, None, view).version for view in views_]
+def test_watch_of_a_view_is_woken_only_by_changes_within_it():
+    registry, view = filled_registry(200), SubsetSpec(3, 20, "a")
+    complete = registry.view(1.0, "k", view)
+    assert (
+        complete.index is None
+        and {h.id for h in complete.hosts} == view_members(registry, view)
+        and complete.total == 200
+    )
+    assert registry.watch_view(1.0, "k", view, complete.version, 60.0, "e") is None
+    change_host(registry, 2.0, hosts_outside_view(registry, view)[0], weight=2.0)
+    assert tick_until_idle(registry, 2.2) == [] and "k" in registry.watches
+    member = sorted(view_members(registry, view))[0]
+    change_host(registry, 3.0, member, weight=2.0)
+    answers = tick_until_idle(registry, 3.2)
+    assert [(a.key, a.index, a.version) for a in answers] == [("k", complete.version, registry.version)]
+    assert [(h.id, h.weight) for h in answers[0].hosts] == [(member, 2.0)]
+    assert not registry.watches and not registry.views.live_views[view].watch_keys
+
+
+def test_hosts_that_enter_or_leave_a_view_are_answered_as_changes():
+    registry, view = filled_registry(200), SubsetSpec(3, 20, "a")
+    start_version, before = registry.view(1.0, "k", view).version, view_members(registry, view)
+    drained = sorted(before)[0]
+    restored = registry.entries[drained].host
+    registry.drain_entry(1.0, registry.entries[drained])
+    assert [
+        (h.id, h.state)
+        for h in registry.watch_view(1.0, "k", view, start_version, 0.0, "e").hosts
+        if h.id == drained
+    ] == [(drained, "draining")]
+    tick_until_idle(registry, 1.5 + core.DRAIN_DURATION_S)
+    states = {h.id: h.state for h in registry.watch_view(12.0, "k", view, start_version, 0.0, "e").hosts}
+    entered = view_members(registry, view) - before
+    assert len(entered) == 1 and states == {drained: "removed", **dict.fromkeys(entered, "up")}
+    middle_version = registry.version
+    registry.load(13.0, [e.host for e in registry.entries.values() if e.host.id != drained] + [restored])
+    states = {h.id: h.state for h in registry.watch_view(13.0, "k", view, middle_version, 0.0, "e").hosts}
+    # The hosts that had entered left the view again, but they are still listed.
+    assert states[drained] == "up" and {states[name] for name in entered} == {"removed"}
+    assert all(registry.entries[name].host.state == "up" for name in entered)
+
+
+def test_host_that_changes_its_kind_leaves_one_view_and_enters_another():
+    registry = filled_registry(40, kinds=("k", "l"))
+    kind_views = [SubsetSpec(1, 6, "a", (kind,)) for kind in "kl"]
+    versions = [registry.view(1.0, None, view).version for view in kind_views]
     name = next(
-        n for n in sorted(members(r, views_[0]), key=position_of_endpoint) if r.entries[n].host.kind == "k"
+        n
+        for n in sorted(view_members(registry, kind_views[0]), key=position_of_endpoint)
+        if registry.entries[n].host.kind == "k"
     )
-    near = SubsetSpec(1, 100, "a", ("l",))
-    r.view(1.0, None, near)
-    change(r, 2.0, name, kind="l")
-    left = {h.id: h.state for h in r.watch_view(2.0, "k", views_[0], at[0], 0.0, "e").hosts}
-    came = {h.id: h.state for h in r.watch_view(2.0, "l", near, at[0], 0.0, "e").hosts}
-    assert left[name] == "removed" and came == {name: "up"}
+    large_view = SubsetSpec(1, 100, "a", ("l",))
+    registry.view(1.0, None, large_view)
+    change_host(registry, 2.0, name, kind="l")
+    states_in_first = {
+        h.id: h.state for h in registry.watch_view(2.0, "k", kind_views[0], versions[0], 0.0, "e").hosts
+    }
+    states_in_large = {
+        h.id: h.state for h in registry.watch_view(2.0, "l", large_view, versions[0], 0.0, "e").hosts
+    }
+    assert states_in_first[name] == "removed" and states_in_large == {name: "up"}
 
 
 @pytest.mark.parametrize(
-    "index, epoch, whole",
+    "index, epoch, is_complete",
     [
         (0, "e", False),
         (0, None, False),
@@ -104,238 +119,261 @@
         (0, "", True),
     ],
 )
-def test_an_index_that_is_not_known_or_of_another_epoch_gets_the_whole_view(index, epoch, whole):
-    r, view = filled(200), SubsetSpec(3, 20, "a")
-    r.view(1.0, "k", view)
-    answer = r.watch_view(1.0, "k", view, r.version + index, 0.0, epoch)
-    assert (answer.index is None) == whole and len(answer.hosts) == (20 if whole else 0)
-
-
-def test_another_size_or_one_that_nobody_asked_for_is_told_as_a_whole():
-    r, view = filled(200), SubsetSpec(3, 20, "a")
-    at = r.view(1.0, "k", view).version
-    change(r, 1.5, "h0", weight=3.0)
-    larger = r.watch_view(2.0, "k", SubsetSpec(3, 30, "a"), at, 60.0, "e")
+def test_unknown_index_or_other_epoch_gets_the_complete_view(index, epoch, is_complete):
+    registry, view = filled_registry(200), SubsetSpec(3, 20, "a")
+    registry.view(1.0, "k", view)
+    answer = registry.watch_view(1.0, "k", view, registry.version + index, 0.0, epoch)
+    assert (answer.index is None) == is_complete and len(answer.hosts) == (20 if is_complete else 0)
+
+
+def test_new_view_size_or_discarded_view_gets_a_complete_answer():
+    registry, view = filled_registry(200), SubsetSpec(3, 20, "a")
+    version = registry.view(1.0, "k", view).version
+    change_host(registry, 1.5, "h0", weight=3.0)
+    larger = registry.watch_view(2.0, "k", SubsetSpec(3, 30, "a"), version, 60.0, "e")
     assert larger.index is None and len(larger.hosts) == 30
-    settle(r, now := 2.0 + views.IDLE_LIFETIME_S - 1.0)
-    assert r.watch_view(now, "k", SubsetSpec(3, 30, "a"), larger.version, 0.0, "e").index is not None
-    assert view not in r.views.live_views
-    settle(r, 2.0 + 2 * views.IDLE_LIFETIME_S)
-    assert not r.views.live_views and not r.views.idle_until and not r.views.arcs_by_group
-    assert r.watch_view(200.0, "k", view, at, 60.0, "e").index is None
+    tick_until_idle(registry, now := 2.0 + views.IDLE_LIFETIME_S - 1.0)
+    assert registry.watch_view(now, "k", SubsetSpec(3, 30, "a"), larger.version, 0.0, "e").index is not None
+    assert view not in registry.views.live_views
+    tick_until_idle(registry, 2.0 + 2 * views.IDLE_LIFETIME_S)
+    assert (
+        not registry.views.live_views and not registry.views.idle_until and not registry.views.arcs_by_group
+    )
+    assert registry.watch_view(200.0, "k", view, version, 60.0, "e").index is None
 
 
-def test_a_view_that_is_watched_is_kept_and_one_whose_watchers_vanish_goes():
-    r, view = filled(200), SubsetSpec(3, 20, "a")
-    at = r.view(1.0, "k", view).version
+def test_watched_view_stays_live_and_is_discarded_after_its_watchers_disconnect():
+    registry, view = filled_registry(200), SubsetSpec(3, 20, "a")
+    version = registry.view(1.0, "k", view).version
     for n in range(5):
-        assert r.watch_view(2.0, n, view, at, 60.0, "e") is None
-    settle(r, 61.9)
-    assert view in r.views.live_views
+        assert registry.watch_view(2.0, n, view, version, 60.0, "e") is None
+    tick_until_idle(registry, 61.9)
+    assert view in registry.views.live_views
     for n in range(5):
-        r.cancel_watch(n)
-    assert not r.watches and not r.views.live_views[view].watch_keys
-    settle(r, 63.0 + views.IDLE_LIFETIME_S)
-    assert not r.views.live_views
+        registry.cancel_watch(n)
+    assert not registry.watches and not registry.views.live_views[view].watch_keys
+    tick_until_idle(registry, 63.0 + views.IDLE_LIFETIME_S)
+    assert not registry.views.live_views
 
 
-def test_changes_remembered_within_a_view_are_bounded(monkeypatch):
+def test_remembered_changes_of_a_view_are_bounded(monkeypatch):
     monkeypatch.setattr(live_view, "MIN_CHANGES_KEPT", 10)
-    r, view = filled(40), SubsetSpec(3, 5, "a")
-    first = r.view(1.0, "k", view).version
+    registry, view = filled_registry(40), SubsetSpec(3, 5, "a")
+    first = registry.view(1.0, "k", view).version
     for n in range(200):
         name = f"h{n % 40}"
-        change(r, 2.0 + n, name, state="draining" if r.entries[name].host.state == "up" else "up")
-        r.watch_view(2.0 + n, "k", view, r.version, 0.0, "e")
-    live = r.views.live_views[view]
-    assert len(live.changes) <= 4 * 5 and r.watch_view(300.0, "k", view, first, 0.0, "e").index is None
-    assert r.watch_view(300.0, "k", view, live.oldest_version, 0.0, "e").index == live.oldest_version
-
-
-def test_changes_within_a_view_are_forgotten_in_time():
-    r, view = filled(400), SubsetSpec(3, 40, "a")
-    r.view(1.0, "k", view)
-    live, now, names = r.views.live_views[view], 1.0, sorted(members(r, view))
-    at = []  # by the minute
+        change_host(
+            registry, 2.0 + n, name, state="draining" if registry.entries[name].host.state == "up" else "up"
+        )
+        registry.watch_view(2.0 + n, "k", view, registry.version, 0.0, "e")
+    live = registry.views.live_views[view]
+    assert len(live.changes) <= 4 * 5 and registry.watch_view(300.0, "k", view, first, 0.0, "e").index is None
+    assert registry.watch_view(300.0, "k", view, live.oldest_version, 0.0, "e").index == live.oldest_version
+
+
+def test_changes_of_a_view_are_forgotten_after_their_lifetime():
+    registry, view = filled_registry(400), SubsetSpec(3, 40, "a")
+    registry.view(1.0, "k", view)
+    live, now, names = registry.views.live_views[view], 1.0, sorted(view_members(registry, view))
+    versions_by_time = []  # times and versions, one per change
     for n in range(60):
         now += 30.0
-        change(r, now, names[n % 40], weight=1.0 + n)
-        at.append((now, r.watch_view(now, None, view, r.version, 0.0, "e").version))
+        change_host(registry, now, names[n % 40], weight=1.0 + n)
+        versions_by_time.append(
+            (now, registry.watch_view(now, None, view, registry.version, 0.0, "e").version)
+        )
         assert len(live.changes) <= (views.CHANGE_LIFETIME_S + views.CHANGE_LIFETIME_S / 10) / 30 + 2
-    for then, version in at:
-        told = r.watch_view(now, None, view, version, 0.0, "e")
-        if then > now - views.CHANGE_LIFETIME_S:
-            assert told.index == version and len(told.hosts) == (now - then) / 30
-        elif then < now - 1.2 * views.CHANGE_LIFETIME_S:
-            assert told.index is None
-    assert len(r.views.versions_by_age) <= 12
+    for changed_at, version in versions_by_time:
+        answer = registry.watch_view(now, None, view, version, 0.0, "e")
+        if changed_at > now - views.CHANGE_LIFETIME_S:
+            assert answer.index == version and len(answer.hosts) == (now - changed_at) / 30
+        elif changed_at < now - 1.2 * views.CHANGE_LIFETIME_S:
+            assert answer.index is None
+    assert len(registry.views.versions_by_age) <= 12
 
 
-def test_a_zone_that_goes_is_told_to_views_as_changes_though_whole_lists_forget_it(monkeypatch):
+def test_lost_zone_is_answered_to_views_as_changes_despite_dropped_tombstones(monkeypatch):
     monkeypatch.setattr(core, "MAX_TOMBSTONES", 20)
-    r = filled(600, zones="abc")
-    all_ = [SubsetSpec(n, 40, "abc"[n % 3]) for n in range(12)]
-    before = {view: members(r, view) for view in all_}
-    lists = r.version
-    for view in all_:
-        assert r.watch_view(1.0, view, view, r.view(1.0, None, view).version, 60.0, "e") is None
-    lost = [name for name, entry in r.entries.items() if entry.host.zone == "a"]
-    for name in lost:
-        r.remove(2.0, r.entries[name])
-    told = {answer.key: answer for answer in settle(r, 2.2)}
-    assert r.changes_since(lists) is None and len(r.tombstones) <= 20
-    for view in all_:
-        assert told[view].index is not None
-        assert {h.id for h in told[view].hosts if h.state == "removed"} == before[view] & set(lost)
-        assert {h.id for h in told[view].hosts if h.state == "up"} == members(r, view) - before[view]
-    one = {}  # a host that left is one object for all, whatever holds it
-    for answer in told.values():
-        assert all(one.setdefault(h.id, h) is h for h in answer.hosts if h.state == "removed")
-
-
-def test_a_host_that_leaves_a_view_anew_is_told_as_it_was_last():
-    r, view = filled(200), SubsetSpec(3, 20, "a")
-    at = r.view(1.0, None, view).version
-    name = sorted(members(r, view))[0]
+    registry = filled_registry(600, zones="abc")
+    all_views = [SubsetSpec(n, 40, "abc"[n % 3]) for n in range(12)]
+    before = {view: view_members(registry, view) for view in all_views}
+    list_version = registry.version
+    for view in all_views:
+        assert registry.watch_view(1.0, view, view, registry.view(1.0, None, view).version, 60.0, "e") is None
+    lost_hosts = [name for name, entry in registry.entries.items() if entry.host.zone == "a"]
+    for name in lost_hosts:
+        registry.remove(2.0, registry.entries[name])
+    answers = {answer.key: answer for answer in tick_until_idle(registry, 2.2)}
+    assert registry.changes_since(list_version) is None and len(registry.tombstones) <= 20
+    for view in all_views:
+        assert answers[view].index is not None
+        assert {h.id for h in answers[view].hosts if h.state == "removed"} == before[view] & set(lost_hosts)
+        assert {h.id for h in answers[view].hosts if h.state == "up"} == view_members(
+            registry, view
+        ) - before[view]
+    removed_by_id = {}  # all views share one object for a host that left
+    for answer in answers.values():
+        assert all(removed_by_id.setdefault(h.id, h) is h for h in answer.hosts if h.state == "removed")
+
+
+def test_host_that_leaves_a_view_again_is_answered_with_its_latest_fields():
+    registry, view = filled_registry(200), SubsetSpec(3, 20, "a")
+    version = registry.view(1.0, None, view).version
+    name = sorted(view_members(registry, view))[0]
     for started in (7, 9):
-        change(r, 2.0, name, started_ms=started, kind="k")
-        assert r.watch_view(2.0, None, view, at, 0.0, "e").hosts and name in members(r, view)
-        r.remove(2.0, r.entries[name])
-        (told,) = [h for h in r.watch_view(2.0, None, view, at, 0.0, "e").hosts if h.id == name]
-        assert (told.state, told.started_ms) == ("removed", started)
-        change(r, 3.0, name, state="up")
-        at = r.watch_view(3.0, None, view, at, 0.0, "e").version
+        change_host(registry, 2.0, name, started_ms=started, kind="k")
+        assert registry.watch_view(2.0, None, view, version, 0.0, "e").hosts and name in view_members(
+            registry, view
+        )
+        registry.remove(2.0, registry.entries[name])
+        (removed,) = [
+            h for h in registry.watch_view(2.0, None, view, version, 0.0, "e").hosts if h.id == name
+        ]
+        assert (removed.state, removed.started_ms) == ("removed", started)
+        change_host(registry, 3.0, name, state="up")
+        version = registry.watch_view(3.0, None, view, version, 0.0, "e").version
 
 
-def test_more_views_than_may_be_are_refused_and_idle_ones_make_room():
-    r = filled(50, most=3)
+def test_views_above_the_limit_are_rejected_unless_an_idle_view_makes_room():
+    registry = filled_registry(50, most=3)
     for n in range(3):
-        r.view(1.0, None, SubsetSpec(n, 5))
+        registry.view(1.0, None, SubsetSpec(n, 5))
     with pytest.raises(TooManyViewsError):
-        r.view(2.0, None, SubsetSpec(3, 5))
-    assert r.watch_view(2.0, "k", SubsetSpec(0, 5), r.version, 60.0, "e") is None
-    r.view(1.5 + views.MIN_IDLE_LIFETIME_S, None, SubsetSpec(3, 5))
-    assert set(r.views.live_views) == {
+        registry.view(2.0, None, SubsetSpec(3, 5))
+    assert registry.watch_view(2.0, "k", SubsetSpec(0, 5), registry.version, 60.0, "e") is None
+    registry.view(1.5 + views.MIN_IDLE_LIFETIME_S, None, SubsetSpec(3, 5))
+    assert set(registry.views.live_views) == {
         SubsetSpec(0, 5),
         SubsetSpec(2, 5),
         SubsetSpec(3, 5),
-    }  # the one that is watched stays
-    r.views.remove_watch(SubsetSpec(1, 5), "k")  # of one that is not there any longer
+    }  # the watched view stays
+    registry.views.remove_watch(SubsetSpec(1, 5), "k")  # of a view that was discarded
 
 
-def test_a_burst_is_told_as_a_whole_and_in_slices(monkeypatch):
+def test_burst_of_changes_wakes_all_views_over_several_ticks(monkeypatch):
     monkeypatch.setattr(core, "REFRESH_HOSTS_PER_TICK", 100)
     monkeypatch.setattr(views, "BURST_CHANGES", 20)
-    r = filled(600, zones="abc")
-    all_ = [SubsetSpec(n, 30, "abc"[n % 3]) for n in range(40)]
-    for view in all_:
-        assert r.watch_view(1.0, view, view, r.view(1.0, None, view).version, 60.0, "e") is None
-    before = {view: members(r, view) for view in all_}
+    registry = filled_registry(600, zones="abc")
+    all_views = [SubsetSpec(n, 30, "abc"[n % 3]) for n in range(40)]
+    for view in all_views:
+        assert registry.watch_view(1.0, view, view, registry.view(1.0, None, view).version, 60.0, "e") is None
+    before = {view: view_members(registry, view) for view in all_views}
     for n in range(0, 600, 3):
-        change(r, 2.0, f"h{n}", state="draining")
-    assert r.views.has_burst and r.wake_at == 2.0 + core.BATCH_DELAY_S
-    told = []
-    while r.due() <= 2.1:
-        some = r.tick(2.1)
-        assert len(some) <= 4
-        told += some
-    assert {a.key for a in told} == set(all_)
-    for answer in told:
-        assert {h.id for h in answer.hosts if h.state == "up"} == members(r, answer.key) - before[answer.key]
-
-
-def test_a_change_makes_only_those_views_anew_that_it_concerns(monkeypatch):
-    r = filled(6000, zones="abcdef")
-    all_ = [SubsetSpec(n, 48, "abcdef"[n % 6]) for n in range(500)]
-    for view in all_:
-        r.view(1.0, None, view)
-    made, remake = [], views.LiveViews.rebuild_group
+        change_host(registry, 2.0, f"h{n}", state="draining")
+    assert registry.views.has_burst and registry.wake_at == 2.0 + core.BATCH_DELAY_S
+    answers = []
+    while registry.due() <= 2.1:
+        tick_answers = registry.tick(2.1)
+        assert len(tick_answers) <= 4
+        answers += tick_answers
+    assert {a.key for a in answers} == set(all_views)
+    for answer in answers:
+        assert {h.id for h in answer.hosts if h.state == "up"} == view_members(registry, answer.key) - before[
+            answer.key
+        ]
+
+
+def test_change_rebuilds_only_the_affected_views(monkeypatch):
+    registry = filled_registry(6000, zones="abcdef")
+    all_views = [SubsetSpec(n, 48, "abcdef"[n % 6]) for n in range(500)]
+    for view in all_views:
+        registry.view(1.0, None, view)
+    rebuilt, rebuild_group = [], views.LiveViews.rebuild_group
     monkeypatch.setattr(
         views.LiveViews,
         "rebuild_group",
-        lambda self, live, *rest: made.append(live.view) or remake(self, live, *rest),
+        lambda self, live, *rest: rebuilt.append(live.view) or rebuild_group(self, live, *rest),
     )
-    before = {view: members(r, view) for view in all_}
+    before = {view: view_members(registry, view) for view in all_views}
     for n in range(20):
-        change(r, 2.0 + n, f"h{n}", state="draining")
-        for view in all_:
-            r.watch_view(2.0 + n, None, view, r.version, 0.0, "e")
-    concerned = sum(f"h{n}" in before[view] for n in range(20) for view in all_)
-    assert 20 <= concerned <= len(made) <= concerned + 2 * 20
+        change_host(registry, 2.0 + n, f"h{n}", state="draining")
+        for view in all_views:
+            registry.watch_view(2.0 + n, None, view, registry.version, 0.0, "e")
+    affected_count = sum(f"h{n}" in before[view] for n in range(20) for view in all_views)
+    assert 20 <= affected_count <= len(rebuilt) <= affected_count + 2 * 20
 
 
 @pytest.mark.parametrize("kinds", [(), ("k",)])
-def test_the_first_host_of_a_zone_and_its_last_are_told_to_all_views_that_they_move(kinds):
-    """A view takes more of its own zone the more zones there are beside it."""
-    r, view = filled(600, zones="abbbb"), SubsetSpec(3, 60, "a", kinds)
-    at, before = r.view(1.0, None, view).version, members(r, view)
-    assert r.watch_view(1.0, "k", view, at, 60.0, "e") is None
-    r.register(
+def test_first_and_last_host_of_a_zone_update_all_views_of_the_group(kinds):
+    """The part that a view takes of its own zone depends on the number of zones."""
+    registry, view = filled_registry(600, zones="abbbb"), SubsetSpec(3, 60, "a", kinds)
+    version, before = registry.view(1.0, None, view).version, view_members(registry, view)
+    assert registry.watch_view(1.0, "k", view, version, 60.0, "e") is None
+    registry.register(
         2.0,
         host(
-            far := max(r.entries, key=lambda n: (position_of_endpoint(n) - view.position) % RING_SIZE) + "x",
+            distant_host_id := max(
+                registry.entries, key=lambda n: (position_of_endpoint(n) - view.position) % RING_SIZE
+            )
+            + "x",
             zone="c",
             kind="k",
         ),
         1,
         60.0,
     )
-    (told,) = settle(r, 2.2)
-    after = members(r, view)
-    assert far not in after and len(after - before) > 5
-    assert {h.id: h.state for h in told.hosts} == {
+    (answer,) = tick_until_idle(registry, 2.2)
+    after = view_members(registry, view)
+    assert distant_host_id not in after and len(after - before) > 5
+    assert {h.id: h.state for h in answer.hosts} == {
         **dict.fromkeys(after - before, "up"),
         **dict.fromkeys(before - after, "removed"),
     }
-    assert r.watch_view(3.0, "k", view, told.version, 60.0, "e") is None
-    r.drain(3.0, far, 1)
-    (told,) = settle(r, 3.2)
-    assert {h.id for h in told.hosts if h.state == "up"} == before - after and members(r, view) >= before
+    assert registry.watch_view(3.0, "k", view, answer.version, 60.0, "e") is None
+    registry.drain(3.0, distant_host_id, 1)
+    (answer,) = tick_until_idle(registry, 3.2)
+    assert {h.id for h in answer.hosts if h.state == "up"} == before - after and view_members(
+        registry, view
+    ) >= before
 
 
-def test_arcs_are_found_wherever_they_lie_on_the_ring():
-    rng, arcs, told = random.Random(3), view_arcs.Arcs(), {}
+def test_arcs_are_found_at_every_position_of_the_ring():
+    rng, arcs, arcs_by_number = random.Random(3), view_arcs.Arcs(), {}
     for _ in range(600):
         number = rng.randrange(40)
-        live = told[number][0] if number in told else live_view.LiveView(SubsetSpec(number, 5), number, 1)
+        live = (
+            arcs_by_number[number][0]
+            if number in arcs_by_number
+            else live_view.LiveView(SubsetSpec(number, 5), number, 1)
+        )
         if rng.random() < 0.2:
             arcs.discard(live)
-            told.pop(number, None)
+            arcs_by_number.pop(number, None)
         else:
             length = rng.choice([0, rng.randrange(RING_SIZE // 50), rng.randrange(RING_SIZE), None])
             end = None if length is None else ((live.view.position + length) % RING_SIZE, "x")
             arcs.put(live, view_arcs.SubsetPart(None, True, (), end))
-            told[number] = live, length
-        place = rng.choice([0, RING_SIZE - 1, rng.randrange(RING_SIZE), live.view.position])
-        assert sorted(found.number for found in arcs.covering(place)) == sorted(
+            arcs_by_number[number] = live, length
+        position = rng.choice([0, RING_SIZE - 1, rng.randrange(RING_SIZE), live.view.position])
+        assert sorted(found.number for found in arcs.covering(position)) == sorted(
             n
-            for n, (other, length) in told.items()
-            if length is None or (place - other.view.position) % RING_SIZE <= length
+            for n, (other, length) in arcs_by_number.items()
+            if length is None or (position - other.view.position) % RING_SIZE <= length
         )
 
 
 class Client:
-    """As a gateway does it with a view: changes are added to what it has, a whole answer replaces that."""
+    """Applies answers as a gateway does: changes are merged into its view, a complete view replaces it."""
 
     def __init__(self, view):
-        self.view, self.index, self.list, self.asked = view, None, {}, False
+        self.view, self.index, self.hosts_by_id, self.waiting = view, None, {}, False
 
     def take(self, answer):
         assert answer.view == self.view and len(answer.hosts) <= 4 * self.view.size + 64
         if answer.index is None:
-            self.list = {}
+            self.hosts_by_id = {}
         else:
             assert answer.index == self.index
-        for told in answer.hosts:
-            if told.state == "removed":
-                self.list.pop(told.id, None)
+        for changed_host in answer.hosts:
+            if changed_host.state == "removed":
+                self.hosts_by_id.pop(changed_host.id, None)
             else:
-                self.list[told.id] = told
-        self.index, self.asked = answer.version, False
+                self.hosts_by_id[changed_host.id] = changed_host
+        self.index, self.waiting = answer.version, False
 
 
-def play(seed, monkeypatch, steps=300):
-    """What a client puts together is the view at the version it was told, whatever comes when."""
+def run_random_operations(seed, monkeypatch, steps=300):
+    """Check that clients that apply their answers have the view of that version, after random operations."""
     rng = random.Random(seed)
     monkeypatch.setattr(views, "BURST_CHANGES", rng.choice([0, 3, 512]))
     monkeypatch.setattr(live_view, "MIN_CHANGES_KEPT", rng.choice([1, 256]))
@@ -345,7 +383,7 @@
     monkeypatch.setattr(core, "REFRESH_HOSTS_PER_TICK", rng.choice([1, 30, 16384]))
     monkeypatch.setattr(core, "TOMBSTONE_LIFETIME_S", 8.0)
     monkeypatch.setattr(core, "MAX_TOMBSTONES", 6)
-    r, now = Registry("e", 1), 0.0
+    registry, now = Registry("e", 1), 0.0
     zones, kinds = rng.choice(["a", "ab", "abcd"]), rng.choice(["k", "kl"])
     clients = [
         Client(
@@ -361,48 +399,50 @@
     clients += [Client(clients[0].view) for _ in range(2)]
     names = [f"h{n}" for n in range(rng.choice([10, 60]))]
 
-    def take(client, answer):
+    def apply_answer(client, answer):
         client.take(answer)
-        if answer.version == r.version:
-            assert client.list == {n: r.entries[n].host for n in members(r, client.view)}
-            assert answer.total == r.views.rings.total(client.view)
+        if answer.version == registry.version:
+            assert client.hosts_by_id == {
+                n: registry.entries[n].host for n in view_members(registry, client.view)
+            }
+            assert answer.total == registry.views.rings.total(client.view)
 
     for _ in range(steps):
         now += rng.choice([0.0, 0.01, 0.06, 0.3, 2.0])
         for _ in range(rng.choice([0, 1, 1, 8])):
             name = rng.choice(names)
             try:
-                op = rng.choice(["register"] * 4 + ["renew", "drain", "deregister"])
-                if op == "register":
-                    r.register(
+                operation = rng.choice(["register"] * 4 + ["renew", "drain", "deregister"])
+                if operation == "register":
+                    registry.register(
                         now,
                         host(name, zone=rng.choice(zones), kind=rng.choice(kinds)),
                         1,
                         rng.choice([1.0, 60.0]),
                     )
-                elif op == "renew":
-                    r.renew(now, name, 1)
-                elif op == "drain":
-                    r.drain(now, name, 1)
+                elif operation == "renew":
+                    registry.renew(now, name, 1)
+                elif operation == "drain":
+                    registry.drain(now, name, 1)
                 else:
-                    r.deregister(now, name, 1)
+                    registry.deregister(now, name, 1)
             except RegistrationConflictError:
                 pass
-        while r.due() <= now:
-            for answer in r.tick(now):
-                answer.key.asked = False
-                if rng.random() < 0.8:  # else it is lost on its way
-                    take(answer.key, answer)
+        while registry.due() <= now:
+            for answer in registry.tick(now):
+                answer.key.waiting = False
+                if rng.random() < 0.8:  # else the answer is lost
+                    apply_answer(answer.key, answer)
         for client in clients:
-            if client.asked:
+            if client.waiting:
                 if rng.random() < 0.05:
-                    r.cancel_watch(client)
-                    client.asked = False
+                    registry.cancel_watch(client)
+                    client.waiting = False
             elif rng.random() < 0.5:
                 if client.index is None or rng.random() < 0.05:
-                    take(client, r.view(now, client, client.view))
+                    apply_answer(client, registry.view(now, client, client.view))
                 else:
-                    answer = r.watch_view(
+                    answer = registry.watch_view(
                         now,
                         client,
                         client.view,
@@ -410,27 +450,31 @@
                         rng.choice([0.0, 1.0, 60.0]),
                         rng.choice([None, "e"]),
                     )
-                    client.asked = answer is None
+                    client.waiting = answer is None
                     if answer is not None:
-                        take(client, answer)
-        assert {c for c in clients if c.asked} == set(r.watches)
-        assert {key for live in r.views.live_views.values() for key in live.watch_keys} == set(r.watches)
-    while r.due() <= now or r.wake_at < math.inf:  # then none of those that still wait has missed anything
-        now = max(now, r.due())
-        for answer in r.tick(now):
-            take(answer.key, answer)
+                        apply_answer(client, answer)
+        assert {c for c in clients if c.waiting} == set(registry.watches)
+        assert {key for live in registry.views.live_views.values() for key in live.watch_keys} == set(
+            registry.watches
+        )
+    while registry.due() <= now or registry.wake_at < math.inf:  # afterwards no waiting client lacks a change
+        now = max(now, registry.due())
+        for answer in registry.tick(now):
+            apply_answer(answer.key, answer)
     for client in clients:
-        if client.asked:
-            assert client.list == {n: r.entries[n].host for n in members(r, client.view)}
+        if client.waiting:
+            assert client.hosts_by_id == {
+                n: registry.entries[n].host for n in view_members(registry, client.view)
+            }
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_what_a_client_puts_together_is_the_view(seed, monkeypatch):
-    play(seed, monkeypatch)
+def test_client_that_applies_its_answers_has_the_view(seed, monkeypatch):
+    run_random_operations(seed, monkeypatch)
 
 
 def planted_entering_unseen(monkeypatch):
-    """Only views that hold a host hear of it."""
+    """Only views that contain the host are updated."""
     covering = view_arcs.Arcs.covering
     monkeypatch.setattr(
         view_arcs.Arcs,
@@ -444,11 +488,13 @@
 
 
 def planted_leaving_untold(monkeypatch):
-    mark = live_view.LiveView.record_change
+    record_change = live_view.LiveView.record_change
     monkeypatch.setattr(
         live_view.LiveView,
         "record_change",
-        lambda self, version, told: None if told.state == "removed" else mark(self, version, told),
+        lambda self, version, changed_host: (
+            None if changed_host.state == "removed" else record_change(self, version, changed_host)
+        ),
     )
 
 
@@ -464,13 +510,13 @@
 
 
 def planted_old_place(monkeypatch):
-    """A host that changes its zone or kind is looked up where it is now, not where it was."""
-    touch = views.LiveViews.add_pending_change
+    """A host that changes its zone or kind outdates views at its new position only."""
+    add_pending_change = views.LiveViews.add_pending_change
     monkeypatch.setattr(
         views.LiveViews,
         "add_pending_change",
         lambda self, name: (
-            touch(self, name)
+            add_pending_change(self, name)
             if name in self._listed_hosts
             and self.rings.entries[name].kind == self._listed_hosts[name].kind
             and self.rings.entries[name].zone == self._listed_hosts[name].zone
@@ -479,13 +525,13 @@
     )
     put = views.LiveViews.put
 
-    def late(self, told):
-        kept = self._listed_hosts.pop(told.id, None)
-        put(self, told)
-        if told.state == "removed" and kept is not None:
-            self.add_pending_change(told.id)
+    def put_at_new_position(self, changed_host):
+        listed_host = self._listed_hosts.pop(changed_host.id, None)
+        put(self, changed_host)
+        if changed_host.state == "removed" and listed_host is not None:
+            self.add_pending_change(changed_host.id)
 
-    monkeypatch.setattr(views.LiveViews, "put", late)
+    monkeypatch.setattr(views.LiveViews, "put", put_at_new_position)
 
 
 @pytest.mark.parametrize(
@@ -496,7 +542,7 @@
     caught = 0
     for seed in range(12):
         try:
-            play(seed, monkeypatch)
+            run_random_operations(seed, monkeypatch)
         except (AssertionError, KeyError):
             caught += 1
     assert caught >= 3
@@ -505,7 +551,7 @@
 # Over sockets
 
 
-def listed(count, zones="ab"):
+def host_entries(count, zones="ab"):
     return [
         {
             "id": f"h{n}",
@@ -521,76 +567,83 @@
     ]
 
 
-def rewrite(serving, hosts):
+def rewrite_hosts_file(serving, hosts):
     serving.file.write_text(json.dumps({"servers": hosts}))
     serving.service.reload()
 
 
-def held(serving, view):
+def view_members_of_service(serving, view):
     return serving.service.registry.views.rings.members(view)
 
 
 @on_loop
-async def test_a_watch_by_view_over_sockets(tmp_path):
-    hosts = listed(300)
+async def test_watch_of_a_view_over_sockets(tmp_path):
+    hosts = host_entries(300)
     async with Serving(tmp_path, hosts) as serving:
         view = SubsetSpec(4, 30, "b")
-        told = await serving.list("?" + view.query())
-        assert list(told) == ["version", "full", "epoch", "view", "total", "servers"]
-        assert (told["version"], told["full"], told["view"], told["total"]) == (341, True, True, 300)
-        assert {h["id"] for h in told["servers"]} == held(serving, view) and len(told["servers"]) == 30
-        assert all(h in hosts for h in told["servers"])
+        answer = await serving.list("?" + view.query())
+        assert list(answer) == ["version", "full", "epoch", "view", "total", "servers"]
+        assert (answer["version"], answer["full"], answer["view"], answer["total"]) == (341, True, True, 300)
+        assert {h["id"] for h in answer["servers"]} == view_members_of_service(serving, view) and len(
+            answer["servers"]
+        ) == 30
+        assert all(h in hosts for h in answer["servers"])
         watch = asyncio.create_task(serving.list(f"?{view.query()}&index=341&epoch=e1&wait=20000"))
         await wait_until(lambda: serving.service.waiting)
-        inside = sorted(held(serving, view))[0]
-        other = sorted({h["id"] for h in hosts} - held(serving, view))[0]
-        rewrite(serving, [h | {"weight": 2.0} if h["id"] == other else h for h in hosts])
+        member = sorted(view_members_of_service(serving, view))[0]
+        other = sorted({h["id"] for h in hosts} - view_members_of_service(serving, view))[0]
+        rewrite_hosts_file(serving, [h | {"weight": 2.0} if h["id"] == other else h for h in hosts])
         await asyncio.sleep(0.2)
         assert not watch.done() and serving.service.waiting
-        rewrite(serving, [h | {"weight": 3.0} if h["id"] == inside else h for h in hosts])
-        told = await watch
-        assert (told["full"], told["view"]) == (False, True)
-        assert [(h["id"], h["weight"]) for h in told["servers"]] == [(inside, 3.0)]
-        before = held(serving, view)
-        rewrite(serving, [h for h in hosts if h["id"] != inside])
-        drained = await serving.list(f"?{view.query()}&index={told['version']}&epoch=e1&wait=5000")
-        entered = held(serving, view) - before
+        rewrite_hosts_file(serving, [h | {"weight": 3.0} if h["id"] == member else h for h in hosts])
+        answer = await watch
+        assert (answer["full"], answer["view"]) == (False, True)
+        assert [(h["id"], h["weight"]) for h in answer["servers"]] == [(member, 3.0)]
+        before = view_members_of_service(serving, view)
+        rewrite_hosts_file(serving, [h for h in hosts if h["id"] != member])
+        drained = await serving.list(f"?{view.query()}&index={answer['version']}&epoch=e1&wait=5000")
+        entered = view_members_of_service(serving, view) - before
         assert {h["id"]: h["state"] for h in drained["servers"]} == {
-            inside: "draining",
+            member: "draining",
             **dict.fromkeys(entered, "up"),
         } and len(entered) == 1
         assert drained["total"] == 299
-        rewrite(serving, hosts)  # it is back
-        told = await serving.list(f"?{view.query()}&index={drained['version']}&epoch=e1&wait=5000")
-        assert {h["id"]: h["state"] for h in told["servers"]} == {
-            inside: "up",
+        rewrite_hosts_file(serving, hosts)  # the host is listed again
+        answer = await serving.list(f"?{view.query()}&index={drained['version']}&epoch=e1&wait=5000")
+        assert {h["id"]: h["state"] for h in answer["servers"]} == {
+            member: "up",
             **dict.fromkeys(entered, "removed"),
         }
         assert (await serving.call("GET", "/status"))[1]["views"] == 1
 
 
 @on_loop
-async def test_kinds_are_asked_for_by_name(tmp_path):
-    hosts = [h | {"kind": "a,b &%"} if h["kind"] == "k0" else h for h in listed(90)]
+async def test_view_is_limited_to_the_requested_kinds(tmp_path):
+    hosts = [h | {"kind": "a,b &%"} if h["kind"] == "k0" else h for h in host_entries(90)]
     async with Serving(tmp_path, hosts) as serving:
         view = SubsetSpec(4, 20, "b", ("a,b &%", "k1"))
-        told = await serving.list("?" + view.query())
-        assert {h["kind"] for h in told["servers"]} == {"a,b &%", "k1"} and len(told["servers"]) == 20
-        assert told["total"] == 60
+        answer = await serving.list("?" + view.query())
+        assert {h["kind"] for h in answer["servers"]} == {"a,b &%", "k1"} and len(answer["servers"]) == 20
+        assert answer["total"] == 60
         many = SubsetSpec(4, 4000, "b", tuple(f"service-{n}" for n in range(2600)) + ("k1",))
         assert len((await serving.list("?" + many.query()))["servers"]) == 6
 
 
 @on_loop
-async def test_without_a_view_the_answers_are_as_they_were(tmp_path):
-    async with Serving(tmp_path, listed(20)) as serving:
-        assert await serving.list() == {"version": 61, "full": True, "epoch": "e1", "servers": listed(20)}
+async def test_answers_without_a_view_are_unchanged(tmp_path):
+    async with Serving(tmp_path, host_entries(20)) as serving:
+        assert await serving.list() == {
+            "version": 61,
+            "full": True,
+            "epoch": "e1",
+            "servers": host_entries(20),
+        }
         await serving.list("?view=1,5")
         assert await serving.list("?index=60") == {
             "version": 61,
             "full": False,
             "epoch": "e1",
-            "servers": listed(20)[-1:],
+            "servers": host_entries(20)[-1:],
         }
 
 
@@ -609,15 +662,15 @@
     ],
 )
 @on_loop
-async def test_what_is_no_view_is_refused(query, word):
+async def test_invalid_view_is_rejected(query, word):
     async with Serving() as serving:
-        status, told = await serving.call("GET", "/v1/endpoints?" + query)
-        assert status == 400 and word in told["error"] and not serving.service.registry.views.live_views
+        status, answer = await serving.call("GET", "/v1/endpoints?" + query)
+        assert status == 400 and word in answer["error"] and not serving.service.registry.views.live_views
 
 
 @on_loop
-async def test_many_watchers_of_one_view_get_one_encoding(tmp_path, monkeypatch):
-    hosts, made = listed(300), []
+async def test_one_encoding_serves_all_watchers_of_a_view(tmp_path, monkeypatch):
+    hosts, encoded_ids = host_entries(300), []
     async with Serving(tmp_path, hosts) as serving:
         view = SubsetSpec(4, 30, "b")
         version = (await serving.list("?" + view.query()))["version"]
@@ -626,38 +679,47 @@
             for _ in range(90)
         ]
         await wait_until(lambda: len(serving.service.waiting) == 90)
-        inside = sorted(held(serving, view))[0]
+        member = sorted(view_members_of_service(serving, view))[0]
         encoder = serving.service.encoder
-        text = encoder.encode_host
-        monkeypatch.setattr(encoder, "encode_host", lambda told: made.append(told.id) or text(told))
-        rewrite(serving, [h | {"weight": 3.0} if h["id"] == inside else h for h in hosts])
-        told = await asyncio.gather(*watches)
-        assert made == [inside] and all(t == told[0] for t in told) and len(told[0]["servers"]) == 1
+        encode_host = encoder.encode_host
+        monkeypatch.setattr(
+            encoder, "encode_host", lambda changed: encoded_ids.append(changed.id) or encode_host(changed)
+        )
+        rewrite_hosts_file(serving, [h | {"weight": 3.0} if h["id"] == member else h for h in hosts])
+        answers = await asyncio.gather(*watches)
+        assert (
+            encoded_ids == [member]
+            and all(answer == answers[0] for answer in answers)
+            and len(answers[0]["servers"]) == 1
+        )
 
 
 @on_loop
-async def test_a_host_is_encoded_once_for_all_views_and_answers_kept_are_bounded(tmp_path, monkeypatch):
-    made, dumps = [], json.dumps
-    async with Serving(tmp_path, listed(300)) as serving:
+async def test_host_is_encoded_once_for_all_views_and_cached_answers_are_bounded(tmp_path, monkeypatch):
+    encoded_ids, dumps = [], json.dumps
+    async with Serving(tmp_path, host_entries(300)) as serving:
         monkeypatch.setattr(answer_encoding, "MAX_ENCODED_BYTES", 30_000)
         monkeypatch.setattr(
             answer_encoding.json,
             "dumps",
-            lambda told, **kw: (made.append(told["id"]) if "id" in told else None) or dumps(told, **kw),
+            lambda document, **options: (
+                (encoded_ids.append(document["id"]) if "id" in document else None)
+                or dumps(document, **options)
+            ),
         )
         sizes = []
         for n in range(60):
-            told = await serving.list("?" + SubsetSpec(n, 30, "b").query())
-            sizes.append(len(dumps(told)))
-        assert len(made) == len(set(made)) <= 300
+            answer = await serving.list("?" + SubsetSpec(n, 30, "b").query())
+            sizes.append(len(dumps(answer)))
+        assert len(encoded_ids) == len(set(encoded_ids)) <= 300
         encoder = serving.service.encoder
-        kept = encoder.answers.values()
-        assert sum(map(len, kept)) == encoder.size_bytes <= 30_000
-        assert max(sizes) < 5000  # of 30 hosts; the whole list takes some 40 kB
+        cached_answers = encoder.answers.values()
+        assert sum(map(len, cached_answers)) == encoder.size_bytes <= 30_000
+        assert max(sizes) < 5000  # 30 hosts; the complete list takes about 40 kB
 
 
 @on_loop
-async def test_more_views_than_may_be_are_told_to_come_later(monkeypatch):
+async def test_excess_views_get_retry_after(monkeypatch):
     async with Serving() as serving:
         serving.service.registry.views.max_views = 2
         for n in range(2):
@@ -672,7 +734,7 @@
 
 
 @on_loop
-async def test_watchers_that_vanish_leave_no_watch_and_their_view_goes(monkeypatch):
+async def test_disconnected_watchers_leave_no_watch_and_their_view_is_discarded(monkeypatch):
     monkeypatch.setattr(views, "IDLE_LIFETIME_S", 0.3)
     async with Serving() as serving:
         for n in range(9):
@@ -684,7 +746,7 @@
         await wait_until(lambda: len(serving.service.waiting) == 9)
         await asyncio.sleep(0.8)
         registry = serving.service.registry
-        assert len(registry.views.live_views) == 1  # it is watched
+        assert len(registry.views.live_views) == 1  # its watches keep it live
         for watch in watches:
             watch.cancel()
         await asyncio.gather(*watches, return_exceptions=True)
@@ -693,19 +755,22 @@
 
 
 @on_loop
-async def test_after_a_restart_of_the_service_the_whole_view_is_told(tmp_path):
+async def test_restart_of_the_service_sends_the_complete_view(tmp_path):
     view = SubsetSpec(4, 30, "b")
-    async with Serving(tmp_path, listed(300)) as serving:
-        told = await serving.list("?" + view.query())
-    async with Serving(tmp_path, listed(300), epoch="e2", first=10_000) as serving:
-        for query in (f"index={told['version']}&epoch=e1&wait=9000", f"index={told['version']}&wait=9000"):
-            again = await serving.list(f"?{view.query()}&{query}")
-            assert again["full"] and again["epoch"] == "e2"
-            assert {h["id"] for h in again["servers"]} == {h["id"] for h in told["servers"]}
+    async with Serving(tmp_path, host_entries(300)) as serving:
+        first_answer = await serving.list("?" + view.query())
+    async with Serving(tmp_path, host_entries(300), epoch="e2", first=10_000) as serving:
+        for query in (
+            f"index={first_answer['version']}&epoch=e1&wait=9000",
+            f"index={first_answer['version']}&wait=9000",
+        ):
+            answer = await serving.list(f"?{view.query()}&{query}")
+            assert answer["full"] and answer["epoch"] == "e2"
+            assert {h["id"] for h in answer["servers"]} == {h["id"] for h in first_answer["servers"]}
 
 
 @pytest.mark.parametrize("value, fits", [(1, True), (100_000, True), (0, False), (True, False), ("9", False)])
-def test_the_number_of_views_is_read(tmp_path, value, fits):
+def test_view_limit_is_read_from_the_configuration(tmp_path, value, fits):
     path = tmp_path / "registry.json"
     path.write_text(json.dumps({"listen": "127.0.0.1:0", "views": value}))
     if fits:
