--- a/api_gateway/downstream/client_connection.py
+++ b/api_gateway/downstream/client_connection.py
@@ -164,9 +164,7 @@
         self.pending_replies.append(pending_reply)
         self.server.idle.discard(self)
         self.server.handler.handle_command(pending_reply, command)
-        if (
-            body and pending_reply.request is None
-        ):  # the handler did not accept the command, so it won't release the body
+        if body and pending_reply.request is None:  # the handler rejected it and won't release the body
             self.server.body_budget.release(len(body.data))
 
     def _check_partial_command(self) -> None:
--- a/api_gateway/downstream/client_server.py
+++ b/api_gateway/downstream/client_server.py
@@ -65,7 +65,7 @@
         ...
 
     def on_client_disconnected(self, pending_reply: PendingReply, /) -> None:
-        """Cancel the command of `pending_reply`, whose client has disconnected."""
+        """Cancel the command, because its client has disconnected and no reply can be written."""
         ...
 
 
