--- a/tests/discovery/test_discovery_client.py
+++ b/tests/discovery/test_discovery_client.py
@@ -497,9 +497,8 @@
     async def poll(self, client, params, limit):
         self.calls.append(self.now)
         wait = params.get("wait", 0) / 1000
-        if (
-            self.now < self.starts_at and self.now + wait <= self.starts_at
-        ):  # nothing changes before the outage
+        # Nothing changes before the outage.
+        if self.now < self.starts_at and self.now + wait <= self.starts_at:
             self.now += wait or self.answer_s
             client.version = 7
             return False
@@ -594,9 +593,8 @@
         at - outage.starts_at for outage in outages for at in outage.calls if 0 <= at - outage.starts_at < 8.0
     ]
     assert len(calls) / 8.0 / len(outages) * 200 < 60.0
-    second_calls = [
-        at for at in calls if at < 3.0
-    ]  # the second calls, after all watches broke at the same time
+    # The second calls follow the break of all watches at the same time.
+    second_calls = [at for at in calls if at < 3.0]
     assert max(sum(at <= other < at + 0.5 for other in second_calls) for at in second_calls) < 0.65 * len(
         second_calls
     )
--- a/tests/discovery/test_discovery_subsets.py
+++ b/tests/discovery/test_discovery_subsets.py
@@ -103,9 +103,8 @@
         outside = next(entry for entry in lists.servers if entry["id"] not in members)
         lists.change([outside | {"state": "draining"}])
         await lists.wait_for_watch()
-        assert [event.endpoints for event in seen] == [()] and pool_ids(
-            node
-        ) == members  # the host is not in the subset
+        # The host is not in the subset.
+        assert [event.endpoints for event in seen] == [()] and pool_ids(node) == members
         assert [event.available_total for event in seen] == [total - (outside["kind"] in groups)]
         lists.change([entry | {"state": "draining"} for entry in lists.entries_of(members[3])])
         await lists.wait_for_watch()
