--- a/tests/golden/test_golden_experiments.py
+++ b/tests/golden/test_golden_experiments.py
@@ -1,7 +1,7 @@
 """Bytes that the programs around the gateway store and send, as commit 127d781 wrote them.
 
-The literals here and the files in `experiments/` are not to change when code is renamed. What touches names
-of the code stands in the first section.
+The literals here and the files in `experiments/` must not change when code is renamed. Everything that
+depends on names of the code is in the first section.
 """
 
 import asyncio
@@ -29,18 +29,18 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 DATA = Path(__file__).resolve().parent / "experiments"
 
-# Names of the code
+# Names of the code under test
 
 HOST, HOST_LIST = api.Endpoint, api.EndpointList
-WORDS_IN = {*adapter.EVENT_READERS, "TARGETS"}
-KINDS_OUT = set(adapter.ACTION_WRITERS)
+EVENT_KEYWORDS = {*adapter.EVENT_READERS, "TARGETS"}
+ACTION_TYPES = set(adapter.ACTION_WRITERS)
 STAND_INS = {
     "counter": counter.Counter,
     "discovery": discovery.Discovery,
     "host": lambda: host.WorkingHost(work=0.0),
 }
-CALLS = service.Calls
-ACTIONS = [  # by position
+CONTROL_CALLS = service.Calls
+ACTIONS = [  # fields of actions by position
     (api.SendAttempt("t/1", "h1", 0.25), "ASSIGN i=3 txn=t/1 timeout=250000000 host=h1"),
     (api.SendAttempt("t/1", "h1"), "ASSIGN i=3 txn=t/1 timeout=0 host=h1"),
     (api.RejectRequest("t/1", 0.5, True), "DECLINE i=3 txn=t/1 hold_off=500000000"),
@@ -58,64 +58,66 @@
 ]
 
 
-def read_run_and_write(path):
+def reencode_run(path):
     return json.dumps(msgspec.to_builtins(runs.load(path)), indent=1) + "\n"
 
 
-def store_run(path, folder):
-    """As the program stores it: with fits and texts on missing repeats made anew."""
+def store_run_again(path, folder):
+    """Store a run as the program does, which computes its fits and the notes on missing repeats again."""
     return runs.store(runs.load(path), folder).read_text()
 
 
-def read_scenario_and_write(path):
+def reencode_scenario(path):
     return json.dumps(msgspec.to_builtins(scenario.read_scenario(str(path))), indent=1) + "\n"
 
 
-def crowd(*values):
+def encode_crowd(*values):
     return crowds.Crowd(*values).encode()
 
 
-def crowd_again(text):
-    """As a process of hollow gateways reads its argument, and written back."""
+def reencode_crowd(text):
+    """Decode the argument of a process of simulated gateways as that process does, and encode it again."""
     return crowds.Crowd(**json.loads(text)).encode()
 
 
-def page_of(target, stored):
+def render_page(target, stored):
     return page.page(target, stored)[0]
 
 
 class Recorder:
-    """In the place of an instance's decision module: keeps what it gets, and answers with `actions`."""
+    """Replaces the decision engine of an instance: records events and returns `actions`."""
 
     def __init__(self, actions=()):
-        self.got, self.actions = [], list(actions)
+        self.events, self.actions = [], list(actions)
 
     def handle(self, now, event):
-        self.got.append((now, type(event), dataclasses.astuple(event)))
+        self.events.append((now, type(event), dataclasses.astuple(event)))
         return self.actions
 
 
-def talk(recorder, *lines):
+def run_adapter(recorder, *lines):
     out = io.StringIO()
     simulated = adapter.Adapter(io.StringIO("\n".join(("ROUND at_time=1500000000", *lines, "GO", ""))), out)
     simulated.engines[3] = recorder
     return simulated.run(), out.getvalue()
 
 
-def in_loop(test):
+def on_event_loop(test):
     @functools.wraps(test)
-    def run(*args, **named):
-        asyncio.run(test(*args, **named))
+    def run(*args, **kwargs):
+        asyncio.run(test(*args, **kwargs))
 
     return run
 
 
-def options(command, name):
-    """Of a command and all below it: its name, and the texts by which each parameter is given."""
-    found = {name: sorted("/".join((*p.opts, *p.secondary_opts)) for p in command.params)}
-    for below, one in getattr(command, "commands", {}).items():
-        found |= options(one, f"{name} {below}")
-    return found
+def option_names(command, name):
+    """Return, for a command and its subcommands, the option strings of each parameter."""
+    names = {
+        name: sorted("/".join((*parameter.opts, *parameter.secondary_opts)) for parameter in command.params)
+    }
+    for subcommand_name, subcommand in getattr(command, "commands", {}).items():
+        names |= option_names(subcommand, f"{name} {subcommand_name}")
+    return names
 
 
 # Stored runs and targets
@@ -129,19 +131,19 @@
 
 @pytest.mark.parametrize("path", RUNS, ids=lambda path: path.stem)
 def test_stored_run_is_read_and_written_back(path):
-    assert read_run_and_write(path) == path.read_text()
+    assert reencode_run(path) == path.read_text()
 
 
 @pytest.mark.parametrize("path", RUNS, ids=lambda path: path.stem)
 def test_stored_run_is_stored_again(path, tmp_path):
-    assert store_run(path, tmp_path) == path.read_text()
+    assert store_run_again(path, tmp_path) == path.read_text()
 
 
-def test_a_run_by_another_key_is_no_run(tmp_path):
+def test_a_run_with_an_unknown_key_is_rejected(tmp_path):
     path = tmp_path / "run.json"
     path.write_text(RUNS[0].read_text().replace('"yardstick_ms"', '"yardstick"'))
     with pytest.raises(ValueError):
-        read_run_and_write(path)
+        reencode_run(path)
 
 
 TARGET_KEYS = {
@@ -157,11 +159,13 @@
 
 def test_keys_of_the_target():
     target = tomllib.loads((DATA / "target.toml").read_text())
-    assert {part: " ".join(keys) for part, keys in target.items()} == TARGET_KEYS
+    assert {section: " ".join(keys) for section, keys in target.items()} == TARGET_KEYS
 
 
 def test_the_page_is_made_from_the_golden_target():
-    assert page_of(DATA / "target.toml", ROOT / "docs" / "scale") == (ROOT / "docs/CAPACITY.md").read_text()
+    assert (
+        render_page(DATA / "target.toml", ROOT / "docs" / "scale") == (ROOT / "docs/CAPACITY.md").read_text()
+    )
 
 
 CROWDS = [
@@ -179,21 +183,21 @@
 
 
 @pytest.mark.parametrize("values, text", CROWDS)
-def test_what_a_process_of_hollow_gateways_is_told(values, text):
-    assert crowd(*values) == text
-    assert crowd_again(text) == text
+def test_the_argument_of_a_process_of_simulated_gateways(values, text):
+    assert encode_crowd(*values) == text
+    assert reencode_crowd(text) == text
 
 
 # Fault scenarios
 
 
 def test_each_key_of_a_scenario():
-    assert read_scenario_and_write(DATA / "scenario.toml") == (DATA / "scenario.json").read_text()
+    assert reencode_scenario(DATA / "scenario.toml") == (DATA / "scenario.json").read_text()
 
 
 # The simulator's wire
 
-LINES_IN = [  # a line, and the values of what it becomes, by position
+EVENT_LINES = [  # a line and the fields of the event made from it, by position
     (
         "WORK_ITEM i=3 txn=t/1 patience_left=500000000 n_entries=2 cost_units=1.5 customer=c/1 type=c tier=p "
         "first=1 marks=6",
@@ -222,11 +226,11 @@
 ]
 
 
-@pytest.mark.parametrize("line, values", LINES_IN, ids=[line.split(" ")[0] for line, _ in LINES_IN])
-def test_a_line_of_the_simulator_is_read(line, values):
+@pytest.mark.parametrize("line, values", EVENT_LINES, ids=[line.split(" ")[0] for line, _ in EVENT_LINES])
+def test_an_event_line_of_the_simulator_is_read(line, values):
     recorder = Recorder()
-    assert talk(recorder, line) == (0, "ACK\n")
-    assert [(now, got) for now, _, got in recorder.got] == [(1.5, values)]
+    assert run_adapter(recorder, line) == (0, "ACK\n")
+    assert [(now, fields) for now, _, fields in recorder.events] == [(1.5, values)]
 
 
 @pytest.mark.parametrize(
@@ -244,18 +248,18 @@
 )
 def test_results_of_the_simulator(reason, result):
     recorder = Recorder()
-    talk(recorder, f"REPORT_BACK i=3 txn=t/1 attempt=0 host=h1 reason={reason} terminal=0")
-    assert recorder.got[0][2] == ("t/1", 0, "h1", result, 0.0, False, 0, 0.0, {})
+    run_adapter(recorder, f"REPORT_BACK i=3 txn=t/1 attempt=0 host=h1 reason={reason} terminal=0")
+    assert recorder.events[0][2] == ("t/1", 0, "h1", result, 0.0, False, 0, 0.0, {})
 
 
 @pytest.mark.parametrize("action, line", ACTIONS, ids=[line for _, line in ACTIONS])
-def test_an_action_as_the_simulator_gets_it(action, line):
-    assert talk(Recorder([action]), "DUE i=3 label=0") == (0, f"{line}\nACK\n")
+def test_an_action_is_written_for_the_simulator(action, line):
+    assert run_adapter(Recorder([action]), "DUE i=3 label=0") == (0, f"{line}\nACK\n")
 
 
-def test_each_line_of_the_wire_is_pinned():
-    assert {line.split(" ")[0] for line, _ in LINES_IN} == WORDS_IN
-    assert {type(action) for action, _ in ACTIONS} == KINDS_OUT
+def test_each_event_and_action_of_the_simulator_is_covered():
+    assert {line.split(" ")[0] for line, _ in EVENT_LINES} == EVENT_KEYWORDS
+    assert {type(action) for action, _ in ACTIONS} == ACTION_TYPES
 
 
 # Stand-ins
@@ -270,63 +274,63 @@
 
 
 @pytest.mark.parametrize("kind", STATUS)
-@in_loop
+@on_event_loop
 async def test_control_calls_of_a_stand_in(kind):
     async with STAND_INS[kind]() as stand_in:
-        calls = CALLS(stand_in)
+        calls = CONTROL_CALLS(stand_in)
         base = f"http://127.0.0.1:{await calls.open('127.0.0.1', 0)}"
         try:
             async with aiohttp.ClientSession() as session:
-                async with session.get(f"{base}/status") as answer:
-                    assert await answer.text() == NO_FAULTS + STATUS[kind]
+                async with session.get(f"{base}/status") as response:
+                    assert await response.text() == NO_FAULTS + STATUS[kind]
                 query = "delay=0.5&silent=0.1&busy=0.2&error=0.3&reset=0.4"
-                async with session.post(f"{base}/faults?{query}") as answer:
-                    assert await answer.text() == ALL_FAULTS + STATUS[kind]
-                async with session.post(f"{base}/faults?slow=1") as answer:
-                    assert answer.status == 400
-                    assert await answer.text() == (
+                async with session.post(f"{base}/faults?{query}") as response:
+                    assert await response.text() == ALL_FAULTS + STATUS[kind]
+                async with session.post(f"{base}/faults?slow=1") as response:
+                    assert response.status == 400
+                    assert await response.text() == (
                         '{"error": "no such fault: slow; there are busy, delay, error, reset, silent"}'
                     )
         finally:
             await calls.close()
 
 
-async def exchange(port, sent, size):
+async def exchange(port, request, size):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(sent)
+    writer.write(request)
     async with asyncio.timeout(10):
-        got = await reader.readexactly(size)
+        reply = await reader.readexactly(size)
     writer.close()
-    return got
+    return reply
 
 
-@in_loop
+@on_event_loop
 async def test_answers_of_the_counter():
-    wanted = b"pong\r\nok 1.5\r\nok 4\r\nerror\r\n"
+    expected = b"pong\r\nok 1.5\r\nok 4\r\nerror\r\n"
     async with STAND_INS["counter"]() as stand_in:
-        sent = b"ping\r\nincr 7 1.5 60000\r\nincr 7 2.5 60000\r\nwhat\r\n"
-        assert await exchange(stand_in.port, sent, len(wanted)) == wanted
+        request = b"ping\r\nincr 7 1.5 60000\r\nincr 7 2.5 60000\r\nwhat\r\n"
+        assert await exchange(stand_in.port, request, len(expected)) == expected
 
 
-@in_loop
+@on_event_loop
 async def test_answers_of_a_host():
-    sent = (
+    request = (
         b"*1\r\n$4\r\nPING\r\n*1\r\n$4\r\nINFO\r\n*1\r\n$4\r\nWHAT\r\n"
         b"*4\r\n$8\r\nAPI.READ\r\n$1\r\na\r\n$1\r\nb\r\n$1\r\nc\r\n"
     )
-    wanted = b"+PONG\r\n$10\r\ninflight=0\r\n-SYNTAX\r\n*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
+    expected = b"+PONG\r\n$10\r\ninflight=0\r\n-SYNTAX\r\n*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
     async with STAND_INS["host"]() as stand_in:
-        assert await exchange(stand_in.port, sent, len(wanted)) == wanted
+        assert await exchange(stand_in.port, request, len(expected)) == expected
 
 
-@in_loop
+@on_event_loop
 async def test_answer_of_discovery():
     async with STAND_INS["discovery"]() as stand_in, aiohttp.ClientSession() as session:
         base = f"http://127.0.0.1:{stand_in.port}/v1/endpoints"
-        async with session.get(base) as answer:
-            assert await answer.text() == '{"version": 1, "full": true, "servers": []}'
-        async with session.get(f"{base}?index=1&wait=1") as answer:
-            assert await answer.text() == '{"version": 1, "full": false, "servers": []}'
+        async with session.get(base) as response:
+            assert await response.text() == '{"version": 1, "full": true, "servers": []}'
+        async with session.get(f"{base}?index=1&wait=1") as response:
+            assert await response.text() == '{"version": 1, "full": false, "servers": []}'
 
 
 # Options of commands
@@ -374,13 +378,13 @@
 
 
 def test_options_of_the_command():
-    assert options(cli.main, "main") == CLICK
+    assert option_names(cli.main, "main") == CLICK
 
 
 @pytest.mark.parametrize("program", HELP)
 def test_options_of_an_experiment(program):
-    module, *more = program.split()
-    command = [sys.executable, "-m", f"api_gateway.experiments.{module}", *more, "--help"]
+    module, *subcommands = program.split()
+    command = [sys.executable, "-m", f"api_gateway.experiments.{module}", *subcommands, "--help"]
     text = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True, timeout=60).stdout
-    found = re.findall(r"(?<![\w-])--?[a-z][a-z-]*", re.sub(r"python\s+-m", "", text))
-    assert " ".join(sorted(set(found))) == HELP[program]
+    flags = re.findall(r"(?<![\w-])--?[a-z][a-z-]*", re.sub(r"python\s+-m", "", text))
+    assert " ".join(sorted(set(flags))) == HELP[program]
