--- a/tests/measure/edge.py
+++ b/tests/measure/edge.py
@@ -1,7 +1,8 @@
-"""Figures of the limits on new connections, on and off in pairs: python tests/measure/edge.py [PAIRS]
+"""Measures the limits on new connections, in pairs of runs on and off: python tests/measure/edge.py [PAIRS]
 
-CPU of the whole process (clients, stand-ins and gateway) for a connection that asks once, and for a request
-on connections that are kept; the ratio of on to off shows what the limits cost. Loopback, half a minute.
+Measured is the CPU of the whole process (clients, stand-ins and gateway) for a connection with one request,
+and for a request on a persistent connection; the ratio of on to off is the cost of the limits. Loopback, half
+a minute.
 """
 
 import asyncio
@@ -14,52 +15,57 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 import uvloop  # noqa: E402
-from changes import spread  # noqa: E402
+from changes import print_spread  # noqa: E402
 from netkit import SETTINGS, Node, StubHost, command, read_reply  # noqa: E402
 
-CONNECTIONS, REQUESTS, CLIENTS = 1500, 4000, 8
+CONNECTION_COUNT, REQUEST_COUNT, CLIENT_COUNT = 1500, 4000, 8
 PING = b"*1\r\n$4\r\nPING\r\n"
-OPEN = SETTINGS | {"plans": [{"name": "p", "rate": 1e6, "most_at_once": 1e7}]}
+UNLIMITED_SETTINGS = SETTINGS | {"plans": [{"name": "p", "rate": 1e6, "most_at_once": 1e7}]}
 
 
-async def play(folder, on):
-    """CPU seconds a connection and a request."""
+async def measure_cpu(folder, is_limited):
+    """Return the CPU seconds for a connection and for a request."""
     limits = {"edge": {"per_source": 900, "new_per_source": 1e5, "new": 1e5, "fronts": ["10.0.0.0/8"]}}
-    more = limits if on else None
-    async with StubHost() as host, Node(host, path=folder, settings=OPEN, config_overrides=more) as node:
+    overrides = limits if is_limited else None
+    async with (
+        StubHost() as host,
+        Node(host, path=folder, settings=UNLIMITED_SETTINGS, config_overrides=overrides) as node,
+    ):
 
         async def connect():
-            for _ in range(CONNECTIONS // CLIENTS):
+            for _ in range(CONNECTION_COUNT // CLIENT_COUNT):
                 reader, writer = await asyncio.open_connection("127.0.0.1", node.port)
                 writer.write(PING)
                 await read_reply(reader)
                 writer.close()
 
-        async def ask(number):
+        async def send_requests(number):
             reader, writer = await node.connect()
-            for n in range(REQUESTS // CLIENTS):
+            for n in range(REQUEST_COUNT // CLIENT_COUNT):
                 writer.write(command(b"%d-%d" % (number, n), customer=b"%016x" % number))
                 await read_reply(reader)
 
-        began = time.process_time()
-        await asyncio.gather(*(connect() for _ in range(CLIENTS)))
-        middle = time.process_time()
-        await asyncio.gather(*(ask(n) for n in range(CLIENTS)))
-        return (middle - began) / CONNECTIONS, (time.process_time() - middle) / REQUESTS
+        started_at = time.process_time()
+        await asyncio.gather(*(connect() for _ in range(CLIENT_COUNT)))
+        connected_at = time.process_time()
+        await asyncio.gather(*(send_requests(n) for n in range(CLIENT_COUNT)))
+        return (connected_at - started_at) / CONNECTION_COUNT, (
+            time.process_time() - connected_at
+        ) / REQUEST_COUNT
 
 
 def main():
     pairs = int(sys.argv[1]) if len(sys.argv) > 1 else 8
     connections, requests = [], []
     for number in range(pairs):
-        played = {}
-        for on in (True, False) if number % 2 else (False, True):
+        results = {}
+        for is_limited in (True, False) if number % 2 else (False, True):
             with tempfile.TemporaryDirectory() as folder:
-                played[on] = uvloop.run(play(Path(folder), on))
-        connections.append(played[True][0] / played[False][0])
-        requests.append(played[True][1] / played[False][1])
-    spread("CPU of a connection, on over off", connections, "")
-    spread("CPU of a request on a kept connection, on over off", requests, "")
+                results[is_limited] = uvloop.run(measure_cpu(Path(folder), is_limited))
+        connections.append(results[True][0] / results[False][0])
+        requests.append(results[True][1] / results[False][1])
+    print_spread("CPU of a connection, on over off", connections, "")
+    print_spread("CPU of a request on a kept connection, on over off", requests, "")
 
 
 if __name__ == "__main__":
--- a/tests/measure/readability.py
+++ b/tests/measure/readability.py
@@ -1,9 +1,9 @@
-"""How a tree reads, by package: python tests/measure/readability.py [TREE]
+"""Counts readability problems by package: python tests/measure/readability.py [TREE]
 
-Counted in each package of the program: identifiers that hold a withdrawn word (docs/ARCHITECTURE.md has the
-terms in their place), uses of `Any`, functions over 40 lines, classes over 30 methods, files over 500 lines,
-public modules, classes and functions without a docstring, assignments to several targets at once, and errors
-of `mypy --strict`. TREE is the root of a checkout, this one by default.
+Counted in each package of the program are identifiers with a withdrawn word (docs/ARCHITECTURE.md has the
+terms that replace them), uses of `Any`, functions over 40 lines, classes over 30 methods, files over 500
+lines, public modules, classes and functions without a docstring, assignments to several targets at once, and
+errors of `mypy --strict`. TREE is the root of a checkout, this one by default.
 """
 
 import ast
@@ -19,12 +19,12 @@
 FUNCTION_LINES_MAX = 40
 CLASS_METHODS_MAX = 30
 FILE_LINES_MAX = 500
-# Withdrawn in any part of an identifier, and withdrawn as an identifier by itself.
-IN_PARTS = set(
+# Words withdrawn as any part of an identifier, and words withdrawn only as a whole identifier.
+WITHDRAWN_PARTS = set(
     "told whole held room ask asks asked look looks looked looking hear hears heard wish kept ban bans "
     "banned life lives crowd crowds rests word words worth trouble rumour".split()
 )
-BY_THEMSELVES = set(
+WITHDRAWN_NAMES = set(
     "own up out gone cold able given ahead top dice due most share again late born began aim listed said "
     "put".split()
 )
@@ -33,16 +33,16 @@
 
 def packages(tree: Path) -> dict[str, list[Path]]:
     program = next(path for name in ("api_gateway", "calicomast") if (path := tree / name).is_dir())
-    found: dict[str, list[Path]] = collections.defaultdict(list)
+    files_by_package: dict[str, list[Path]] = collections.defaultdict(list)
     for path in sorted(program.rglob("*.py")):
         parts = path.relative_to(program).parts
-        found[parts[0] if len(parts) > 1 else "(top)"].append(path)
-    return found
+        files_by_package[parts[0] if len(parts) > 1 else "(top)"].append(path)
+    return files_by_package
 
 
 def is_withdrawn(identifier: str) -> bool:
     parts = identifier.lower().split("_")
-    return identifier.lower() in BY_THEMSELVES or bool(IN_PARTS & set(parts))
+    return identifier.lower() in WITHDRAWN_NAMES or bool(WITHDRAWN_PARTS & set(parts))
 
 
 def count_tokens(text: str) -> collections.Counter[str]:
@@ -101,8 +101,8 @@
     lines = subprocess.run(command, cwd=tree, capture_output=True, text=True).stdout.splitlines()
     counts: collections.Counter[str] = collections.Counter()
     for line in lines:
-        if found := re.match(rf"{program}/(?:(\w+)/)?[\w/]+\.py:\d+: error", line):
-            counts[found[1] or "(top)"] += 1
+        if match := re.match(rf"{program}/(?:(\w+)/)?[\w/]+\.py:\d+: error", line):
+            counts[match[1] or "(top)"] += 1
     return counts
 
 
