--- a/tests/soak.py
+++ b/tests/soak.py
@@ -110,17 +110,17 @@
 
     gateways: int
     deadline: float
-    pushed: bool
-    second_copies: bool
-    hangs: float
-    resets: float
-    refuses: float
-    crowd: bool
-    counter_trouble: bool
-    silent_discovery: bool
-    faults: list[dict]
-    restart: str
-    signals: list[str] = field(default_factory=list)
+    pushed: bool  # discovery pushes updates instead of being polled
+    second_copies: bool  # requests may be hedged
+    hangs: float  # fraction of commands that a host never answers
+    resets: float  # fraction of commands after which a host closes the connection
+    refuses: float  # fraction of commands that a host refuses with BUSY
+    crowd: bool  # idle connections occupy the gateways, which have few sockets
+    counter_trouble: bool  # the counter does not answer for at least 3 s
+    silent_discovery: bool  # discovery does not answer for 0.5 s
+    faults: list[dict]  # of each gateway process, see injected/sitecustomize.py
+    restart: str  # how the first gateway is ended and started again
+    signals: list[str] = field(default_factory=list)  # sent around the SIGTERM of a restart
     leaving: float = 0.04  # fraction of requests whose client disconnects early
 
     @property
