--- a/api_gateway/experiments/connection_load.py
+++ b/api_gateway/experiments/connection_load.py
@@ -1,10 +1,12 @@
-"""Light clients beside deep pipelines, with turns and without, in pairs.
+"""Measure light clients beside deep pipelines, in pairs of runs with and without the `edge` settings.
 
-`python -m api_gateway.experiments.connection_load` plays them.
+Run it with `python -m api_gateway.experiments.connection_load`.
 
-One gateway by its command and hosts that are stand-ins, each a process; pipelines in one more process, so
-that they slow no light client by themselves. Light clients ask on a schedule, and their times count from when
-a request was due. Each play is bounded by its seconds.
+One gateway and stand-in hosts run as processes. The pipelines run in a further process, so that they do not
+slow the light clients directly. Light clients send requests on a schedule, and a latency counts from the time
+at which the request was due. Each run takes a fixed number of seconds.
+
+With `edge`, the gateway takes the commands of its client connections in turns (fair queueing).
 """
 
 from __future__ import annotations
@@ -28,73 +30,76 @@
 from api_gateway.demo.traffic import Door, Line, encode
 from api_gateway.supervisor.local_cluster import LocalCluster
 
-PLAN = {"name": "open", "rate": 1e5, "most_at_once": 1e6}  # nobody is beyond quota here
-TERMS = b"c=reading,t=open,d=3000,units=1,spread=1,first=0"
-LIGHT, EVERY = 20, 0.1  # light clients; s between two requests of one
-CUSTOMERS = 50  # of a pipeline
-HOSTS, SLOTS = 4, 16
-WARM = 2.0  # s after the start in which hosts that are cold get little, whoever asks
-TICK = os.sysconf("SC_CLK_TCK")
+PLAN = {"name": "open", "rate": 1e5, "most_at_once": 1e6}  # no customer exceeds this quota
+REQUEST_TERMS = b"c=reading,t=open,d=3000,units=1,spread=1,first=0"
+LIGHT_CLIENTS, REQUEST_INTERVAL_S = 20, 0.1  # number of light clients; s between the requests of one
+CUSTOMERS_PER_PIPELINE = 50  # customers in whose name one pipeline sends
+HOSTS, SLOTS_PER_HOST = 4, 16
+WARM_UP_S = 2.0  # after the start, while hosts in slow start get little traffic from any client
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """A crowd: pipelines of `depth` commands from one address, and perhaps one from another."""
+class LoadKind:
+    """A load: pipelines of `depth` commands from one address, and optionally one from another."""
 
     name: str
     pipelines: int
     depth: int = 1500
-    work: float = 0.002  # s that a host takes for a command
-    other: bool = False  # one more pipeline, from another source
-    churn: int = 0  # clients that connect, ask once whether the gateway serves, and go, again and again
+    work: float = 0.002  # seconds that a host takes for a command
+    has_other_source: bool = False  # adds a pipeline from another address
+    churn_clients: int = 0  # clients that repeatedly connect, send one PING and close
 
 
 KINDS = (
-    Kind("calm", 0),
-    Kind("one pipeline", 1),
-    Kind("four pipelines", 4),
-    Kind("four, slow hosts", 4, work=0.02),
-    Kind("40 of one source beside one", 40, depth=50, other=True),
-    Kind("connect and close", 0, churn=16),
+    LoadKind("calm", 0),
+    LoadKind("one pipeline", 1),
+    LoadKind("four pipelines", 4),
+    LoadKind("four, slow hosts", 4, work=0.02),
+    LoadKind("40 of one source beside one", 40, depth=50, has_other_source=True),
+    LoadKind("connect and close", 0, churn_clients=16),
 )
 
 
-def command(customer: int, name: bytes) -> bytes:
-    return encode([b"API.READ", b"%016x" % customer, name, TERMS])
+def command(customer: int, request_id: bytes) -> bytes:
+    """Encode a request of a customer."""
+    return encode([b"API.READ", b"%016x" % customer, request_id, REQUEST_TERMS])
 
 
 class Pipeline(asyncio.Protocol):
-    """Keeps `depth` commands on its connection until it is ended."""
+    """Keeps about `depth` commands outstanding on one connection until it is aborted."""
 
     def __init__(self, number: int, depth: int) -> None:
-        self.number, self.depth, self.asked = number, depth, 0
+        self.number, self.depth, self.sent = number, depth, 0
         self.counts: Counter[str] = Counter()
-        self.reader, self.answered = hiredis.Reader(notEnoughData=...), 0
+        self.reader, self.unreplaced_replies = hiredis.Reader(notEnoughData=...), 0
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.more(self.depth)
+        self.send(self.depth)
 
-    def more(self, count: int) -> None:
-        texts = []
+    def send(self, count: int) -> None:
+        """Send the next `count` commands in one write."""
+        commands = []
         for _ in range(count):
-            self.asked += 1
-            customer = self.number * CUSTOMERS + self.asked % CUSTOMERS
-            texts.append(command(customer, b"p%d-%d" % (self.number, self.asked)))
-        self.transport.write(b"".join(texts))
+            self.sent += 1
+            customer = self.number * CUSTOMERS_PER_PIPELINE + self.sent % CUSTOMERS_PER_PIPELINE
+            commands.append(command(customer, b"p%d-%d" % (self.number, self.sent)))
+        self.transport.write(b"".join(commands))
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        while (told := self.reader.gets()) is not ...:
-            self.counts["served" if isinstance(told, bytes) else "refused"] += 1
-            self.answered += 1
-        if self.answered > self.depth // 20:
-            self.more(self.answered)
-            self.answered = 0
+        while (reply := self.reader.gets()) is not ...:
+            self.counts["served" if isinstance(reply, bytes) else "refused"] += 1
+            self.unreplaced_replies += 1
+        if self.unreplaced_replies > self.depth // 20:
+            self.send(self.unreplaced_replies)
+            self.unreplaced_replies = 0
 
 
-async def churn(place: str, end: float, counts: Counter[str]) -> None:
-    host, _, port = place.rpartition(":")
+async def connect_and_close(address: str, end: float, counts: Counter[str]) -> None:
+    """Connect, send one PING and close, repeatedly until `end`."""
+    host, _, port = address.rpartition(":")
     while time.monotonic() < end:
         try:
             line = Line(*await asyncio.open_connection(host, int(port)))
@@ -104,123 +109,139 @@
             counts["refused"] += 1
 
 
-async def press(place: str, kind: Kind, seconds: float) -> list[dict[str, int]]:
-    """What each pipeline got, the one of the other source last; or what those that come and go did."""
-    host, _, port = place.rpartition(":")
-    loop, made = asyncio.get_running_loop(), []
-    for number in range(kind.pipelines + kind.other):
+async def apply_load(address: str, kind: LoadKind, seconds: float) -> list[dict[str, int]]:
+    """Apply a load and return the counts per pipeline, the other source last, then those of churn clients."""
+    host, _, port = address.rpartition(":")
+    loop, pipelines = asyncio.get_running_loop(), []
+    for number in range(kind.pipelines + kind.has_other_source):
         source = ("127.0.0.2", 0) if number == kind.pipelines else None
         _, pipeline = await loop.create_connection(
             lambda number=number: Pipeline(number, kind.depth), host, int(port), local_addr=source
         )
-        made.append(pipeline)
-    churned: Counter[str] = Counter()
+        pipelines.append(pipeline)
+    churn_counts: Counter[str] = Counter()
     end = time.monotonic() + seconds
-    await asyncio.gather(asyncio.sleep(seconds), *(churn(place, end, churned) for _ in range(kind.churn)))
-    for pipeline in made:
+    await asyncio.gather(
+        asyncio.sleep(seconds),
+        *(connect_and_close(address, end, churn_counts) for _ in range(kind.churn_clients)),
+    )
+    for pipeline in pipelines:
         pipeline.transport.abort()
-    return [dict(pipeline.counts) for pipeline in made] + ([dict(churned)] if kind.churn else [])
+    return [dict(pipeline.counts) for pipeline in pipelines] + (
+        [dict(churn_counts)] if kind.churn_clients else []
+    )
 
 
-async def light(number: int, place: str, end: float, told: list[tuple[float, bytes]]) -> None:
-    """Requests on a schedule, whatever becomes of those before, each on a connection that is free."""
-    door, asked, due = Door(place), list[asyncio.Task[None]](), time.monotonic() + EVERY * number / LIGHT
+async def run_light_client(number: int, address: str, end: float, results: list[tuple[float, bytes]]) -> None:
+    """Send requests on a schedule, independent of earlier replies, each on an idle connection."""
+    door, requests, due = (
+        Door(address),
+        list[asyncio.Task[None]](),
+        time.monotonic() + REQUEST_INTERVAL_S * number / LIGHT_CLIENTS,
+    )
 
-    async def ask(due: float, name: bytes) -> None:
+    async def send_request(due: float, request_id: bytes) -> None:
         line = await door.line()
-        answer = await line.ask([b"API.READ", b"%016x" % (0x10000 + number), name, TERMS])
-        told.append((time.monotonic() - due, answer))
+        reply = await line.ask([b"API.READ", b"%016x" % (0x10000 + number), request_id, REQUEST_TERMS])
+        results.append((time.monotonic() - due, reply))
         door.idle.append(line)
 
     while due < end:
         await asyncio.sleep(max(0.0, due - time.monotonic()))
-        asked.append(asyncio.create_task(ask(due, b"l%d-%d" % (number, len(asked)))))
-        due += EVERY
-    await asyncio.gather(*asked)
+        requests.append(asyncio.create_task(send_request(due, b"l%d-%d" % (number, len(requests)))))
+        due += REQUEST_INTERVAL_S
+    await asyncio.gather(*requests)
     for line in door.idle:
         line.writer.close()
 
 
-def cpu(number: int) -> float:
-    """Seconds of CPU that a process took so far."""
-    fields = Path(f"/proc/{number}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICK
+def cpu(pid: int) -> float:
+    """Return the CPU seconds that a process has used so far."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def jain(counts: list[int]) -> float:
-    """Jain's index of fairness: 1 where all have the same, 1 / n where one has all."""
-    square = sum(count * count for count in counts)
-    return sum(counts) ** 2 / (len(counts) * square) if square else 0.0
+    """Return Jain's fairness index: 1 if all counts are equal, 1 / n if one has everything."""
+    sum_of_squares = sum(count * count for count in counts)
+    return sum(counts) ** 2 / (len(counts) * sum_of_squares) if sum_of_squares else 0.0
 
 
-async def play(kind: Kind, on: bool, seconds: float) -> dict[str, float]:
+async def measure(kind: LoadKind, is_edge_enabled: bool, seconds: float) -> dict[str, float]:
+    """Run one load against a new gateway and return the figures."""
     with tempfile.TemporaryDirectory(prefix="crowd-") as folder:
-        fleet = LocalCluster(Path(folder), 1, HOSTS, kind.work, SLOTS, [PLAN], {"edge": {}} if on else {})
+        fleet = LocalCluster(
+            Path(folder), 1, HOSTS, kind.work, SLOTS_PER_HOST, [PLAN], {"edge": {}} if is_edge_enabled else {}
+        )
         try:
             await fleet.start()
             (gateway,) = fleet.gateways
             assert gateway.process is not None
-            place, told = gateway.addresses["listen"], list[tuple[float, bytes]]()
-            await asyncio.sleep(WARM)
+            address, results = gateway.addresses["listen"], list[tuple[float, bytes]]()
+            await asyncio.sleep(WARM_UP_S)
             before, end = cpu(gateway.process.pid), time.monotonic() + seconds
-            presser = await asyncio.create_subprocess_exec(
+            load_process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "api_gateway.experiments.connection_load",
                 "--press",
-                place,
+                address,
                 kind.name,
                 str(seconds),
                 stdout=asyncio.subprocess.PIPE,
             )
-            await asyncio.gather(*(light(n, place, end, told) for n in range(LIGHT)))
-            counts = json.loads((await presser.communicate())[0])
-            spent = cpu(gateway.process.pid) - before
+            await asyncio.gather(*(run_light_client(n, address, end, results) for n in range(LIGHT_CLIENTS)))
+            counts = json.loads((await load_process.communicate())[0])
+            cpu_seconds = cpu(gateway.process.pid) - before
         finally:
             await fleet.stop()
-    times, served = sorted(seconds for seconds, _ in told), [c.get("served", 0) for c in counts]
-    all_served = sum(served) + sum(answer == b"$" for _, answer in told)
+    latencies, served = (
+        sorted(latency for latency, _ in results),
+        [count.get("served", 0) for count in counts],
+    )
+    all_served = sum(served) + sum(reply == b"$" for _, reply in results)
     figures = {
-        "light: median ms": times[len(times) // 2] * 1000,
-        "light: 99th percentile ms": times[int(len(times) * 0.99)] * 1000,
-        "light: refused %": 100 * sum(answer != b"$" for _, answer in told) / len(told),
-        "CPU a served request, ms": 1000 * spent / max(1, all_served),
+        "light: median ms": latencies[len(latencies) // 2] * 1000,
+        "light: 99th percentile ms": latencies[int(len(latencies) * 0.99)] * 1000,
+        "light: refused %": 100 * sum(reply != b"$" for _, reply in results) / len(results),
+        "CPU a served request, ms": 1000 * cpu_seconds / max(1, all_served),
     }
-    if kind.churn:
+    if kind.churn_clients:
         figures["connections a second"] = sum(served) / seconds
     if kind.pipelines:
         figures["pipelines: served a second"] = sum(served) / seconds
     if kind.pipelines > 1:
         figures["pipelines: Jain's index"] = jain(served[: kind.pipelines])
-    if kind.other:
+    if kind.has_other_source:
         figures["pipelines: the other source's part"] = served[-1] / max(1, sum(served))
     return figures
 
 
 def main() -> None:
+    """Run the selected loads and print the figures of each, with and without `edge`."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--pairs", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--kind", choices=[kind.name for kind in KINDS], action="append")
     parser.add_argument("--press", nargs=3, help=argparse.SUPPRESS)
-    told = parser.parse_args()
-    if told.press:
-        kind = next(kind for kind in KINDS if kind.name == told.press[1])
-        print(json.dumps(uvloop.run(press(told.press[0], kind, float(told.press[2])))))
+    args = parser.parse_args()
+    if args.press:
+        kind = next(kind for kind in KINDS if kind.name == args.press[1])
+        print(json.dumps(uvloop.run(apply_load(args.press[0], kind, float(args.press[2])))))
         return
     for kind in KINDS:
-        if told.kind and kind.name not in told.kind:
+        if args.kind and kind.name not in args.kind:
             continue
-        plays: dict[bool, list[dict[str, float]]] = {True: [], False: []}
-        for number in range(told.pairs):
-            for on in (True, False) if number % 2 else (False, True):
-                plays[on].append(uvloop.run(play(kind, on, told.seconds)))
-        for name in plays[True][0]:
+        runs: dict[bool, list[dict[str, float]]] = {True: [], False: []}
+        for number in range(args.pairs):
+            for is_edge_enabled in (True, False) if number % 2 else (False, True):
+                runs[is_edge_enabled].append(uvloop.run(measure(kind, is_edge_enabled, args.seconds)))
+        for name in runs[True][0]:
             cells = []
-            for on in (False, True):
-                values = sorted(play[name] for play in plays[on])
+            for is_edge_enabled in (False, True):
+                values = sorted(run[name] for run in runs[is_edge_enabled])
                 cells.append(
-                    f"{'on' if on else 'off'} {statistics.median(values):.4g} "
+                    f"{'on' if is_edge_enabled else 'off'} {statistics.median(values):.4g} "
                     f"({values[0]:.4g} to {values[-1]:.4g})"
                 )
             print(f"{kind.name}: {name}: {', '.join(cells)}", flush=True)
