--- a/api_gateway/experiments/faults/__init__.py
+++ b/api_gateway/experiments/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes with faults between them: `python -m api_gateway.experiments.faults SCENARIO`."""
+"""Fault injection between real processes: `python -m api_gateway.experiments.faults SCENARIO`."""
--- a/api_gateway/experiments/faults/canary.py
+++ b/api_gateway/experiments/faults/canary.py
@@ -1,22 +1,25 @@
-"""Tells each half second by how much this process came late, in seconds: what the machine does to any
-other."""
+"""Print twice a second the longest scheduling delay of this process, in seconds.
+
+The delay shows what the machine does to any other process.
+"""
 
 import sys
 import time
 
-SPAN, STEP = 0.5, 0.02
+REPORT_INTERVAL_S, SLEEP_S = 0.5, 0.02
 
 
 def main() -> None:
-    worst, due, told = 0.0, time.monotonic() + STEP, time.monotonic() + SPAN
+    """Sleep in short steps and print the longest delay of each interval, until killed."""
+    max_delay, due, report_at = 0.0, time.monotonic() + SLEEP_S, time.monotonic() + REPORT_INTERVAL_S
     while True:
         time.sleep(max(0.0, due - time.monotonic()))
         now = time.monotonic()
-        worst, due = max(worst, now - due), now + STEP
-        if now >= told:
-            sys.stdout.write(f"{worst:.4f}\n")
+        max_delay, due = max(max_delay, now - due), now + SLEEP_S
+        if now >= report_at:
+            sys.stdout.write(f"{max_delay:.4f}\n")
             sys.stdout.flush()
-            worst, told = 0.0, now + SPAN
+            max_delay, report_at = 0.0, now + REPORT_INTERVAL_S
 
 
 if __name__ == "__main__":
--- a/api_gateway/experiments/faults/lines.py
+++ b/api_gateway/experiments/faults/lines.py
@@ -1,7 +1,7 @@
-"""What becomes of what goes one way over a link: lost, late, held, out of order. No I/O, no clock.
+"""Model of the traffic in one direction of a link: loss, delay, queueing and reordering. No I/O, no clock.
 
-Datagrams come out at any number of times, or never. A stream keeps its order: what is lost of it comes later,
-as after a transmission that is done again, and what is cut off is held until the line is whole.
+A datagram is delivered any number of times, or never. A stream keeps its order. A chunk of it that is lost is
+delivered later, as after a retransmission, and nothing is delivered while the line is cut.
 """
 
 from __future__ import annotations
@@ -10,76 +10,80 @@
 from collections import Counter
 from dataclasses import dataclass
 
-AGAIN = 0.2  # s after which TCP sends again what was lost, as Linux at the least; then twice as long
-BEHIND = 0.05  # s by which a datagram that loses its place comes later
-WAITS_MOST = 1.0  # s of datagrams that a throttled line holds; more is lost
+RETRANSMIT_TIMEOUT_S = 0.2  # the minimum of Linux for TCP; doubled after each further loss
+REORDER_DELAY_S = 0.05  # added to the delay of a datagram that is reordered
+MAX_QUEUE_S = 1.0  # of datagrams on a throttled line; further ones are lost
 
 
 @dataclass(frozen=True, slots=True)
-class Treatment:
-    """Shares are from 0 to 1, times in seconds."""
+class Impairment:
+    """Impairment of one direction of a link. Probabilities are from 0 to 1, times in seconds."""
 
     drop: float = 0.0
     delay: float = 0.0
-    jitter: float = 0.0  # up to so much more, drawn for each
-    reorder: float = 0.0  # share of datagrams that come after some of those behind them
-    double: float = 0.0  # share of datagrams that come twice
-    rate: float = 0.0  # bytes a second; 0: any number
+    jitter: float = 0.0  # upper bound of the random delay added to each datagram or chunk
+    reorder: float = 0.0  # probability that a datagram is overtaken by later ones
+    duplicate: float = 0.0  # probability that a datagram is delivered twice
+    rate: float = 0.0  # bytes per second; 0 is unlimited
     cut: bool = False
 
 
-PASS = Treatment()
+NO_IMPAIRMENT = Impairment()
 
 
 class Line:
-    """One direction between two processes. `counts`: what became of what came."""
+    """One direction between two processes. `counts` holds the number of datagrams and chunks per outcome."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.rng, self.treatment = rng, PASS
-        self.free_at = 0.0  # when all that came is through, where the line is throttled
-        self.last = 0.0  # when the last piece of a stream comes out
+        self.rng, self.impairment = rng, NO_IMPAIRMENT
+        self.free_at = 0.0  # when a throttled line has sent all that is queued
+        self.last_chunk_at = 0.0  # delivery time of the latest chunk of the stream
         self.counts: Counter[str] = Counter()
 
-    def struck(self, share: float) -> bool:
-        return share > 0 and self.rng.random() < share
+    def occurs(self, probability: float) -> bool:
+        """Draw whether an event of this probability occurs."""
+        return probability > 0 and self.rng.random() < probability
 
-    def lag(self) -> float:
-        told = self.treatment
-        return told.delay + (self.rng.uniform(0, told.jitter) if told.jitter else 0.0)
+    def draw_delay(self) -> float:
+        """Draw a delay: the fixed delay plus the jitter."""
+        impairment = self.impairment
+        return impairment.delay + (self.rng.uniform(0, impairment.jitter) if impairment.jitter else 0.0)
 
-    def queue(self, now: float, size: int) -> float:
-        """When `size` bytes are through, behind all that came before."""
-        if not self.treatment.rate:
+    def enqueue(self, now: float, size: int) -> float:
+        """Return when `size` bytes have been sent, after everything queued before them."""
+        if not self.impairment.rate:
             return now
-        self.free_at = max(now, self.free_at) + size / self.treatment.rate
+        self.free_at = max(now, self.free_at) + size / self.impairment.rate
         return self.free_at
 
-    def datagram(self, now: float, size: int) -> list[float]:
-        """When it comes out, and its copies; nothing where it is lost."""
-        told = self.treatment
-        full = told.rate > 0 and self.free_at - now > WAITS_MOST
-        if told.cut or full or self.struck(told.drop):
+    def datagram_times(self, now: float, size: int) -> list[float]:
+        """Return the delivery times of a datagram and its copies, empty if it is lost."""
+        impairment = self.impairment
+        is_queue_full = impairment.rate > 0 and self.free_at - now > MAX_QUEUE_S
+        if impairment.cut or is_queue_full or self.occurs(impairment.drop):
             self.counts["lost"] += 1
             return []
-        through = self.queue(now, size)
-        times = [through + self.lag() for _ in range(1 + self.struck(told.double))]
-        if self.struck(told.reorder):
-            times[0] += BEHIND
+        sent_at = self.enqueue(now, size)
+        times = [sent_at + self.draw_delay() for _ in range(1 + self.occurs(impairment.duplicate))]
+        if self.occurs(impairment.reorder):
+            times[0] += REORDER_DELAY_S
             self.counts["reordered"] += 1
         self.counts["passed"] += 1
         return times
 
-    def piece(self, now: float, size: int) -> float | None:
-        """When a piece of a stream comes out, never before those that came earlier; None: not before the line
-        is whole again, and then it is to be asked anew."""
-        if self.treatment.cut:
+    def chunk_time(self, now: float, size: int) -> float | None:
+        """Return the delivery time of a chunk of the stream, never before that of an earlier chunk.
+
+        None means that the line is cut. The caller asks again when it is restored.
+        """
+        if self.impairment.cut:
             return None
-        again = AGAIN
-        due = self.queue(now, size) + self.lag()
-        while self.struck(self.treatment.drop) and again < 60:
-            due += again
-            again *= 2
+        timeout = RETRANSMIT_TIMEOUT_S
+        due = self.enqueue(now, size) + self.draw_delay()
+        while self.occurs(self.impairment.drop) and timeout < 60:
+            due += timeout
+            timeout *= 2
             self.counts["again"] += 1
-        self.last = max(due, self.last)
+        self.last_chunk_at = max(due, self.last_chunk_at)
         self.counts["passed"] += 1
-        return self.last
+        return self.last_chunk_at
--- a/api_gateway/experiments/faults/links.py
+++ b/api_gateway/experiments/faults/links.py
@@ -1,4 +1,4 @@
-"""Links between processes on loopback, switched while they run: forwarders for datagrams and for streams."""
+"""Links between processes on loopback: forwarders for datagrams and streams, impaired while they run."""
 
 from __future__ import annotations
 
@@ -12,142 +12,160 @@
 from collections.abc import Callable
 from typing import Any
 
-from api_gateway.experiments.faults.lines import PASS, Line, Treatment
+from api_gateway.experiments.faults.lines import NO_IMPAIRMENT, Impairment, Line
 
 Address = tuple[str, int]
 
 LOOPBACK = "127.0.0.1"
-MOST_HELD = 64  # pieces of a stream on their way; past that the sender is not read
-PIECE = 65536
-AT_ONCE = struct.pack("ii", 1, 0)  # SO_LINGER: the end of a connection is a reset
+MAX_QUEUED_CHUNKS = 64  # chunks of a stream in transit; with more, the sender is not read
+CHUNK_BYTES = 65536
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER that makes a close reset the connection
 
 
 def on_loopback(address: Address) -> Address:
-    """Raises ValueError where it is any other: nothing here sends to another machine."""
+    """Return the address. Raises ValueError if it is not on loopback: no link may send to another machine."""
     if not ipaddress.ip_address(address[0]).is_loopback:
         raise ValueError(f"{address[0]} is not on loopback")
     return address
 
 
-class Way:
-    """A line in use: those that wait for it to be whole hear of that."""
+class OneWayLink:
+    """One direction of a link: a line, and an event for the streams that wait while it is cut."""
 
     def __init__(self, rng: random.Random) -> None:
-        self.line, self.whole = Line(rng), asyncio.Event()
-        self.whole.set()
-
-    def treat(self, treatment: Treatment) -> None:
-        self.line.treatment = treatment
-        if treatment.cut:
-            self.whole.clear()
+        self.line, self.connected = Line(rng), asyncio.Event()
+        self.connected.set()
+
+    def impair(self, impairment: Impairment) -> None:
+        """Replace the impairment. Waiting streams go on unless the new one is a cut."""
+        self.line.impairment = impairment
+        if impairment.cut:
+            self.connected.clear()
         else:
-            self.whole.set()
+            self.connected.set()
 
-    async def through(self, size: int) -> None:
-        """Waits as long as a piece of a stream takes."""
+    async def delay_chunk(self, size: int) -> None:
+        """Wait until a chunk of a stream is to be delivered."""
         loop = asyncio.get_running_loop()
-        while (due := self.line.piece(loop.time(), size)) is None:
-            await self.whole.wait()
+        while (due := self.line.chunk_time(loop.time(), size)) is None:
+            await self.connected.wait()
         if due > loop.time():
             await asyncio.sleep(due - loop.time())
 
 
-class Port(asyncio.DatagramProtocol):
-    def __init__(self, heard: Callable[[Address, bytes], None]) -> None:
-        self.heard = heard
+class DatagramPort(asyncio.DatagramProtocol):
+    """A UDP socket that passes each datagram and its source to a callback."""
+
+    def __init__(self, on_datagram: Callable[[Address, bytes], None]) -> None:
+        self.on_datagram = on_datagram
         self.transport: asyncio.DatagramTransport
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.heard((addr[0], addr[1]), data)
+        self.on_datagram((addr[0], addr[1]), data)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens there: the datagram is lost, as it is without a link."""
+        """Ignore it: nobody listens there, and the datagram is lost as it would be without a link."""
 
 
-async def port(heard: Callable[[Address, bytes], None]) -> Port:
+async def open_port(on_datagram: Callable[[Address, bytes], None]) -> DatagramPort:
+    """Open a UDP socket on a free port of loopback."""
     loop = asyncio.get_running_loop()
-    _, made = await loop.create_datagram_endpoint(lambda: Port(heard), local_addr=(LOOPBACK, 0))
-    return made
+    _, datagram_port = await loop.create_datagram_endpoint(
+        lambda: DatagramPort(on_datagram), local_addr=(LOOPBACK, 0)
+    )
+    return datagram_port
 
 
-class Datagrams:
-    """Links of datagrams between all pairs of some processes. Each has an address that it tells the others,
-    at which the kit listens; what comes there goes on by the sender's line. To whom it comes all seems to be
-    from one more address, at which nobody is reached."""
+class DatagramLinks:
+    """Datagram links between all pairs of a set of processes.
 
-    def __init__(self, way: Callable[[str, str], Way]) -> None:
-        self.way, self.real = way, dict[str, Address]()
-        self.names: dict[Address, str] = {}  # by where each sends from
-        self.entries: dict[str, Port] = {}
-        self.exit: Port
+    Each process advertises an entry address at which this class listens. A datagram that arrives there is
+    forwarded over the line of its sender. Receivers see all datagrams come from one exit address. A datagram
+    sent to the exit address is counted and dropped.
+    """
+
+    def __init__(self, get_link: Callable[[str, str], OneWayLink]) -> None:
+        self.get_link, self.real_addresses = get_link, dict[str, Address]()
+        self.names_by_source: dict[Address, str] = {}  # by the address from which each process sends
+        self.entry_ports: dict[str, DatagramPort] = {}
+        self.exit_port: DatagramPort
         self.counts: Counter[str] = Counter()
 
-    async def open(self, places: dict[str, Address]) -> dict[str, Address]:
-        """`places`: where each listens and sends from. Returns the addresses that they are to tell."""
+    async def open(self, addresses: dict[str, Address]) -> dict[str, Address]:
+        """Return the addresses to advertise. `addresses`: the address at which each listens and sends."""
 
-        def towards(to: str) -> Callable[[Address, bytes], None]:
+        def forwarder_to(to: str) -> Callable[[Address, bytes], None]:
+            """Return the callback that forwards datagrams to one process."""
             return lambda source, data: self.forward(source, to, data)
 
-        self.exit = await port(lambda *_: self.counts.update(astray=1))
-        for name, address in places.items():
-            self.real[name] = on_loopback(address)
-            self.names[address] = name
-            self.entries[name] = await port(towards(name))
-        return {name: entry.transport.get_extra_info("sockname")[:2] for name, entry in self.entries.items()}
+        self.exit_port = await open_port(lambda *_: self.counts.update(astray=1))
+        for name, address in addresses.items():
+            self.real_addresses[name] = on_loopback(address)
+            self.names_by_source[address] = name
+            self.entry_ports[name] = await open_port(forwarder_to(name))
+        return {
+            name: entry.transport.get_extra_info("sockname")[:2] for name, entry in self.entry_ports.items()
+        }
 
     def forward(self, source: Address, to: str, data: bytes) -> None:
-        sender = self.names.get(source)
+        """Send a datagram on through the line from its sender."""
+        sender = self.names_by_source.get(source)
         if sender is None:
             self.counts["strangers"] += 1
             return
         loop = asyncio.get_running_loop()
         now = loop.time()
-        for due in self.way(sender, to).line.datagram(now, len(data)):
+        for due in self.get_link(sender, to).line.datagram_times(now, len(data)):
             if due <= now:
-                self.exit.transport.sendto(data, self.real[to])
+                self.exit_port.transport.sendto(data, self.real_addresses[to])
             else:
-                loop.call_at(due, self.exit.transport.sendto, data, self.real[to])
+                loop.call_at(due, self.exit_port.transport.sendto, data, self.real_addresses[to])
 
     def close(self) -> None:
-        for entry in (*self.entries.values(), self.exit):
+        for entry in (*self.entry_ports.values(), self.exit_port):
             entry.transport.close()
 
 
-class Stream:
+class StreamLink:
     """A link for the connections from one process to an address of another."""
 
-    def __init__(self, target: Address, there: Way, back: Way) -> None:
-        self.target, self.there, self.back = on_loopback(target), there, back
+    def __init__(self, target: Address, forward_link: OneWayLink, return_link: OneWayLink) -> None:
+        self.target, self.forward_link, self.return_link = on_loopback(target), forward_link, return_link
         self.half_open = self.resets = False
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.counts: Counter[str] = Counter()
 
     async def open(self) -> str:
-        """HOST:PORT at which the caller finds it."""
-        self.server = await asyncio.start_server(self.joined, LOOPBACK, 0)
+        """Start listening and return the HOST:PORT to which the caller connects."""
+        self.server = await asyncio.start_server(self.on_connection, LOOPBACK, 0)
         host, port = self.server.sockets[0].getsockname()
         return f"{host}:{port}"
 
-    def treat(self, half_open: bool, resets: bool) -> None:
-        """`half_open`: connections are accepted, and then nothing; `resets`: all end at once, and new
-        ones."""
+    def set_faults(self, half_open: bool, resets: bool) -> None:
+        """Set the faults of the connections.
+
+        With `half_open` connections are accepted, but no data passes. With `resets` all open connections and
+        all new ones are reset.
+        """
         self.half_open, self.resets = half_open, resets
         if resets:
             for writer in list(self.writers):
                 self.reset(writer)
 
     def reset(self, writer: asyncio.StreamWriter) -> None:
+        """Close a connection with a TCP reset."""
         self.counts["reset"] += 1
         if not writer.is_closing():
             with contextlib.suppress(OSError):
-                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, AT_ONCE)
+                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         writer.transport.abort()
 
-    async def joined(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward a new connection to the target and back, or apply the faults set on the link."""
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
@@ -158,13 +176,13 @@
             if self.resets:
                 self.reset(writer)
             elif self.half_open:
-                await reader.read()  # until the caller gives up
+                await reader.read()  # until the caller closes
             else:
-                answers, other = await asyncio.open_connection(*self.target)
+                replies, other = await asyncio.open_connection(*self.target)
                 self.writers.add(other)
                 async with asyncio.TaskGroup() as pumps:
-                    pumps.create_task(self.pump(reader, other, self.there))
-                    pumps.create_task(self.pump(answers, writer, self.back))
+                    pumps.create_task(self.pump(reader, other, self.forward_link))
+                    pumps.create_task(self.pump(replies, writer, self.return_link))
         except* OSError:
             self.reset(writer)
         except* asyncio.CancelledError:
@@ -176,26 +194,28 @@
                     self.writers.discard(end)
                     end.close()
 
-    async def pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way) -> None:
-        """In both halves at once, so that a delay is one of each byte and not a bound on how many pass."""
-        held: asyncio.Queue[tuple[bytes | None, asyncio.Future[None]]] = asyncio.Queue(MOST_HELD)
+    async def pump(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, one_way: OneWayLink
+    ) -> None:
+        """Read and write concurrently, so that a delay applies to each byte without limiting throughput."""
+        chunks: asyncio.Queue[tuple[bytes | None, asyncio.Future[None]]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
 
-        async def take() -> None:
+        async def read_chunks() -> None:
             data: bytes | None
             while True:
                 try:
-                    data = await reader.read(PIECE)
+                    data = await reader.read(CHUNK_BYTES)
                 except OSError:
                     data = None
-                await held.put((data, asyncio.ensure_future(way.through(len(data or b"")))))
+                await chunks.put((data, asyncio.ensure_future(one_way.delay_chunk(len(data or b"")))))
                 if not data:
                     return
 
-        taking = asyncio.create_task(take())
+        reading = asyncio.create_task(read_chunks())
         try:
             while True:
-                data, through = await held.get()
-                await through
+                data, delayed = await chunks.get()
+                await delayed
                 if self.half_open:
                     await asyncio.Event().wait()
                 if data is None or writer.is_closing():
@@ -206,9 +226,9 @@
                 await writer.drain()
             writer.write_eof()
         finally:
-            taking.cancel()
-            while not held.empty():
-                held.get_nowait()[1].cancel()
+            reading.cancel()
+            while not chunks.empty():
+                chunks.get_nowait()[1].cancel()
 
     async def close(self) -> None:
         self.server.close()
@@ -218,54 +238,57 @@
 
 
 class Network:
-    """The links of one world, by the names of the processes at both ends."""
+    """The links of one world, keyed by the names of the processes at both ends."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self.ways: dict[tuple[str, str], Way] = {}
-        self.streams: dict[tuple[str, str], Stream] = {}
-        self.datagrams = Datagrams(self.way)
-
-    def way(self, sender: str, to: str) -> Way:
-        """Each line draws from its own source of chances, whatever the others carry."""
-        if (sender, to) not in self.ways:
-            self.ways[sender, to] = Way(random.Random(f"{self.seed} {sender} {to}"))
-        return self.ways[sender, to]
-
-    async def stream(self, caller: str, callee: str, target: Address) -> str:
-        """Where the caller finds the callee from now on."""
-        link = Stream(target, self.way(caller, callee), self.way(callee, caller))
-        place = await link.open()
-        self.streams[caller, callee] = link
-        return place
-
-    def move(self, callee: str, target: Address) -> None:
-        """The callee listens elsewhere now."""
-        for (_, to), link in self.streams.items():
+        self.one_way_links: dict[tuple[str, str], OneWayLink] = {}
+        self.stream_links: dict[tuple[str, str], StreamLink] = {}
+        self.datagram_links = DatagramLinks(self.one_way_link)
+
+    def one_way_link(self, sender: str, to: str) -> OneWayLink:
+        """Return one direction of a link. Each has a random generator that other traffic does not affect."""
+        if (sender, to) not in self.one_way_links:
+            self.one_way_links[sender, to] = OneWayLink(random.Random(f"{self.seed} {sender} {to}"))
+        return self.one_way_links[sender, to]
+
+    async def add_stream_link(self, caller: str, callee: str, target: Address) -> str:
+        """Add a stream link and return the address at which the caller reaches the callee."""
+        link = StreamLink(target, self.one_way_link(caller, callee), self.one_way_link(callee, caller))
+        address = await link.open()
+        self.stream_links[caller, callee] = link
+        return address
+
+    def retarget(self, callee: str, target: Address) -> None:
+        """Point the links of a callee at its new address."""
+        for (_, to), link in self.stream_links.items():
             if to == callee:
                 link.target = on_loopback(target)
 
-    def treat(self, sender: str, to: str, treatment: Treatment, half_open: bool, resets: bool) -> None:
-        self.way(sender, to).treat(treatment)
+    def impair(self, sender: str, to: str, impairment: Impairment, half_open: bool, resets: bool) -> None:
+        """Impair one direction, and set the faults of the streams between the two processes."""
+        self.one_way_link(sender, to).impair(impairment)
         for pair in ((sender, to), (to, sender)):
-            if pair in self.streams:
-                self.streams[pair].treat(half_open, resets)
+            if pair in self.stream_links:
+                self.stream_links[pair].set_faults(half_open, resets)
 
     def heal(self) -> None:
-        for way in self.ways.values():
-            way.treat(PASS)
-        for link in self.streams.values():
-            link.treat(False, False)
+        """Remove all impairments and connection faults."""
+        for one_way in self.one_way_links.values():
+            one_way.impair(NO_IMPAIRMENT)
+        for link in self.stream_links.values():
+            link.set_faults(False, False)
 
     def counts(self) -> dict[str, int]:
-        total: Counter[str] = Counter(self.datagrams.counts)
-        for way in self.ways.values():
-            total.update(way.line.counts)
-        for link in self.streams.values():
+        """Return the counts of all lines and links, summed by name."""
+        total: Counter[str] = Counter(self.datagram_links.counts)
+        for one_way in self.one_way_links.values():
+            total.update(one_way.line.counts)
+        for link in self.stream_links.values():
             total.update(link.counts)
         return dict(total)
 
     async def close(self) -> None:
-        if self.datagrams.entries:
-            self.datagrams.close()
-        await asyncio.gather(*(link.close() for link in self.streams.values()))
+        if self.datagram_links.entry_ports:
+            self.datagram_links.close()
+        await asyncio.gather(*(link.close() for link in self.stream_links.values()))
--- a/api_gateway/experiments/faults/play.py
+++ b/api_gateway/experiments/faults/play.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: each step in its order, its check, and a verdict."""
+"""Runs a scenario: each step in order with its check, and the verdict at the end."""
 
 from __future__ import annotations
 
@@ -12,54 +12,61 @@
 
 import msgspec
 
-from api_gateway.experiments.faults import scenario as told
-from api_gateway.experiments.faults.lines import Treatment
+from api_gateway.experiments.faults import scenario as scenarios
+from api_gateway.experiments.faults.lines import Impairment
 from api_gateway.experiments.faults.world import World
 from api_gateway.supervisor.errors import StartError
 
-LOOK = 0.1  # s between two looks at what is checked
-KEPT, FAILED, VOID = "kept", "failed", "void"
+POLL_INTERVAL_S = 0.1  # between two polls of a check
+PASSED, FAILED, VOID = "kept", "failed", "void"
 
 
-class Broken(Exception):
-    """A check did not fit; the text says which."""
+class CheckFailedError(Exception):
+    """A check did not pass. The message gives the mismatch."""
 
 
-class Play:
-    """`note` takes each thing that was done, in its order, as an object."""
+class ScenarioRun:
+    """A run of one scenario. `on_event` is called with an event for each action and check, in order."""
 
-    def __init__(self, scenario: told.Scenario, folder: Path, seed: int, note: Callable[[Any], None]) -> None:
-        self.scenario, self.seed, self.note = scenario, seed, note
+    def __init__(
+        self, scenario: scenarios.Scenario, folder: Path, seed: int, on_event: Callable[[Any], None]
+    ) -> None:
+        self.scenario, self.seed, self.on_event = scenario, seed, on_event
         self.world = World(folder, scenario.world, seed)
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
 
     async def run(self) -> str:
-        """The verdict. Raises ScenarioError or StartError. All that was started ends with it."""
-        verdict, why = KEPT, ""
+        """Run the scenario, stop all processes and return the verdict.
+
+        Raises ScenarioError or StartError, also after stopping all processes.
+        """
+        verdict, why = PASSED, ""
         try:
             await self.world.start()
-            self.began = time.monotonic()
+            self.started_at = time.monotonic()
             try:
                 for number, step in enumerate(self.scenario.step):
-                    await self.take(number, step)
-            except (Broken, StartError) as err:
+                    await self.run_step(number, step)
+            except (CheckFailedError, StartError) as err:
                 verdict, why = FAILED, str(err)
-            traced = [
-                part.name for part in self.world.all_processes() if self.world.logged(part, "Traceback")
+            tracebacks = [
+                process.name
+                for process in self.world.all_processes()
+                if self.world.count_in_log(process, "Traceback")
             ]
-            if traced and verdict == KEPT:
-                verdict, why = FAILED, f"an exception stands in the log of {', '.join(traced)}"
+            if tracebacks and verdict == PASSED:
+                verdict, why = FAILED, f"the log contains a traceback: {', '.join(tracebacks)}"
             await self.world.watch_members()
-            late = {name: round(seconds, 3) for name, seconds in self.world.late.items()}
-            if max(late.values()) > self.scenario.late:
-                verdict, why = VOID, f"this machine was late; else {verdict} {why}".strip()
-            worst = dict(sorted(late.items(), key=lambda item: -item[1])[:4])
-            self.note(
+            delays = {name: round(seconds, 3) for name, seconds in self.world.max_delay_s.items()}
+            if max(delays.values()) > self.scenario.late:
+                verdict, why = VOID, f"this machine was late; otherwise {verdict} {why}".strip()
+            longest = dict(sorted(delays.items(), key=lambda item: -item[1])[:4])
+            self.on_event(
                 {
                     "verdict": verdict,
                     "why": why,
                     "seed": self.seed,
-                    "late": worst,
+                    "late": longest,
                     "links": self.world.network.counts(),
                     "seconds": self.elapsed(),
                 }
@@ -69,21 +76,25 @@
         return verdict
 
     def elapsed(self) -> float:
-        return round(time.monotonic() - self.began, 3)
+        """Return the seconds since the processes were ready."""
+        return round(time.monotonic() - self.started_at, 3)
 
-    async def take(self, number: int, step: Any) -> None:
+    async def run_step(self, number: int, step: Any) -> None:
+        """Apply a step, then wait for its check and keep it checked for `holds` seconds."""
         at = self.elapsed()
-        done = await self.act(step)
-        plain = {
+        more_fields = await self.apply(step)
+        fields = {
             key: value
             for key, value in msgspec.to_builtins(step).items()
             if key not in ("check", "within", "holds")
         }
-        self.note({"at": at, "step": number, **plain, **done, "took": round(self.elapsed() - at, 3)})
+        self.on_event(
+            {"at": at, "step": number, **fields, **more_fields, "took": round(self.elapsed() - at, 3)}
+        )
         if step.check is not None:
             at = self.elapsed()
-            await self.fitting(step.check, step.within)
-            self.note(
+            await self.wait_for_check(step.check, step.within)
+            self.on_event(
                 {
                     "at": self.elapsed(),
                     "step": number,
@@ -91,172 +102,192 @@
                     "took": round(self.elapsed() - at, 3),
                 }
             )
-            await self.hold(step.check, step.holds)
+            await self.keep_checking(step.check, step.holds)
         else:
-            await self.always()
+            await self.check_invariants()
 
-    async def act(self, step: Any) -> dict[str, Any]:
-        """Does it; what there is to tell beside the step itself."""
+    async def apply(self, step: Any) -> dict[str, Any]:
+        """Apply a step and return the fields to report in addition to those of the step."""
         world = self.world
-        if isinstance(step, told.Look):
+        if isinstance(step, scenarios.CheckOnly):
             pass
-        elif isinstance(step, told.Wait):
-            await self.hold(None, step.seconds)
-        elif isinstance(step, told.Heal):
+        elif isinstance(step, scenarios.Wait):
+            await self.keep_checking(None, step.seconds)
+        elif isinstance(step, scenarios.Heal):
             world.network.heal()
-        elif isinstance(step, told.Storm):
-            return {"struck": await self.storm(step)}
-        elif isinstance(step, told.Link):
-            for one in world.named(step.source):
-                for other in world.named(step.to):
-                    for a, b in ((one, other), (other, one))[: 1 + step.both]:
-                        if a is not b:
-                            world.network.treat(a.name, b.name, step.treatment(), step.half_open, step.resets)
+        elif isinstance(step, scenarios.Storm):
+            return {"struck": await self.run_storm(step)}
+        elif isinstance(step, scenarios.Link):
+            for source in world.matching_processes(step.source):
+                for target in world.matching_processes(step.to):
+                    for sender, receiver in ((source, target), (target, source))[: 1 + step.both]:
+                        if sender is not receiver:
+                            world.network.impair(
+                                sender.name, receiver.name, step.impairment(), step.half_open, step.resets
+                            )
         else:
-            parts = world.named(step.of, step.pick)
-            if isinstance(step, told.Start):
-                await world.all_again(parts, step.disk)
-            more = [await self.do(step, part) for part in parts]
-            return {"who": [part.name for part in parts], **next((m for m in more if m), {})}
+            processes = world.matching_processes(step.of, step.pick)
+            if isinstance(step, scenarios.Start):
+                await world.start_again(processes, step.disk)
+            results = [await self.apply_to_process(step, process) for process in processes]
+            return {
+                "who": [process.name for process in processes],
+                **next((result for result in results if result), {}),
+            }
         return {}
 
-    async def do(self, step: Any, part: Any) -> dict[str, Any] | None:
+    async def apply_to_process(self, step: Any, process: Any) -> dict[str, Any] | None:
+        """Apply a step to one process and return further fields to report, if any."""
         world = self.world
         match step:
-            case told.Kill():
-                await world.kill(part)
-            case told.Pause():
-                world.pause(part)
-            case told.Resume():
-                world.resume(part)
-            case told.Slow():
-                world.slow(part, step.share)
-            case told.FillDisk():
-                world.limit_files(part, step.room)
-            case told.FreeDisk():
-                world.limit_files(part, -1)
-            case told.ReadOnly():
-                world.read_only(part, step.on)
-            case told.Tear():
-                return {"left": world.tear(part, step.file, step.at, step.byte)}
+            case scenarios.Kill():
+                await world.kill(process)
+            case scenarios.Pause():
+                world.pause(process)
+            case scenarios.Resume():
+                world.resume(process)
+            case scenarios.Slow():
+                world.slow(process, step.share)
+            case scenarios.FillDisk():
+                world.limit_file_size(process, step.room)
+            case scenarios.FreeDisk():
+                world.limit_file_size(process, -1)
+            case scenarios.ReadOnly():
+                world.set_read_only(process, step.on)
+            case scenarios.TruncateFile():
+                return {"left": world.truncate_file(process, step.file, step.at, step.byte)}
         return None
 
-    async def storm(self, step: told.Storm) -> list[dict[str, Any]]:
-        """What it did. A process has one fault at a time."""
-        world, ends, struck = self.world, list[tuple[float, Any, str]](), []
-        parts = world.named(step.of, step.pick)
+    async def run_storm(self, step: scenarios.Storm) -> list[dict[str, Any]]:
+        """Inject random faults and return them. A process has one fault at a time."""
+        world, active, injected = self.world, list[tuple[float, Any, str]](), []
+        processes = world.matching_processes(step.of, step.pick)
         for _ in range(step.count):
-            await self.hold(None, step.every * world.random.uniform(0.5, 1.5))
-            ends = await self.let_end(ends, time.monotonic())
-            part = world.random.choice(parts)
-            kind = world.random.choice(step.kinds)
-            if part in [one for _, one, _ in ends] or not part.is_running:
+            await self.keep_checking(None, step.every * world.rng.uniform(0.5, 1.5))
+            active = await self.end_due_faults(active, time.monotonic())
+            process = world.rng.choice(processes)
+            kind = world.rng.choice(step.kinds)
+            if process in [busy for _, busy, _ in active] or not process.is_running:
                 continue
-            await self.strike(kind, part)
-            ends.append((time.monotonic() + world.random.uniform(0.1, step.lasting), part, kind))
-            struck.append({"at": self.elapsed(), "kind": kind, "who": part.name})
-        await self.hold(None, step.lasting)
-        await self.let_end(ends, math.inf)
-        return struck
-
-    async def strike(self, kind: str, part: Any) -> None:
+            await self.begin_fault(kind, process)
+            active.append((time.monotonic() + world.rng.uniform(0.1, step.lasting), process, kind))
+            injected.append({"at": self.elapsed(), "kind": kind, "who": process.name})
+        await self.keep_checking(None, step.lasting)
+        await self.end_due_faults(active, math.inf)
+        return injected
+
+    async def begin_fault(self, kind: str, process: Any) -> None:
+        """Inject one fault of a storm into a process."""
         world = self.world
         match kind:
             case "kill" | "lost disk":
-                await world.kill(part)
+                await world.kill(process)
             case "pause":
-                world.pause(part)
+                world.pause(process)
             case "slow":
-                world.slow(part, 0.2)
+                world.slow(process, 0.2)
             case "loss":
-                world.worsen(part, Treatment(drop=0.2, delay=0.02, jitter=0.1, reorder=0.1, double=0.1))
+                world.impair_links(
+                    process, Impairment(drop=0.2, delay=0.02, jitter=0.1, reorder=0.1, duplicate=0.1)
+                )
             case "full disk":
-                world.limit_files(part, 0)
+                world.limit_file_size(process, 0)
             case _:
-                world.cut(part, kind.removeprefix("cut").strip() or "both")
+                world.cut_links(process, kind.removeprefix("cut").strip() or "both")
 
-    async def let_end(self, ends: list[tuple[float, Any, str]], now: float) -> list[tuple[float, Any, str]]:
-        """Ends what is due; the rest."""
+    async def end_due_faults(
+        self, active: list[tuple[float, Any, str]], now: float
+    ) -> list[tuple[float, Any, str]]:
+        """End the faults that are due and return the others."""
         world = self.world
-        for _, part, kind in [end for end in ends if end[0] <= now]:
+        for _, process, kind in [fault for fault in active if fault[0] <= now]:
             match kind:
                 case "kill" | "lost disk":
-                    await world.all_again([part], kind == "kill")
+                    await world.start_again([process], kind == "kill")
                 case "pause":
-                    world.resume(part)
+                    world.resume(process)
                 case "slow":
-                    world.slow(part, 1.0)
+                    world.slow(process, 1.0)
                 case "full disk":
-                    world.limit_files(part, -1)
+                    world.limit_file_size(process, -1)
                 case _:
-                    world.mend(part)
-        return [end for end in ends if end[0] > now]
+                    world.heal_links(process)
+        return [fault for fault in active if fault[0] > now]
 
     # Checks
 
-    async def always(self) -> None:
+    async def check_invariants(self) -> None:
+        """Run the checks of `always`."""
         for check in self.scenario.always:
-            why = await self.odd(check)
+            why = await self.find_mismatch(check)
             if why:
-                raise Broken(f"at {self.elapsed()} s: {why}")
+                raise CheckFailedError(f"at {self.elapsed()} s: {why}")
 
-    async def hold(self, check: told.Check | None, seconds: float) -> None:
-        """For so long what always fits is looked at, and `check` with it."""
+    async def keep_checking(self, check: scenarios.Check | None, seconds: float) -> None:
+        """Poll the checks of `always`, and `check` if given, for some seconds."""
         end = time.monotonic() + seconds
-        await self.always()
+        await self.check_invariants()
         while (left := end - time.monotonic()) > 0:
-            await asyncio.sleep(min(LOOK, left))
-            await self.always()
-            why = await self.odd(check) if check is not None else ""
+            await asyncio.sleep(min(POLL_INTERVAL_S, left))
+            await self.check_invariants()
+            why = await self.find_mismatch(check) if check is not None else ""
             if why:
-                raise Broken(f"at {self.elapsed()} s it fits no longer: {why}")
+                raise CheckFailedError(f"at {self.elapsed()} s the check no longer passes: {why}")
 
-    async def fitting(self, check: told.Check, within: float) -> None:
+    async def wait_for_check(self, check: scenarios.Check, within: float) -> None:
+        """Poll a check until it passes."""
         end = time.monotonic() + within
-        while why := await self.odd(check):
+        while why := await self.find_mismatch(check):
             if time.monotonic() > end:
-                raise Broken(f"not within {within:g} s: {why}")
-            await asyncio.sleep(LOOK)
-            await self.always()
+                raise CheckFailedError(f"the check did not pass within {within:g} s: {why}")
+            await asyncio.sleep(POLL_INTERVAL_S)
+            await self.check_invariants()
 
-    async def odd(self, check: told.Check) -> str:
-        """What does not fit; "": all does."""
+    async def find_mismatch(self, check: scenarios.Check) -> str:
+        """Return what does not match, or an empty string if the check passes."""
         world = self.world
         match check:
-            case told.View():
-                of = [part.name for part in world.named(check.of)]
-                for part, seen in await self.each(check.by, world.members):
-                    states = {name: (seen or {}).get(name, "unknown") for name in of if name != part.name}
-                    wrong = {name: state for name, state in states.items() if state not in check.states}
-                    if wrong or seen is None:
-                        return f"{part.name} sees {wrong or 'nothing'}"
-            case told.Status():
-                for part, seen in await self.each(check.of, world.status):
-                    if not fits(check, dig(seen, check.path)):
-                        return f"{part.name} tells {check.path} = {dig(seen, check.path)!r}"
-            case told.Logged():
-                for part in world.named(check.of):
-                    count = world.logged(part, check.text)
+            case scenarios.View():
+                watched = [process.name for process in world.matching_processes(check.of)]
+                for process, reply in await self.query_each(check.by, world.member_states):
+                    states = {
+                        name: (reply or {}).get(name, "unknown") for name in watched if name != process.name
+                    }
+                    unexpected = {name: state for name, state in states.items() if state not in check.states}
+                    if unexpected or reply is None:
+                        return f"{process.name} sees {unexpected or 'nothing'}"
+            case scenarios.Status():
+                for process, reply in await self.query_each(check.of, world.status):
+                    if not matches(check, value_at(reply, check.path)):
+                        return f"{process.name} reports {check.path} = {value_at(reply, check.path)!r}"
+            case scenarios.Logged():
+                for process in world.matching_processes(check.of):
+                    count = world.count_in_log(process, check.text)
                     if count != check.times if check.times is not None else not count:
-                        return f"the log of {part.name} has {check.text!r} {count} times"
-            case told.Runs():
-                for part in world.named(check.of):
-                    if part.is_running != check.runs:
-                        return f"{part.name} runs: {part.is_running}"
+                        return f"the log of {process.name} has {check.text!r} {count} times"
+            case scenarios.Running():
+                for process in world.matching_processes(check.of):
+                    if process.is_running != check.runs:
+                        return f"{process.name} runs: {process.is_running}"
         return ""
 
-    async def each(self, patterns: list[str], ask: Callable[[Any], Any]) -> list[tuple[Any, Any]]:
-        parts = self.world.named(patterns)
-        return list(zip(parts, await asyncio.gather(*(ask(part) for part in parts)), strict=True))
+    async def query_each(self, patterns: list[str], query: Callable[[Any], Any]) -> list[tuple[Any, Any]]:
+        """Query the matching processes concurrently and pair each with its result."""
+        processes = self.world.matching_processes(patterns)
+        return list(
+            zip(processes, await asyncio.gather(*(query(process) for process in processes)), strict=True)
+        )
 
 
-def dig(tree: Any, path: str) -> Any:
+def value_at(tree: Any, path: str) -> Any:
+    """Return the value at a dotted path, or None."""
     for key in path.split("."):
         tree = tree.get(key) if isinstance(tree, dict) else None
     return tree
 
 
-def fits(check: told.Status, value: Any) -> bool:
+def matches(check: scenarios.Status, value: Any) -> bool:
+    """Return whether a value passes a status check."""
     if check.equals is not None and value != check.equals:
         return False
     if check.least is not None or check.most is not None:
@@ -266,10 +297,12 @@
     return value is not None
 
 
-def lines_to(*files: Any) -> Callable[[Any], None]:
-    def note(told: Any) -> None:
+def write_lines_to(*files: Any) -> Callable[[Any], None]:
+    """Return a callback that writes each event to all files as a line of JSON."""
+
+    def write_event(event: Any) -> None:
         for file in files:
-            file.write(json.dumps(told) + "\n")
+            file.write(json.dumps(event) + "\n")
             file.flush()
 
-    return note
+    return write_event
