--- a/api_gateway/demo/__init__.py
+++ b/api_gateway/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A small fleet on loopback with traffic of its own: `api-gateway demo`."""
+"""The command `api-gateway demo`: a small cluster on the loopback address with generated traffic."""
--- a/api_gateway/demo/play.py
+++ b/api_gateway/demo/play.py
@@ -1,4 +1,4 @@
-"""One demo from start to end: the fleet, its traffic, its troubles, and what there is to see."""
+"""Runs the demo: starts the cluster, sends traffic, injects faults and shows the results."""
 
 from __future__ import annotations
 
@@ -19,216 +19,276 @@
 from api_gateway.supervisor.errors import StartError
 from api_gateway.supervisor.local_cluster import LocalCluster
 
-BEYOND_MOST = 1.0  # bursts that a customer may be past its quota: what the dead spent, nobody was told
-REFRESH = 0.5  # s
+# Bursts by which a customer may exceed its quota, because the units that a killed gateway spent may never
+# have been reported to the others.
+MAX_EXCESS_BURSTS = 1.0
+REFRESH_INTERVAL_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What is to happen; times in seconds from the first request, 0: not at all."""
+class DemoOptions:
+    """Options of the demo; field names are the parameter names of the command `demo`.
+
+    Attributes:
+        gateways: Number of gateways.
+        hosts: Number of hosts.
+        seconds: Duration of the traffic; 0 until the demo is stopped.
+        kill_gateway_at: Seconds from the first request to the end of a gateway by SIGKILL; 0 for never.
+        stop_counter_at: Seconds from the first request to the silence of the counter; 0 for never.
+        lasting: Duration of each fault in seconds.
+        scale: Factor applied to the traffic.
+        folder: Where configurations and logs are written and remain; None for a temporary folder.
+        seed: Seed of the traffic.
+    """
 
     gateways: int = 2
     hosts: int = 4
-    seconds: float = 0.0  # 0: until it is ended
+    seconds: float = 0.0
     kill_gateway_at: float = 0.0
     stop_counter_at: float = 0.0
-    lasting: float = 4.0  # how long a trouble lasts
-    scale: float = 1.0  # of the traffic
-    folder: Path | None = None  # for files and logs, which then stay
+    lasting: float = 4.0
+    scale: float = 1.0
+    folder: Path | None = None
     seed: int = 1
 
 
 class Demo:
-    def __init__(self, plan: Plan, folder: Path) -> None:
-        self.plan, self.fleet = plan, LocalCluster(folder, plan.gateways, plan.hosts)
+    """One run of the demo.
+
+    Attributes:
+        options: The options of the run.
+        cluster: The processes.
+        traffic: The traffic; None until the cluster is ready.
+        hosts: The last status of each host; None for a host that did not answer.
+        events: What happened, in order.
+        exited: Names of processes that ended by themselves.
+        stop_requested: Set to end the traffic.
+    """
+
+    def __init__(self, options: DemoOptions, folder: Path) -> None:
+        """Create the cluster in `folder`; nothing is started yet."""
+        self.options, self.cluster = options, LocalCluster(folder, options.gateways, options.hosts)
         self.traffic: Traffic | None = None
         self.hosts: dict[str, Any] = {}
         self.events: list[dict[str, Any]] = []
-        self.dead: set[str] = set()
-        self.ended = asyncio.Event()
+        self.exited: set[str] = set()
+        self.stop_requested = asyncio.Event()
 
-    def note(self, what: str) -> None:
-        self.events.append({"at": round(self.traffic.elapsed() if self.traffic else 0.0, 1), "what": what})
+    def record_event(self, description: str) -> None:
+        """Append an event with the current time of the traffic."""
+        self.events.append(
+            {"at": round(self.traffic.elapsed() if self.traffic else 0.0, 1), "what": description}
+        )
 
     async def run(self, show: Callable[[dict[str, Any]], None] | None) -> dict[str, Any]:
-        """Raises StartError. What it all came to."""
+        """Run the demo from start to end and return its report.
+
+        Args:
+            show: Called with the current report at regular intervals.
+
+        Raises:
+            StartError: A process did not start.
+        """
         try:
-            await self.fleet.start()
-            places = [part.addresses["listen"] for part in self.fleet.gateways]
-            self.traffic = Traffic(places, self.plan.seed, self.plan.scale)
-            troubles = [asyncio.create_task(act) for act in (self.kill(), self.silence(), self.look(show))]
+            await self.cluster.start()
+            addresses = [gateway.addresses["listen"] for gateway in self.cluster.gateways]
+            self.traffic = Traffic(addresses, self.options.seed, self.options.scale)
+            tasks = [
+                asyncio.create_task(coroutine)
+                for coroutine in (self.kill_gateway(), self.silence_counter(), self.monitor(show))
+            ]
             try:
-                await self.traffic.run(self.plan.seconds or None, self.ended)
+                await self.traffic.run(self.options.seconds or None, self.stop_requested)
             finally:
-                for task in troubles:
+                for task in tasks:
                     task.cancel()
-                await asyncio.gather(*troubles, return_exceptions=True)
-            await self.ask_hosts()
-            self.note_dead()
-            return self.result()
+                await asyncio.gather(*tasks, return_exceptions=True)
+            await self.poll_hosts()
+            self.record_exits()
+            return self.report()
         finally:
-            await self.fleet.stop()
-
-    async def kill(self) -> None:
-        if self.plan.kill_gateway_at:
-            await asyncio.sleep(self.plan.kill_gateway_at)
-            part = self.fleet.gateways[-1]
-            await part.kill()
-            self.note(f"{part.name} killed")
-            await asyncio.sleep(self.plan.lasting)
-            await self.fleet.start_gateway(part)
-            self.note(f"{part.name} back")
-
-    async def silence(self) -> None:
-        if self.plan.stop_counter_at:
-            await asyncio.sleep(self.plan.stop_counter_at)
-            await self.fleet.set_counter_silent(True)
-            self.note("counter silent")
-            await asyncio.sleep(self.plan.lasting)
-            await self.fleet.set_counter_silent(False)
-            self.note("counter back")
-
-    async def look(self, show: Callable[[dict[str, Any]], None] | None) -> None:
+            await self.cluster.stop()
+
+    async def kill_gateway(self) -> None:
+        """Kill the last gateway and restart it later, if the options say so."""
+        if self.options.kill_gateway_at:
+            await asyncio.sleep(self.options.kill_gateway_at)
+            gateway = self.cluster.gateways[-1]
+            await gateway.kill()
+            self.record_event(f"{gateway.name} killed")
+            await asyncio.sleep(self.options.lasting)
+            await self.cluster.start_gateway(gateway)
+            self.record_event(f"{gateway.name} back")
+
+    async def silence_counter(self) -> None:
+        """Keep the counter from answering for a while, if the options say so."""
+        if self.options.stop_counter_at:
+            await asyncio.sleep(self.options.stop_counter_at)
+            await self.cluster.set_counter_silent(True)
+            self.record_event("counter silent")
+            await asyncio.sleep(self.options.lasting)
+            await self.cluster.set_counter_silent(False)
+            self.record_event("counter back")
+
+    async def monitor(self, show: Callable[[dict[str, Any]], None] | None) -> None:
+        """Check for ended processes and show the report at regular intervals until cancelled."""
         while True:
-            self.note_dead()
+            self.record_exits()
             if show is not None:
-                await self.ask_hosts()
-                show(self.result())
-            await asyncio.sleep(REFRESH)
+                await self.poll_hosts()
+                show(self.report())
+            await asyncio.sleep(REFRESH_INTERVAL_S)
 
-    def note_dead(self) -> None:
-        for name in set(self.fleet.unexpected_exits()) - self.dead:
-            self.dead.add(name)
-            self.note(f"{name} has died")
+    def record_exits(self) -> None:
+        """Record an event for each process that newly ended by itself."""
+        for name in set(self.cluster.unexpected_exits()) - self.exited:
+            self.exited.add(name)
+            self.record_event(f"{name} has died")
 
-    async def ask_hosts(self) -> None:
-        for part in self.fleet.hosts:
-            told = await self.fleet.request_json(f"http://{part.addresses['control']}/status")
-            self.hosts[part.name] = {"commands": told["commands"], "inside": told["inside"]} if told else None
+    async def poll_hosts(self) -> None:
+        """Request the status of each host."""
+        for host in self.cluster.hosts:
+            status = await self.cluster.request_json(f"http://{host.addresses['control']}/status")
+            self.hosts[host.name] = (
+                {"commands": status["commands"], "inside": status["inside"]} if status else None
+            )
 
-    def result(self) -> dict[str, Any]:
+    def report(self) -> dict[str, Any]:
+        """Return the results so far, as `--json` prints them."""
         assert self.traffic is not None
-        told = self.traffic.summary()
-        most = max(plan["most_beyond_in_bursts"] for plan in told["plans"].values())
+        summary = self.traffic.summary()
+        max_excess = max(plan["most_beyond_in_bursts"] for plan in summary["plans"].values())
         return {
-            **told,
-            "quota_kept": most <= BEYOND_MOST,
-            "quota_bound_in_bursts": BEYOND_MOST,
+            **summary,
+            "quota_kept": max_excess <= MAX_EXCESS_BURSTS,
+            "quota_bound_in_bursts": MAX_EXCESS_BURSTS,
             "gateways": {
-                part.name: {
-                    "alive": part.is_running,
-                    "ready": door.ready,
-                    "control": part.addresses["control"],
-                    **door.outcomes,
+                process.name: {
+                    "alive": process.is_running,
+                    "ready": client.ready,
+                    "control": process.addresses["control"],
+                    **client.outcomes,
                 }
-                for part, door in zip(self.fleet.gateways, self.traffic.doors, strict=True)
+                for process, client in zip(self.cluster.gateways, self.traffic.gateways, strict=True)
             },
             "hosts": self.hosts,
             "events": self.events,
-            "died": sorted(self.dead),
+            "died": sorted(self.exited),
         }
 
 
-def table(told: dict[str, Any]) -> Any:
-    """The state of a demo for a terminal."""
+def render(report: dict[str, Any]) -> Any:
+    """Return a report as tables for a terminal."""
     from rich.console import Group
     from rich.table import Table
 
-    def rows(title: str, heads: list[str], lines: list[list[Any]]) -> Table:
-        made = Table(title=title, title_justify="left", expand=False)
-        for number, head in enumerate(heads):
-            made.add_column(head, justify="left" if number == 0 else "right", overflow="fold")
-        for line in lines:
-            made.add_row(*("-" if cell is None else str(cell) for cell in line))
-        return made
+    def make_table(title: str, headings: list[str], rows: list[list[Any]]) -> Table:
+        table = Table(title=title, title_justify="left", expand=False)
+        for number, heading in enumerate(headings):
+            table.add_column(heading, justify="left" if number == 0 else "right", overflow="fold")
+        for row in rows:
+            table.add_row(*("-" if cell is None else str(cell) for cell in row))
+        return table
 
-    total = " ".join(f"{name} {told[name]}" for name in OUTCOMES)
+    total = " ".join(f"{name} {report[name]}" for name in OUTCOMES)
     classes = [
-        [name, *(c[o] for o in OUTCOMES), c["median_ms"], c["p99_ms"]] for name, c in told["classes"].items()
+        [name, *(c[outcome] for outcome in OUTCOMES), c["median_ms"], c["p99_ms"]]
+        for name, c in report["classes"].items()
     ]
     plans = [
         [
             name,
-            p["customers"],
-            f"{p['asked_of_quota']:.0%}",
-            f"{p['used_of_quota']:.0%}",
-            p["most_beyond_in_bursts"],
+            plan["customers"],
+            f"{plan['asked_of_quota']:.0%}",
+            f"{plan['used_of_quota']:.0%}",
+            plan["most_beyond_in_bursts"],
         ]
-        for name, p in told["plans"].items()
+        for name, plan in report["plans"].items()
     ]
     gateways = [
         [
             name,
-            g["control"],
-            "ready" if g["ready"] else "away",
-            *(g.get(o, 0) for o in OUTCOMES),
-            g.get("reset", 0),
+            gateway["control"],
+            "ready" if gateway["ready"] else "away",
+            *(gateway.get(outcome, 0) for outcome in OUTCOMES),
+            gateway.get("reset", 0),
         ]
-        for name, g in told["gateways"].items()
+        for name, gateway in report["gateways"].items()
     ]
     hosts = [
         [
             name,
-            h["inside"] if h else "away",
-            *((h["commands"].get(o, 0) if h else None) for o in ("served", "repeated", "busy", "error")),
+            host["inside"] if host else "away",
+            *(
+                (host["commands"].get(outcome, 0) if host else None)
+                for outcome in ("served", "repeated", "busy", "error")
+            ),
         ]
-        for name, h in told["hosts"].items()
+        for name, host in report["hosts"].items()
     ]
-    events = "\n".join(f"{event['at']:6.1f} s  {event['what']}" for event in told["events"][-6:])
+    events = "\n".join(f"{event['at']:6.1f} s  {event['what']}" for event in report["events"][-6:])
     return Group(
-        f"{told['seconds']:.1f} s  {total}  tried again {told['tried_again']}  quota kept: "
-        f"{'yes' if told['quota_kept'] else 'NO'}",
-        rows("by class", ["class", *OUTCOMES, "median ms", "p99 ms"], classes),
-        rows(
+        f"{report['seconds']:.1f} s  {total}  tried again {report['tried_again']}  quota kept: "
+        f"{'yes' if report['quota_kept'] else 'NO'}",
+        make_table("by class", ["class", *OUTCOMES, "median ms", "p99 ms"], classes),
+        make_table(
             "by plan, over all gateways",
-            ["plan", "customers", "asked of quota", "used of quota", "most beyond (bursts)"],
+            ["plan", "customers", "requested of quota", "used of quota", "max over quota (bursts)"],
             plans,
         ),
-        rows("gateways", ["gateway", "operators call", "state", *OUTCOMES, "broke off"], gateways),
-        rows("hosts", ["host", "inside", "served", "repeated", "busy", "error"], hosts),
+        make_table("gateways", ["gateway", "control address", "state", *OUTCOMES, "reset"], gateways),
+        make_table("hosts", ["host", "in progress", "served", "repeated", "busy", "error"], hosts),
         events,
     )
 
 
-async def watched(demo: Demo, show: Callable[[dict[str, Any]], None] | None) -> dict[str, Any]:
-    """SIGTERM, SIGINT and SIGHUP (a closed terminal) end it in order; what came so far is told."""
+async def run_until_stopped(demo: Demo, show: Callable[[dict[str, Any]], None] | None) -> dict[str, Any]:
+    """Run a demo and return its report; SIGTERM, SIGINT and SIGHUP (a closed terminal) end it early."""
     task = asyncio.create_task(demo.run(show))
 
-    def end() -> None:
-        demo.ended.set()
-        if demo.traffic is None:  # it is starting yet
+    def stop() -> None:
+        demo.stop_requested.set()
+        if demo.traffic is None:  # the cluster is still starting
             task.cancel()
 
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        asyncio.get_running_loop().add_signal_handler(number, end)
+        asyncio.get_running_loop().add_signal_handler(number, stop)
     return await task
 
 
-def play(plan: Plan, as_json: bool) -> int:
-    """0: nothing was lost, quotas held and all processes lived; 1: not so; 2: it could not start."""
+def play(options: DemoOptions, as_json: bool) -> int:
+    """Run the demo, print its results and return the exit code.
+
+    Args:
+        options: The options of the demo.
+        as_json: Whether to print only the final report, as JSON.
+
+    Returns:
+        0 if no request was lost, quotas were kept and no process died; 1 if not; 2 if it could not start.
+    """
     from rich.console import Console
     from rich.live import Live
 
-    out, live = Console(), None
+    console, live = Console(), None
     try:
         with contextlib.ExitStack() as stack:
-            folder = plan.folder or Path(
+            folder = options.folder or Path(
                 stack.enter_context(tempfile.TemporaryDirectory(prefix="cinderrouter-"))
             )
             folder.mkdir(parents=True, exist_ok=True)
-            demo = Demo(plan, folder)
-            if not as_json and out.is_terminal:
-                live = stack.enter_context(Live(console=out, auto_refresh=False))
-            show = (lambda told: live.update(table(told), refresh=True)) if live else None
-            told = uvloop.run(watched(demo, show))
+            demo = Demo(options, folder)
+            if not as_json and console.is_terminal:
+                live = stack.enter_context(Live(console=console, auto_refresh=False))
+            show = (lambda report: live.update(render(report), refresh=True)) if live else None
+            report = uvloop.run(run_until_stopped(demo, show))
     except (StartError, OSError) as err:
         print(f"api-gateway demo: {' '.join(str(err).split())}", file=sys.stderr)
         return 2
     except asyncio.CancelledError:
         return 2
-    with contextlib.suppress(OSError):  # whoever read it has gone
+    with contextlib.suppress(OSError):  # the reader of a pipe may have exited
         if as_json:
-            print(json.dumps(told), flush=True)
+            print(json.dumps(report), flush=True)
         elif live is None:
-            out.print(table(told))
-    return 0 if told["quota_kept"] and not told["lost"] and not told["died"] else 1
+            console.print(render(report))
+    return 0 if report["quota_kept"] and not report["lost"] and not report["died"] else 1
--- a/api_gateway/emulators/__init__.py
+++ b/api_gateway/emulators/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems that a gateway lives among: hosts, the counter, discovery. For trials."""
+"""Stand-ins for the hosts, the counter and discovery, for the demo, experiments and tests."""
--- a/api_gateway/emulators/site.py
+++ b/api_gateway/emulators/site.py
@@ -1,13 +1,13 @@
-"""A configuration for a gateway among stand-ins, in the platform's form."""
+"""The configuration of a gateway that uses stand-ins, in the format that the gateway reads."""
 
 from __future__ import annotations
 
 from typing import Any
 
-S = 1_000_000_000  # ns: times of the settings are told in them
+NS_PER_S = 1_000_000_000  # settings give times in nanoseconds
 Json = dict[str, Any]
 
-BASE: Json = {
+BASE_SETTINGS: Json = {
     "group_size": 1,
     "index": 0,
     "locality": "a",
@@ -18,18 +18,18 @@
         "probes": True,
         "max_attempts": 3,
         "retry_after": True,
-        "max_retry_after": 2 * S,
-        "connect_timeout": S // 4,
-        "idle_close": 30 * S,
+        "max_retry_after": 2 * NS_PER_S,
+        "connect_timeout": NS_PER_S // 4,
+        "idle_close": 30 * NS_PER_S,
         "max_open": 20000,
     },
     "rules": {
         "answer_slack": 8_000_000,
-        "drain_grace": S,
+        "drain_grace": NS_PER_S,
         "start_capacity": 0.2,
-        "cold": S,
+        "cold": NS_PER_S,
         "fall_multiple": 2.0,
-        "tip_after": S,
+        "tip_after": NS_PER_S,
     },
     "prices": {"cross_zone": 0.005},
     "reporting": {"names": ["active"], "via": "answers"},
@@ -43,11 +43,11 @@
 }
 
 
-def entry(name: str, place: str, state: str = "up", zone: str = "a") -> Json:
-    """A host as discovery tells it; `place` is HOST:PORT."""
+def entry(name: str, address: str, state: str = "up", zone: str = "a") -> Json:
+    """Return a host's entry of the endpoint list, in discovery's format; `address` is HOST:PORT."""
     return {
         "id": name,
-        "addr": place,
+        "addr": address,
         "zone": zone,
         "kind": "k",
         "cell": 0,
@@ -65,6 +65,16 @@
     name: str = "n0",
     listen: str = "127.0.0.1:0",
 ) -> Json:
+    """Return a configuration.
+
+    Args:
+        listed: Entries of the endpoint list that is known at the start.
+        discovery: HOST:PORT of discovery.
+        counter: HOST:PORT of the counter.
+        settings: The settings of the gateway's policy.
+        name: The gateway's name.
+        listen: HOST:PORT at which clients connect.
+    """
     return {
         "name": name,
         "listen": listen,
--- a/api_gateway/experiments/budgets/meter.py
+++ b/api_gateway/experiments/budgets/meter.py
@@ -22,7 +22,7 @@
 
 from api_gateway.budgets.config import ConfigFile
 from api_gateway.budgets.settings import LEVEL, BudgetSettings
-from api_gateway.emulators.service import Served, run
+from api_gateway.emulators.service import StreamStandIn, run
 from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
 
 SETTLE = 0.05  # s
@@ -30,7 +30,7 @@
 IDLE = 0.4  # s without a sign of life after which a connection is closed
 
 
-class Meter(Served):
+class Meter(StreamStandIn):
     def __init__(self, terms: BudgetSettings) -> None:
         super().__init__()
         self.began = monotonic()
--- a/api_gateway/experiments/connection_load.py
+++ b/api_gateway/experiments/connection_load.py
@@ -27,7 +27,7 @@
 import hiredis
 import uvloop
 
-from api_gateway.demo.traffic import Door, Line, encode
+from api_gateway.demo.traffic import Connection, GatewayClient, encode
 from api_gateway.supervisor.local_cluster import LocalCluster
 
 PLAN = {"name": "open", "rate": 1e5, "most_at_once": 1e6}  # no customer exceeds this quota
@@ -102,8 +102,8 @@
     host, _, port = address.rpartition(":")
     while time.monotonic() < end:
         try:
-            line = Line(*await asyncio.open_connection(host, int(port)))
-            counts["served" if await line.ask([b"PING"]) == b"+" else "refused"] += 1
+            line = Connection(*await asyncio.open_connection(host, int(port)))
+            counts["served" if await line.request([b"PING"]) == b"+" else "refused"] += 1
             line.writer.close()
         except (OSError, EOFError):
             counts["refused"] += 1
@@ -135,14 +135,14 @@
 async def run_light_client(number: int, address: str, end: float, results: list[tuple[float, bytes]]) -> None:
     """Send requests on a schedule, independent of earlier replies, each on an idle connection."""
     door, requests, due = (
-        Door(address),
+        GatewayClient(address),
         list[asyncio.Task[None]](),
         time.monotonic() + REQUEST_INTERVAL_S * number / LIGHT_CLIENTS,
     )
 
     async def send_request(due: float, request_id: bytes) -> None:
-        line = await door.line()
-        reply = await line.ask([b"API.READ", b"%016x" % (0x10000 + number), request_id, REQUEST_TERMS])
+        line = await door.connect()
+        reply = await line.request([b"API.READ", b"%016x" % (0x10000 + number), request_id, REQUEST_TERMS])
         results.append((time.monotonic() - due, reply))
         door.idle.append(line)
 
--- a/api_gateway/experiments/scale/rig.py
+++ b/api_gateway/experiments/scale/rig.py
@@ -13,7 +13,7 @@
 
 import aiohttp
 
-from api_gateway.emulators.site import BASE, Json, config
+from api_gateway.emulators.site import BASE_SETTINGS, Json, config
 from api_gateway.experiments.scale.crowds import NO_NEWS
 from api_gateway.supervisor.errors import StartError
 from api_gateway.supervisor.ports import free_port
@@ -228,7 +228,7 @@
         """A real gateway, by the deploy file's module where none is named; seconds until it is ready."""
         name = f"gateway-{number}"
         lists, counts = Wire(self.service_at), Wire(self.counter.addresses["listen"])
-        settings = BASE | {
+        settings = BASE_SETTINGS | {
             "services": CLASSES,
             "plans": list(PLANS),
             "index": number,
--- a/api_gateway/experiments/scale/tables.py
+++ b/api_gateway/experiments/scale/tables.py
@@ -652,7 +652,7 @@
             book.of("tenants", "names"),
             None,
             "none",
-            book.code("emulators.counter", "MOST_NAMES", "names"),
+            book.code("emulators.counter", "MAX_NAMES", "names"),
             "the operators' own",
             past="the stand-in forgets the one that came first; the operators' own may not",
         ),
--- a/api_gateway/supervisor/__init__.py
+++ b/api_gateway/supervisor/__init__.py
@@ -1,1 +1,1 @@
-"""Keeps processes of the program on this machine: for the demo, the lab and the tests."""
+"""Starts and stops processes of the program on this machine for the demo, experiments and tests."""
--- a/api_gateway/supervisor/errors.py
+++ b/api_gateway/supervisor/errors.py
@@ -1,5 +1,5 @@
-"""Why a process could not be started."""
+"""Errors of starting processes."""
 
 
 class StartError(Exception):
-    """A process did not come up; the text says which and why in one line."""
+    """A process did not start; the text gives its name and the reason in one line."""
--- a/api_gateway/supervisor/local_cluster.py
+++ b/api_gateway/supervisor/local_cluster.py
@@ -1,4 +1,4 @@
-"""A deployment on this machine: a list service, a counter, endpoints and gateways."""
+"""A cluster on this machine: a list service, a counter, hosts and gateways."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 import aiohttp
 
-from api_gateway.emulators.site import BASE, Json, config
+from api_gateway.emulators.site import BASE_SETTINGS, Json, config
 from api_gateway.supervisor.errors import StartError
 from api_gateway.supervisor.ports import LOOPBACK, free_port
 from api_gateway.supervisor.process import NO_ENVIRONMENT, READY_TIMEOUT_S, ManagedProcess
 from api_gateway.supervisor.sample_deployment import CLASSES, PLANS, ZONES
 
 MAX_CONCURRENT_STARTS = 16
-POLL_INTERVAL_S = 0.05  # between two requests while a process comes up
+POLL_INTERVAL_S = 0.05  # between requests that check whether a process is ready
 REQUEST_TIMEOUT_S = 1.0
-QUEUE_PER_SLOT = 16  # commands that wait at an endpoint for each that it works on
+QUEUE_PER_SLOT = 16  # queued commands per slot of a host
 DEFAULT_EXTRA_KEYS: Mapping[str, Any] = MappingProxyType({"edge": {}})
 
 
 class LocalCluster:
-    """Processes on the loopback address, which end with this one.
+    """The processes of a cluster, which listen on the loopback address and end when this process ends.
 
     Attributes:
         registry: The list service.
         counter: The emulated counter.
-        hosts: The emulated endpoints.
+        hosts: The emulated hosts.
         gateways: The gateways.
-        config_files: JSON documents that are written to the folder before the start, by name.
+        config_files: JSON documents by file name, written to the folder before the start.
     """
 
     def __init__(
@@ -40,21 +40,21 @@
         folder: Path,
         gateways: int,
         hosts: int,
-        work: float = 0.02,
+        work_s: float = 0.02,
         slots: int = 4,
         plans: Sequence[Json] = PLANS,
         extra_keys: Mapping[str, Any] = DEFAULT_EXTRA_KEYS,
     ) -> None:
-        """Starts nothing yet.
+        """Prepare the processes; none is started yet.
 
         Args:
-            folder: Of configurations and logs.
-            gateways: How many.
-            hosts: How many endpoints.
-            work: Seconds that an endpoint takes for a command.
-            slots: Commands that it works on at once.
+            folder: Folder of configurations and logs.
+            gateways: Number of gateways.
+            hosts: Number of hosts.
+            work_s: Mean seconds of work of a host per command.
+            slots: Number of commands that a host works on at once.
             plans: The customers' plans.
-            extra_keys: Further keys of each gateway's configuration.
+            extra_keys: Additional keys of each gateway's configuration.
         """
         self.folder = folder
         self.plans = plans
@@ -65,27 +65,27 @@
             "registry", "api_gateway.registry", env={"REGISTRY_CONFIG": str(folder / "registry.json")}
         )
         self.counter = self.make_emulator("counter", "counter")
-        self.hosts = [self.make_endpoint(number, work, slots) for number in range(hosts)]
+        self.hosts = [self.make_host(number, work_s, slots) for number in range(hosts)]
         self.gateways = [self.make_gateway(number) for number in range(gateways)]
         self.session: Any = None
 
     def make_process(
         self, name: str, module: str, *args: str, env: Mapping[str, str] = NO_ENVIRONMENT
     ) -> ManagedProcess:
-        """Returns a process of the program, not started yet."""
+        """Return a process of the program, not started yet."""
         return ManagedProcess(name, self.folder, module, *args, env=env)
 
     def make_emulator(self, name: str, kind: str, *args: str) -> ManagedProcess:
-        """Returns an emulator of that kind, not started yet."""
+        """Return a stand-in of a kind such as "host" or "counter", not started yet."""
         return self.make_process(name, "api_gateway.cli", "standin", kind, *args)
 
-    def make_endpoint(self, number: int, work: float, slots: int) -> ManagedProcess:
-        """Returns an endpoint that registers itself, not started yet."""
+    def make_host(self, number: int, work_s: float, slots: int) -> ManagedProcess:
+        """Return a host that registers itself with the list service, not started yet."""
         name = f"host-{number}"
         options = {
             "--name": name,
             "--zone": ZONES[number % len(ZONES)],
-            "--work": str(work),
+            "--work": str(work_s),
             "--slots": str(slots),
             "--room": str(QUEUE_PER_SLOT * slots),
             "--register": self.registry_address,
@@ -95,7 +95,7 @@
         return self.make_emulator(name, "host", *arguments)
 
     def make_gateway(self, number: int) -> ManagedProcess:
-        """Returns a gateway with two addresses, not started yet."""
+        """Return a gateway with a client address and a control address, not started yet."""
         name = f"gateway-{number}"
         folder = self.folder / name
         folder.mkdir(exist_ok=True)
@@ -111,14 +111,14 @@
         return gateway
 
     def all_processes(self) -> list[ManagedProcess]:
-        """Returns all processes, those that others need first."""
+        """Return all processes; each comes after those that it depends on."""
         return [self.registry, self.counter, *self.hosts, *self.gateways]
 
     async def start(self) -> None:
-        """Starts all processes and waits until they are ready.
+        """Start all processes and wait until they are ready.
 
         Raises:
-            StartError: One did not come up.
+            StartError: A process did not start.
         """
         servers = await self.start_dependencies()
         for number, gateway in enumerate(self.gateways):
@@ -127,10 +127,10 @@
         await self.start_gateways(self.gateways)
 
     async def start_dependencies(self) -> list[Json]:
-        """Starts what gateways depend on; returns the endpoints in discovery's form.
+        """Start the processes that gateways depend on and return the endpoint list in discovery's format.
 
         Raises:
-            StartError: One did not come up.
+            StartError: A process did not start.
         """
         self.open_session()
         for name, document in self.config_files.items():
@@ -149,12 +149,12 @@
         return servers
 
     def open_session(self) -> None:
-        """Makes the HTTP session, which `stop` closes."""
+        """Create the HTTP session, which `stop` closes."""
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S))
 
     def gateway_config(self, number: int, gateway: ManagedProcess, servers: list[Json]) -> Json:
-        """Returns the configuration of a gateway."""
-        settings = BASE | {
+        """Return the configuration of a gateway."""
+        settings = BASE_SETTINGS | {
             "services": CLASSES,
             "plans": list(self.plans),
             "index": number,
@@ -169,38 +169,38 @@
             gateway.name,
             gateway.addresses["listen"],
         )
-        own_keys = {"seed": f"{number + 1:x}", "control": gateway.addresses["control"]}
-        return document | own_keys | dict(self.extra_keys)
+        instance_keys = {"seed": f"{number + 1:x}", "control": gateway.addresses["control"]}
+        return document | instance_keys | dict(self.extra_keys)
 
     async def start_gateways(self, gateways: Sequence[ManagedProcess]) -> None:
-        """Starts gateways some at a time, so that each has its time to come up.
+        """Start gateways, at most MAX_CONCURRENT_STARTS at a time so that each becomes ready in time.
 
         Raises:
-            StartError: One did not come up.
+            StartError: A gateway did not start.
         """
         limit = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def start_in_turn(gateway: ManagedProcess) -> None:
+        async def start_with_limit(gateway: ManagedProcess) -> None:
             async with limit:
                 await self.start_gateway(gateway)
 
-        await asyncio.gather(*(start_in_turn(gateway) for gateway in gateways))
+        await asyncio.gather(*(start_with_limit(gateway) for gateway in gateways))
 
     async def start_gateway(self, gateway: ManagedProcess) -> None:
-        """Starts one gateway and waits until it is ready.
+        """Start one gateway and wait until it is ready.
 
         Raises:
-            StartError: It did not come up.
+            StartError: The gateway did not start.
         """
         await gateway.start()
         url = f"http://{gateway.addresses['control']}/status"
         await self.wait_for(gateway, url, lambda status: status["ready"])
 
     async def wait_for(self, process: ManagedProcess, url: str, is_expected: Callable[[Any], bool]) -> Any:
-        """Returns the JSON at `url` once it is as expected.
+        """Poll `url` until its JSON is as expected, and return it.
 
         Raises:
-            StartError: The process ended, or it took too long.
+            StartError: The process ended, or READY_TIMEOUT_S passed.
         """
         try:
             async with asyncio.timeout(READY_TIMEOUT_S):
@@ -214,26 +214,26 @@
         raise StartError(process.last_log_line())
 
     async def request_json(self, url: str, method: str = "GET") -> Any:
-        """Returns the JSON at `url`; None where the answer is not a 200."""
+        """Return the JSON at `url`; None if the request fails or the status is not 200."""
         try:
             async with self.session.request(method, url) as response:
                 return await response.json() if response.status == 200 else None
         except (aiohttp.ClientError, TimeoutError, ValueError):
             return None
 
-    async def set_counter_silent(self, on: bool) -> None:
-        """Lets the counter keep silent, or answer again."""
-        url = f"http://{self.counter.addresses['control']}/faults?silent={int(on)}"
+    async def set_counter_silent(self, silent: bool) -> None:
+        """Set whether the counter withholds its replies."""
+        url = f"http://{self.counter.addresses['control']}/faults?silent={int(silent)}"
         await self.request_json(url, "POST")
 
     def unexpected_exits(self) -> list[str]:
-        """Returns the names of processes that ended by themselves."""
+        """Return the names of processes that ended without being stopped."""
         return [
             process.name for process in self.all_processes() if process.should_run and not process.is_running
         ]
 
     async def stop(self) -> None:
-        """Ends all processes: gateways first, while what they need is still there."""
+        """Stop all processes, gateways first, because they depend on the others while they shut down."""
         await asyncio.gather(*(gateway.stop() for gateway in self.gateways))
         await asyncio.gather(*(process.stop() for process in (*self.hosts, self.counter)))
         await self.registry.stop()
--- a/api_gateway/supervisor/ports.py
+++ b/api_gateway/supervisor/ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that are about to listen."""
+"""Allocation of ports for processes that are about to listen."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from api_gateway.supervisor.errors import StartError
 
-# Below the range from which the kernel takes the ports of outgoing connections: one of these could have the
-# port a moment later, before the process that it is meant for.
+# Below the kernel's range of ephemeral ports: an outgoing connection could otherwise take a port before the
+# process for which it was allocated listens on it.
 PORT_RANGE = range(15000, 32000)
 PORT_ATTEMPTS = 1000
 LOOPBACK = "127.0.0.1"
 
-reserved_ports: set[tuple[socket.SocketKind, int]] = set()  # that a process may be about to listen on
+reserved_ports: set[tuple[socket.SocketKind, int]] = set()  # all ports returned so far
 
 
 def free_port(kind: socket.SocketKind = socket.SOCK_STREAM) -> int:
-    """Reserves a port of the loopback address that nobody listens on; none is returned twice.
+    """Return a port of the loopback address that is not in use; no port is returned twice.
 
     Args:
         kind: SOCK_STREAM for TCP, SOCK_DGRAM for UDP.
--- a/api_gateway/supervisor/process.py
+++ b/api_gateway/supervisor/process.py
@@ -1,4 +1,4 @@
-"""One process of the program: it is started, reports where it listens, and ends with its supervisor."""
+"""A child process that runs a module of the program and ends when its supervisor ends."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 from api_gateway.supervisor.errors import StartError
 
-READY_TIMEOUT_S = 20.0  # for a process to be ready
-STOP_TIMEOUT_S = 5.0  # after SIGTERM, at which a process is killed
-COPY_BYTES = 65536  # of a log that are copied at a time
+READY_TIMEOUT_S = 20.0  # time for a process to become ready
+STOP_TIMEOUT_S = 5.0  # time from SIGTERM to SIGKILL
+COPY_BYTES = 65536  # maximum read at once when output is copied to a log
 NO_ENVIRONMENT: Mapping[str, str] = MappingProxyType({})
 
-# Of Linux: options of prctl and numbers of capabilities.
+# Linux constants: options of prctl and numbers of capabilities.
 PR_SET_PDEATHSIG = 1
 PR_CAPBSET_DROP = 24
 CAP_DAC_OVERRIDE = 1
@@ -29,11 +29,13 @@
 
 
 def end_with_parent(parent: int, drops_root_access: bool) -> Callable[[], None]:
-    """Returns what a child calls before its program begins: the kernel ends it with its parent.
+    """Return a function that a child calls before it executes its program, so that it ends with its parent.
+
+    The kernel sends the child SIGTERM when the parent ends, even if SIGKILL ends the parent.
 
     Args:
-        parent: The process id of the parent, which may end by SIGKILL.
-        drops_root_access: Whether the modes of files count for the child, also where root starts it.
+        parent: The process id of the parent.
+        drops_root_access: Whether file modes apply to the child even if root starts it.
     """
     libc = ctypes.CDLL(None, use_errno=True)
 
@@ -49,12 +51,12 @@
 
 
 class ManagedProcess:
-    """One process, whose log is FOLDER/NAME.log; a start again appends to it.
+    """A process that can be started and stopped; its log is FOLDER/NAME.log, and a restart appends to it.
 
     Attributes:
-        name: Of the process and of its log.
-        addresses: Where it listens, HOST:PORT by name.
-        should_run: Whether it was started and not stopped.
+        name: Name of the process and of its log.
+        addresses: Addresses at which it listens, HOST:PORT by name.
+        should_run: Whether it was started and has not been stopped since.
     """
 
     def __init__(
@@ -66,16 +68,16 @@
         env: Mapping[str, str] = NO_ENVIRONMENT,
         isolated: bool = False,
     ) -> None:
-        """Starts nothing yet.
+        """Prepare a process; it is not started yet.
 
         Args:
-            name: See the class.
-            folder: Of the log.
+            name: Name of the process and of its log.
+            folder: Folder of the log.
             module: The program, as in `python -m MODULE`.
-            *args: Its arguments.
-            env: Variables beside those of this process.
-            isolated: Whether only its own files are subject to what happens to its disk: its log goes through
-                the supervisor, and file modes count for it.
+            *args: Arguments of the program.
+            env: Environment variables in addition to those of this process.
+            isolated: Whether disk faults are to affect only the files of this process: the supervisor writes
+                its log, and file modes apply to it even if root starts it.
         """
         self.name = name
         self.folder = folder
@@ -87,14 +89,15 @@
         self.addresses: dict[str, str] = {}
 
     async def start(self, reports_addresses: bool = False, pipes_output: bool = False) -> None:
-        """Starts the process.
+        """Start the process.
 
         Args:
-            reports_addresses: Whether its first line says in JSON where it listens; it is waited for.
-            pipes_output: Whether the caller reads what it prints.
+            reports_addresses: Whether the first line it prints gives its addresses as JSON; this method waits
+                for that line.
+            pipes_output: Whether the caller reads its standard output.
 
         Raises:
-            StartError: That line did not come.
+            StartError: It did not report its addresses.
         """
         with open(self.log_path, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -114,10 +117,10 @@
             await self.read_addresses(self.process.stdout)
 
     async def read_addresses(self, output: asyncio.StreamReader | None) -> None:
-        """Takes the addresses of the first line.
+        """Read the addresses from the first line of output.
 
         Raises:
-            StartError: It did not come, or is no JSON.
+            StartError: The line did not arrive in time or is not JSON.
         """
         assert output is not None
         try:
@@ -128,7 +131,7 @@
             raise StartError(self.last_log_line()) from err
 
     async def copy_to_log(self, output: asyncio.StreamReader | None) -> None:
-        """Copies what the process writes to its log, until its end."""
+        """Copy the output of the process to its log until the process ends."""
         assert output is not None
         with open(self.log_path, "ab") as log:
             while data := await output.read(COPY_BYTES):
@@ -137,37 +140,37 @@
 
     @property
     def log_path(self) -> Path:
-        """Where its log stands."""
+        """The path of the log."""
         return self.folder / f"{self.name}.log"
 
     @property
     def is_running(self) -> bool:
-        """Whether it was started and has not ended."""
+        """Whether the process was started and has not ended."""
         return self.process is not None and self.process.returncode is None
 
     def last_log_line(self) -> str:
-        """Returns its name with the last line of its log, which says why it ended."""
+        """Return the name and the last line of the log, which usually says why the process ended."""
         lines: list[str] = []
         if self.log_path.exists():
             lines = self.log_path.read_text(errors="replace").strip().splitlines()
-        return f"{self.name}: {lines[-1] if lines else 'did not come up'}"
+        return f"{self.name}: {lines[-1] if lines else 'did not start'}"
 
     def send_signal(self, number: int) -> None:
-        """Sends a signal, where the process runs."""
+        """Send a signal if the process is running."""
         if self.is_running:
             assert self.process is not None
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """Ends it by SIGKILL and waits for its end."""
+        """Send SIGKILL and wait until the process has ended."""
         self.should_run = False
         self.send_signal(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def stop(self) -> None:
-        """Ends it by SIGTERM, and by SIGKILL where that takes too long."""
+        """Send SIGTERM and wait until the process has ended; send SIGKILL after STOP_TIMEOUT_S."""
         self.should_run = False
         self.send_signal(signal.SIGTERM)
         if self.process is not None:
--- a/api_gateway/supervisor/sample_deployment.py
+++ b/api_gateway/supervisor/sample_deployment.py
@@ -1,23 +1,23 @@
-"""The classes and plans of the deployments that the demo and the experiments start."""
+"""The zones, service classes and plans of the deployments that the demo and the experiments start."""
 
 from __future__ import annotations
 
-from api_gateway.emulators.site import Json, S
+from api_gateway.emulators.site import NS_PER_S, Json
 
 ZONES = ("a", "b")
 
-# Times in nanoseconds, as in a site's configuration.
+# Times are in nanoseconds, as in the settings.
 CLASSES: list[Json] = [
-    {"name": "reading", "slo": 6 * S // 5, "deadline": 3 * S, "effect": "pure", "gain": 1.0},
-    {"name": "statement", "slo": 2 * S, "deadline": 4 * S, "effect": "pure", "gain": 2.0},
+    {"name": "reading", "slo": 6 * NS_PER_S // 5, "deadline": 3 * NS_PER_S, "effect": "pure", "gain": 1.0},
+    {"name": "statement", "slo": 2 * NS_PER_S, "deadline": 4 * NS_PER_S, "effect": "pure", "gain": 2.0},
     {
         "name": "settlement",
-        "slo": 2 * S,
-        "deadline": 5 * S,
+        "slo": 2 * NS_PER_S,
+        "deadline": 5 * NS_PER_S,
         "effect": "token",
         "gain": 5.0,
         "dedup_scope": "all",
-        "memory_span": 15 * S,
+        "memory_span": 15 * NS_PER_S,
     },
 ]
 PLANS: list[Json] = [
--- a/tests/experiments/test_scale_latency.py
+++ b/tests/experiments/test_scale_latency.py
@@ -147,14 +147,14 @@
                 )
                 for n in range(40)
             ]
-            await wait_until(lambda: len(stamps.done) + len(gw.counter.held) == 40)
+            await wait_until(lambda: len(stamps.done) + len(gw.counter.pending_replies) == 40)
             waits = [name for name, trace in stamps.open.items() if trace.part == "lease"]
             assert waits and len(waits) == len(stamps.open)
             clock.fault()
             gw.counter.silent = False
             with monkeypatch.context() as patched:
                 patched.setattr(gw.node.engine.endpoint_pool, "is_at_limit", lambda *args: True)
-                gw.counter.answer_all()
+                gw.counter.send_pending_replies()
                 await wait_until(lambda: any(trace.part == "queue" for trace in stamps.open.values()))
             gw.node.dispatcher.dispatch(api.TimerFired(0))
             await asyncio.gather(*asked)
--- a/tests/gateway/test_wall_clock_steps.py
+++ b/tests/gateway/test_wall_clock_steps.py
@@ -74,7 +74,7 @@
         super().__init__(SLOTS, WORK_S)
         self.times = []
 
-    def note(self, arguments):
+    def record_arrival(self, arguments):
         if arguments is not None:
             self.times.append(time.monotonic())
 
--- a/tests/golden/test_golden_experiments.py
+++ b/tests/golden/test_golden_experiments.py
@@ -37,9 +37,9 @@
 STAND_INS = {
     "counter": counter.Counter,
     "discovery": discovery.Discovery,
-    "host": lambda: host.WorkingHost(work=0.0),
+    "host": lambda: host.WorkingHost(work_s=0.0),
 }
-CONTROL_CALLS = service.Calls
+CONTROL_CALLS = service.ControlServer
 ACTIONS = [  # fields of actions by position
     (api.SendAttempt("t/1", "h1", 0.25), "ASSIGN i=3 txn=t/1 timeout=250000000 host=h1"),
     (api.SendAttempt("t/1", "h1"), "ASSIGN i=3 txn=t/1 timeout=0 host=h1"),
--- a/tests/netkit.py
+++ b/tests/netkit.py
@@ -22,7 +22,7 @@
 
 __all__ = ["StubHost", "StubCounter", "StubDiscovery", "VALUE"]
 
-SETTINGS = site.BASE | {
+SETTINGS = site.BASE_SETTINGS | {
     "services": [
         {"name": "read", "slo": 1_000_000_000, "deadline": 3_000_000_000, "effect": "pure", "gain": 1.0},
         {
--- a/tests/policy/test_quota_leases_cluster.py
+++ b/tests/policy/test_quota_leases_cluster.py
@@ -154,7 +154,7 @@
     await wait_until(lambda: cluster.lease_call_count() - calls_before == GATEWAYS)
     cluster.clock.epoch += cluster.remaining_window_s()
     cluster.counter.silent = False
-    cluster.counter.answer_all()
+    cluster.counter.send_pending_replies()
     await requests
 
 
@@ -186,7 +186,7 @@
 
 async def calls_refused(cluster):
     """No call is counted: admitted units stay owed, and no lease is granted."""
-    cluster.counter.switch(Faults(busy=1.0))
+    cluster.counter.set_faults(Faults(busy=1.0))
     await one_moment(cluster)
 
 
@@ -214,7 +214,7 @@
 
 async def some_lost(cluster):
     """Every third call has no answer."""
-    cluster.counter.switch(Faults(silent=0.33))
+    cluster.counter.set_faults(Faults(silent=0.33))
     await for_three_windows(cluster)
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -529,7 +529,7 @@
             self.hanging_hosts.clear()
         await wait_until(5.0)
         self.counter.silent = False
-        self.counter.answer_all()
+        self.counter.send_pending_replies()
         await wait_until(LOAD_DURATION_S)
         for sock in idle_connections:
             sock.close()
--- a/tests/test_counter_client.py
+++ b/tests/test_counter_client.py
@@ -23,7 +23,8 @@
         assert (await results.get())[0] == "timeout"
         node.counter.silent = False
         add(2)
-        node.counter.answer_all()  # the first answer arrives now, before or after the second request
+        # The first answer arrives now, before or after the second request.
+        node.counter.send_pending_replies()
         assert await results.get() == ("late", 1.0)
         assert await results.get() == ("ok", 3.0)
         assert [words[1:] for words in node.counter.calls] == [[b"8", b"1", b"4000"], [b"8", b"2", b"4000"]]
@@ -77,7 +78,7 @@
 @on_loop
 async def test_keep_alive_adapts_to_a_short_idle_timeout_of_the_counter(tmp_path):
     async with StubCounter() as stub:
-        stub.idle = 1.0
+        stub.idle_timeout = 1.0
         counter = CounterClient(("127.0.0.1", stub.port), 0.5)
         counter.start()
         for _ in counter.connections:  # each connection is closed once and learns the idle timeout
@@ -119,7 +120,7 @@
         counter.add(8, 2.5, 4, lambda name, result, total, elapsed: results.put_nowait((result, total)))
         await stub.arrived.get()
         stub.silent = False
-        stub.held[0][0].write(odd)
+        stub.pending_replies[0][0].write(odd)
         assert await results.get() == ("ok", 2.5)
         assert [words[2] for words in stub.calls] == [b"2.5", b"0"]
         counter.close()
