--- a/tests/demo/test_demo.py
+++ b/tests/demo/test_demo.py
@@ -1,4 +1,4 @@
-"""The command and its demo: what it starts, shows and leaves behind; the launcher; what `run` imports."""
+"""The demo command: its processes, output and errors; the launcher; the modules that a gateway imports."""
 
 import importlib.machinery
 import importlib.util
@@ -17,57 +17,59 @@
 from api_gateway.supervisor.errors import StartError
 from api_gateway.supervisor.local_cluster import LocalCluster
 
-SMALL = ("demo", "--gateways", "2", "--hosts", "2", "--json")
+SMALL_DEMO = ("demo", "--gateways", "2", "--hosts", "2", "--json")
 
 
-def test_nothing_is_lost_where_a_gateway_dies_and_the_counter_is_silent():
+def test_demo_loses_no_request_when_a_gateway_is_killed_and_the_counter_is_silent():
     command = Command(
-        *SMALL, "--seconds", "6", "--kill-gateway-at", "1.5", "--stop-counter-at", "2", "--for", "1"
+        *SMALL_DEMO, "--seconds", "6", "--kill-gateway-at", "1.5", "--stop-counter-at", "2", "--for", "1"
     )
     status, out, err = command.result()
-    told = json.loads(out)
+    report = json.loads(out)
     assert (status, err) == (0, "") and not command.running_processes()
-    assert told["lost"] == 0 and told["quota_kept"] and told["died"] == []
-    assert told["served"] > 100 and told["refused"] > 10  # some customers ask for more than their quota
-    assert {event["what"] for event in told["events"]} == {
+    assert report["lost"] == 0 and report["quota_kept"] and report["died"] == []
+    assert report["served"] > 100 and report["refused"] > 10  # some customers ask for more than their quota
+    assert {event["what"] for event in report["events"]} == {
         "gateway-1 killed",
         "counter silent",
         "counter back",
         "gateway-1 back",
     }
-    assert all(gateway["alive"] and gateway["served"] for gateway in told["gateways"].values())
-    # Each answer that a client got came from a host; a host may have done more, for a gateway that died.
-    done = sum(host["commands"].get("served", 0) for host in told["hosts"].values())
-    assert done >= told["served"] == sum(c["served"] for c in told["classes"].values())
+    assert all(gateway["alive"] and gateway["served"] for gateway in report["gateways"].values())
+    # Each reply to a client came from a host; hosts may have served more, for the gateway that was killed.
+    served_by_hosts = sum(host["commands"].get("served", 0) for host in report["hosts"].values())
+    assert served_by_hosts >= report["served"] == sum(c["served"] for c in report["classes"].values())
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM, signal.SIGHUP])
-def test_a_demo_that_is_ended_tells_what_came_so_far(number, tmp_path):
-    command = Command(*SMALL, scratch=tmp_path)
+def test_demo_ended_by_a_signal_prints_its_results(number, tmp_path):
+    command = Command(*SMALL_DEMO, scratch=tmp_path)
     command.wait_for_clients()
     command.process.send_signal(number)
     status, out, err = command.result()
     assert (status, err) == (0, "") and json.loads(out)["lost"] == 0 and not command.running_processes()
 
 
-def test_all_that_a_demo_started_ends_with_it_when_it_is_killed(tmp_path):
-    command = Command(*SMALL, scratch=tmp_path)
+def test_processes_of_a_demo_end_when_the_demo_is_killed(tmp_path):
+    command = Command(*SMALL_DEMO, scratch=tmp_path)
     command.wait_for_clients()
     command.process.kill()
     command.result()
     command.wait_until(lambda: not command.running_processes(), 10)
 
 
-def test_a_process_that_dies_is_told_and_the_rest_goes_on(tmp_path):
-    command = Command(*SMALL, scratch=tmp_path)
+def test_demo_reports_a_process_that_died_and_continues(tmp_path):
+    command = Command(*SMALL_DEMO, scratch=tmp_path)
     command.wait_for_clients()
-    (host,) = [number for number, line in command.running_processes().items() if "host-1" in line]
-    os.kill(host, signal.SIGKILL)
+    (host_pid,) = [pid for pid, line in command.running_processes().items() if "host-1" in line]
+    os.kill(host_pid, signal.SIGKILL)
     time.sleep(1.0)
     command.process.send_signal(signal.SIGINT)
     status, out, _ = command.result()
-    told = json.loads(out)
-    assert status == 1 and told["died"] == ["host-1"] and told["hosts"]["host-0"]["commands"]["served"] > 0
+    report = json.loads(out)
+    assert (
+        status == 1 and report["died"] == ["host-1"] and report["hosts"]["host-0"]["commands"]["served"] > 0
+    )
 
 
 @pytest.mark.parametrize(
@@ -83,30 +85,30 @@
         (("--help",), 0, ""),
     ],
 )
-def test_what_cannot_be_done_is_told_without_a_traceback(args, status, why):
-    ended, out, err = Command(*args).result()
-    assert ended == status and why in err and "Traceback" not in err + out
+def test_usage_and_start_errors_are_reported_without_a_traceback(args, status, why):
+    exit_status, out, err = Command(*args).result()
+    assert exit_status == status and why in err and "Traceback" not in err + out
 
 
-def test_output_that_is_piped_has_no_control_codes():
+def test_piped_output_contains_no_control_codes():
     status, out, _ = Command("demo", "--gateways", "1", "--hosts", "1", "--seconds", "1").result()
     assert status == 0 and "\x1b" not in out and "quota kept: yes" in out and "gateway-0" in out
 
 
 @on_loop
-async def test_a_port_in_use_is_told_by_the_process_that_needs_it(scratch):
-    fleet = LocalCluster(scratch, 1, 1)
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        fleet.gateways[0].addresses["listen"] = f"127.0.0.1:{taken.getsockname()[1]}"
+async def test_start_error_names_the_process_whose_port_is_in_use(scratch):
+    cluster = LocalCluster(scratch, 1, 1)
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        cluster.gateways[0].addresses["listen"] = f"127.0.0.1:{listener.getsockname()[1]}"
         with pytest.raises(StartError, match="gateway-0: .*[Aa]ddress already in use"):
-            await fleet.start()
-        await fleet.stop()
-    assert not any(part.is_running for part in fleet.all_processes())
+            await cluster.start()
+        await cluster.stop()
+    assert not any(process.is_running for process in cluster.all_processes())
 
 
 @pytest.mark.parametrize("folder", ["README.md/x", "/proc/none"])
-def test_a_folder_that_cannot_be_made_is_told_in_one_line(folder):
-    status, out, err = Command(*SMALL, "--folder", folder).result()
+def test_error_for_a_folder_that_cannot_be_created_is_one_line(folder):
+    status, out, err = Command(*SMALL_DEMO, "--folder", folder).result()
     assert status == 2 and err.startswith("api-gateway demo: ") and err.count("\n") == 1 and not out
 
 
@@ -114,8 +116,8 @@
 
 
 @pytest.fixture
-def program(tmp_path):
-    """The launcher beside a command that tells where it runs."""
+def launcher_folder(tmp_path):
+    """A folder with the launcher and a command that prints the prefix of the environment in which it runs."""
     (tmp_path / "api_gateway").mkdir()
     (tmp_path / "api_gateway" / "cli.py").write_text("import sys; print(sys.prefix, *sys.argv[1:])")
     for name in ("requirements.txt", "requirements-dev.txt"):
@@ -129,42 +131,46 @@
     return Command(*args, cwd=folder, program=(sys.executable, "api-gateway"))
 
 
-def test_an_environment_is_made_once_and_again_when_pins_change(program):
-    both = [launch(program, "a"), launch(program, "b")]  # at the same time
-    told = [command.result() for command in both]
-    assert [status for status, _, _ in told] == [0, 0]
-    assert "".join(err for _, _, err in told).count("making") == 1
-    assert told[0][1] == f"{program / '.api-gateway' / 'run'} a\n"
-    (program / ".api-gateway" / "run" / "made").unlink()  # what a start that was cut off leaves
-    assert "making" in launch(program).result()[2]
-    (program / "requirements.txt").write_text("# other pins\n")
-    assert "making" in launch(program).result()[2] and "making" not in launch(program).result()[2]
+def test_launcher_creates_the_environment_once_and_again_when_pins_change(launcher_folder):
+    commands = [launch(launcher_folder, "a"), launch(launcher_folder, "b")]  # at the same time
+    results = [command.result() for command in commands]
+    assert [status for status, _, _ in results] == [0, 0]
+    assert "".join(err for _, _, err in results).count("making") == 1
+    assert results[0][1] == f"{launcher_folder / '.api-gateway' / 'run'} a\n"
+    (launcher_folder / ".api-gateway" / "run" / "made").unlink()  # as after an interrupted creation
+    assert "making" in launch(launcher_folder).result()[2]
+    (launcher_folder / "requirements.txt").write_text("# other pins\n")
+    assert (
+        "making" in launch(launcher_folder).result()[2]
+        and "making" not in launch(launcher_folder).result()[2]
+    )
 
 
-def test_an_environment_that_cannot_be_made_is_told_in_one_line(program):
-    (program / "requirements.txt").write_text("no-such==file\n--no-index\n")
-    status, out, err = launch(program).result()
+def test_launcher_reports_an_environment_that_cannot_be_created(launcher_folder):
+    (launcher_folder / "requirements.txt").write_text("no-such==file\n--no-index\n")
+    status, out, err = launch(launcher_folder).result()
     assert status == 2 and "no environment could be made" in err and "Traceback" not in err and not out
 
 
-def test_beside_a_program_that_may_not_be_written_the_environment_is_in_the_cache(program, monkeypatch):
-    loader = importlib.machinery.SourceFileLoader("launcher", str(program / "api-gateway"))
+def test_launcher_in_a_read_only_folder_uses_the_cache_for_its_environment(launcher_folder, monkeypatch):
+    loader = importlib.machinery.SourceFileLoader("launcher", str(launcher_folder / "api-gateway"))
     launcher = importlib.util.module_from_spec(importlib.util.spec_from_loader("launcher", loader))
     loader.exec_module(launcher)
     monkeypatch.setattr(launcher.os, "access", lambda *_: False)
-    monkeypatch.setenv("XDG_CACHE_HOME", str(program / "cache"))
-    assert launcher.place(False).parent.parent == program / "cache" / "api-gateway"
+    monkeypatch.setenv("XDG_CACHE_HOME", str(launcher_folder / "cache"))
+    assert launcher.place(False).parent.parent == launcher_folder / "cache" / "api-gateway"
 
 
-def test_a_gateway_imports_what_it_needs_and_no_part_that_is_off():
-    told = subprocess.run(
+def test_gateway_imports_only_the_modules_it_needs():
+    """A gateway must not load parts that are switched off, nor the dependencies of the command line."""
+    imported = subprocess.run(
         [sys.executable, "-c", "import api_gateway.gateway.__main__, sys; print(*sorted(sys.modules))"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=True,
     ).stdout.split()
-    assert [name for name in told if name.startswith("api_gateway")] == [
+    assert [name for name in imported if name.startswith("api_gateway")] == [
         "api_gateway",
         "api_gateway.base",
         "api_gateway.base.accepting",
@@ -242,4 +248,4 @@
         "api_gateway.upstream.load_report",
         "api_gateway.upstream.pool",
     ]
-    assert not {"click", "rich", "aiohttp"} & set(told)
+    assert not {"click", "rich", "aiohttp"} & set(imported)
