--- a/api_gateway/experiments/connection_load.py
+++ b/api_gateway/experiments/connection_load.py
@@ -102,9 +102,9 @@
     host, _, port = address.rpartition(":")
     while time.monotonic() < end:
         try:
-            line = Connection(*await asyncio.open_connection(host, int(port)))
-            counts["served" if await line.request([b"PING"]) == b"+" else "refused"] += 1
-            line.writer.close()
+            connection = Connection(*await asyncio.open_connection(host, int(port)))
+            counts["served" if await connection.request([b"PING"]) == b"+" else "refused"] += 1
+            connection.writer.close()
         except (OSError, EOFError):
             counts["refused"] += 1
 
@@ -134,25 +134,27 @@
 
 async def run_light_client(number: int, address: str, end: float, results: list[tuple[float, bytes]]) -> None:
     """Send requests on a schedule, independent of earlier replies, each on an idle connection."""
-    door, requests, due = (
+    gateway, requests, due = (
         GatewayClient(address),
         list[asyncio.Task[None]](),
         time.monotonic() + REQUEST_INTERVAL_S * number / LIGHT_CLIENTS,
     )
 
     async def send_request(due: float, request_id: bytes) -> None:
-        line = await door.connect()
-        reply = await line.request([b"API.READ", b"%016x" % (0x10000 + number), request_id, REQUEST_TERMS])
+        connection = await gateway.connect()
+        reply = await connection.request(
+            [b"API.READ", b"%016x" % (0x10000 + number), request_id, REQUEST_TERMS]
+        )
         results.append((time.monotonic() - due, reply))
-        door.idle.append(line)
+        gateway.idle.append(connection)
 
     while due < end:
         await asyncio.sleep(max(0.0, due - time.monotonic()))
         requests.append(asyncio.create_task(send_request(due, b"l%d-%d" % (number, len(requests)))))
         due += REQUEST_INTERVAL_S
     await asyncio.gather(*requests)
-    for line in door.idle:
-        line.writer.close()
+    for connection in gateway.idle:
+        connection.writer.close()
 
 
 def cpu(pid: int) -> float:
