--- a/api_gateway/experiments/membership/__main__.py
+++ b/api_gateway/experiments/membership/__main__.py
@@ -1,4 +1,4 @@
-"""Figures of the failure detector, in virtual time: `python -m api_gateway.experiments.membership KIND`."""
+"""Measure the failure detector in virtual time: `python -m api_gateway.experiments.membership KIND`."""
 
 from __future__ import annotations
 
@@ -26,229 +26,273 @@
 from api_gateway.membership.swim import Swim
 
 LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
-SPLITS = (10.0, 60.0, 600.0, 3600.0)  # s
-PAUSES = (1.0, 3.0, 10.0, 60.0)  # s
-SETTLE = 120.0  # s that a cluster has to come together, at any loss
-LOOK = 0.05  # s between looks at who knows
-QUIET = 20.0  # s after which what is new has been told
+SPLIT_DURATIONS_S = (10.0, 60.0, 600.0, 3600.0)
+PAUSE_DURATIONS_S = (1.0, 3.0, 10.0, 60.0)
+MAX_SETTLE_S = 120.0  # Time within which the views must converge, at any loss
+CHECK_INTERVAL_S = 0.05  # Between two checks which members have detected a death
+QUIET_S = 20.0  # Time after which all recent updates have been spread
 
 Row = tuple[str, ...]
 
 
 class Case(NamedTuple):
+    """One simulated run: cluster size, packet loss, seed, and a duration that depends on the kind."""
+
     size: int
     loss: float
     seed: int
     seconds: float
 
 
-def cluster(case: Case) -> Cluster:
-    made = Cluster(case.size, case.seed, case.loss)
-    made.settle(SETTLE)
-    return made
-
-
-def detection(case: Case) -> list[float]:
-    """When each member that lives knew of a death, in seconds from it."""
-    c = cluster(case)
-    c.run(QUIET / 2)
-    gone = c.names()[case.size // 2]
-    c.kill(gone)
-    began, took = c.now, dict[str, float]()
-
-    def look() -> None:
-        for member in c.members.values():
-            if member.name not in took and gone not in member.table.present:
-                took[member.name] = c.now - began
-
-    c.run(LOOK, look, LOOK)
-    while len(took) < len(c.members) and c.now - began < SETTLE:
-        c.run(LOOK, look, LOOK)
-    return sorted(took.values())
-
-
-def falsely(case: Case) -> tuple[int, int]:
-    """Members that lived and were held dead by anybody, and pairs of who held whom so."""
-    c = cluster(case)
-    seen = set[tuple[str, str]]()
-    c.run(case.seconds, lambda: seen.update(c.dead()), 0.5)
-    return len({of for _, of in seen}), len(seen)
-
-
-def healing(case: Case) -> tuple[float, int]:
-    """Seconds to one view after two halves were split for so long; neighbours that were held dead on their
-    own side while it healed."""
-    c = cluster(case)
-    names = c.names()
-    one, other = names[::2], names[1::2]
-    c.split(one, other)
-    c.run(case.seconds)
-    c.heal()
-    side, held = dict.fromkeys(one, 0) | dict.fromkeys(other, 1), set[tuple[str, str]]()
-    began = c.now
-    while not c.agreed() and c.now - began < SETTLE:
-        c.run(0.5, lambda: held.update(p for p in c.dead() if side[p[0]] == side[p[1]]))
-    return c.now - began, len(held)
-
-
-def pausing(case: Case) -> tuple[int, int, float]:
-    """A third sleeps, then all in turn: others held dead by any that was awake, by any that woke, and seconds
-    to one view after the last."""
-    c = cluster(case)
-    names, awake, woke = c.names(), set[str](), set[str]()
-    slept: set[str] = set()
-
-    def look() -> None:
-        for who, of in c.dead() - {(a, b) for a, b in c.dead() if b in slept}:
-            (woke if who in slept else awake).add(of)
+def converged_cluster(case: Case) -> Cluster:
+    """Return a cluster in which all members know each other."""
+    cluster = Cluster(case.size, case.seed, case.loss)
+    cluster.settle(MAX_SETTLE_S)
+    return cluster
+
+
+def measure_detection(case: Case) -> list[float]:
+    """Return the seconds from a death until each live member detected it, in ascending order."""
+    cluster = converged_cluster(case)
+    cluster.run(QUIET_S / 2)
+    killed = cluster.names()[case.size // 2]
+    cluster.kill(killed)
+    started_at, delay_by_member = cluster.now, dict[str, float]()
+
+    def record_detections() -> None:
+        for member in cluster.members.values():
+            if member.name not in delay_by_member and killed not in member.table.present:
+                delay_by_member[member.name] = cluster.now - started_at
+
+    cluster.run(CHECK_INTERVAL_S, record_detections, CHECK_INTERVAL_S)
+    while len(delay_by_member) < len(cluster.members) and cluster.now - started_at < MAX_SETTLE_S:
+        cluster.run(CHECK_INTERVAL_S, record_detections, CHECK_INTERVAL_S)
+    return sorted(delay_by_member.values())
+
+
+def measure_false_deaths(case: Case) -> tuple[int, int]:
+    """Count the live members that were considered dead, and the pairs (observer, member) of this kind."""
+    cluster = converged_cluster(case)
+    false_deaths = set[tuple[str, str]]()
+    cluster.run(case.seconds, lambda: false_deaths.update(cluster.false_deaths()), 0.5)
+    return len({member for _, member in false_deaths}), len(false_deaths)
+
+
+def measure_healing(case: Case) -> tuple[float, int]:
+    """Split a cluster into two halves and heal it.
+
+    Returns:
+        The seconds until the views converged after the split, and the number of pairs on the same side in
+        which one considered the other dead meanwhile.
+    """
+    cluster = converged_cluster(case)
+    names = cluster.names()
+    side, other_side = names[::2], names[1::2]
+    cluster.split(side, other_side)
+    cluster.run(case.seconds)
+    cluster.heal()
+    side_by_name, same_side_deaths = (
+        dict.fromkeys(side, 0) | dict.fromkeys(other_side, 1),
+        set[tuple[str, str]](),
+    )
+    started_at = cluster.now
+    while not cluster.is_converged() and cluster.now - started_at < MAX_SETTLE_S:
+        cluster.run(
+            0.5,
+            lambda: same_side_deaths.update(
+                pair for pair in cluster.false_deaths() if side_by_name[pair[0]] == side_by_name[pair[1]]
+            ),
+        )
+    return cluster.now - started_at, len(same_side_deaths)
+
+
+def measure_pauses(case: Case) -> tuple[int, int, float]:
+    """Pause a third of the members, then each member in turn.
+
+    Returns:
+        The number of members that were not paused and were considered dead by a running member, the same for
+        a resumed one, and the seconds until the views converged after the last pause.
+    """
+    cluster = converged_cluster(case)
+    names, reported_by_awake, reported_by_resumed = cluster.names(), set[str](), set[str]()
+    paused: set[str] = set()
+
+    def record_false_deaths() -> None:
+        for observer, suspect in cluster.false_deaths() - {
+            (a, b) for a, b in cluster.false_deaths() if b in paused
+        }:
+            (reported_by_resumed if observer in paused else reported_by_awake).add(suspect)
 
     for group in [names[::3], *([name] for name in names)]:
-        slept = set(group)
-        c.pause(*group)
-        c.run(case.seconds, look)
-        c.resume(*group)
-        c.run(2.0, look)
+        paused = set(group)
+        cluster.pause(*group)
+        cluster.run(case.seconds, record_false_deaths)
+        cluster.resume(*group)
+        cluster.run(2.0, record_false_deaths)
         if len(group) > 1:
-            c.settle(SETTLE)
-    return len(awake), len(woke), c.settle(SETTLE)
+            cluster.settle(MAX_SETTLE_S)
+    return len(reported_by_awake), len(reported_by_resumed), cluster.settle(MAX_SETTLE_S)
 
 
-def load(case: Case) -> tuple[float, float]:
-    """Datagrams and bytes that a member sends a second, at rest."""
-    c = cluster(case)
-    c.run(2 * QUIET)
-    before = c.told.copy()
-    c.run(case.seconds)
-    told = c.told - before
-    return told["sent"] / case.size / case.seconds, told["bytes"] / case.size / case.seconds
+def measure_load(case: Case) -> tuple[float, float]:
+    """Return the datagrams and bytes that an idle member sends per second."""
+    cluster = converged_cluster(case)
+    cluster.run(2 * QUIET_S)
+    traffic_before = cluster.traffic.copy()
+    cluster.run(case.seconds)
+    traffic = cluster.traffic - traffic_before
+    return traffic["sent"] / case.size / case.seconds, traffic["bytes"] / case.size / case.seconds
 
 
-def alone(size: int) -> Swim:
-    """One that knows so many others."""
+def swim_with_members(size: int) -> Swim:
+    """Return a member of a cluster of this size, which knows all the others."""
     swim = Swim("c", "m0", address_of(0), 1, [], random.Random(1), 0.0, {"kind": "gateway"})
     updates = [MemberUpdate(f"m{n}", address_of(n), 1, ALIVE, {"kind": "gateway"}) for n in range(1, size)]
     for start in range(0, size, 8):
-        data = datagram_of_m1(StateUpdate(), updates[start : start + 8])
+        data = datagram_from_m1(StateUpdate(), updates[start : start + 8])
         swim.receive(0.0, address_of(1), data)
     return swim
 
 
-def datagram_of_m1(message: Message, updates: list[MemberUpdate]) -> bytes:
-    """Return a datagram of the member m1, which names the address of m0."""
+def datagram_from_m1(message: Message, updates: list[MemberUpdate]) -> bytes:
+    """Return a datagram from the member m1 to the address of m0."""
     return encode_datagram("c", Datagram("m1", address_of(0), message, tuple(updates)))
 
 
-def timed(act: Callable[..., object], *told: object) -> float:
-    """Microseconds."""
-    began = time.perf_counter()
-    act(*told)
-    return (time.perf_counter() - began) * 1e6
+def time_call_us(function: Callable[..., object], *arguments: object) -> float:
+    """Return the duration of a call in microseconds."""
+    started_at = time.perf_counter()
+    function(*arguments)
+    return (time.perf_counter() - started_at) * 1e6
 
 
-def rumours(incarnation: int) -> list[MemberUpdate]:
-    """Updates of 16 members that live."""
+def alive_updates(incarnation: int) -> list[MemberUpdate]:
+    """Return updates that report 16 members as alive."""
     return [
         MemberUpdate(f"m{n}", address_of(n), incarnation, ALIVE, {"kind": "gateway"}) for n in range(1, 17)
     ]
 
 
-def cost(size: int) -> tuple[float, float, float, float]:
-    """Medians in microseconds: a period with its probe, a datagram with 16 rumours that are all news, a whole
-    exchange; and kB of memory for each member known."""
+def measure_cost(size: int) -> tuple[float, float, float, float]:
+    """Measure the CPU and memory cost of one member.
+
+    Returns:
+        The median microseconds of a protocol period with its probe, of a datagram with 16 updates that are
+        all new, and of a full state exchange; and the kB of memory per known member.
+    """
     tracemalloc.start()
-    swim = alone(size)
-    memory = tracemalloc.get_traced_memory()[0] / size / 1000
+    swim = swim_with_members(size)
+    memory_kb = tracemalloc.get_traced_memory()[0] / size / 1000
     tracemalloc.stop()
-    ticks, hears, wholes = list[float](), list[float](), list[float]()
+    period_times_us, datagram_times_us, exchange_times_us = list[float](), list[float](), list[float]()
     for number in range(1000):
         period = swim.detector.next_probe_at
         while swim.detector.next_probe_at == period:
             now = swim.next_due_at()
-            took = timed(swim.tick, now)
-        ticks.append(took)
+            time_us = time_call_us(swim.tick, now)
+        period_times_us.append(time_us)
         swim.detector.probes.clear()  # as if acknowledged
-        data = datagram_of_m1(Ping(number, None), rumours(3 + number))
-        hears.append(timed(swim.receive, now, address_of(1), data))
+        data = datagram_from_m1(Ping(number, None), alive_updates(3 + number))
+        datagram_times_us.append(time_call_us(swim.receive, now, address_of(1), data))
         if number % 100 == 0:
-            wholes.append(timed(swim.anti_entropy.begin_exchange, now))
+            exchange_times_us.append(time_call_us(swim.anti_entropy.begin_exchange, now))
             swim.drain_outbox()
-    return statistics.median(ticks), statistics.median(hears), statistics.median(wholes), memory
+    return (
+        statistics.median(period_times_us),
+        statistics.median(datagram_times_us),
+        statistics.median(exchange_times_us),
+        memory_kb,
+    )
 
 
-# What is shown
+# Output
 
 
-def table(head: Row, rows: list[Row]) -> None:
-    for row in (head, ("---",) * len(head), *rows):
+def print_table(header: Row, rows: list[Row]) -> None:
+    """Print a Markdown table."""
+    for row in (header, ("---",) * len(header), *rows):
         print(f"| {' | '.join(row)} |")
 
 
-def of(values: list[float], part: float) -> float:
-    return sorted(values)[min(len(values) - 1, int(part * len(values)))]
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the value below which this fraction of the values lies."""
+    return sorted(values)[min(len(values) - 1, int(fraction * len(values)))]
 
 
 def show_detection(args: argparse.Namespace, pool: ProcessPoolExecutor) -> None:
+    """Print how long the members take to detect a death, by cluster size and loss."""
     rows = list[Row]()
     for size in args.sizes:
         for loss in args.losses:
             cases = [Case(size, loss, seed, 0) for seed in range(args.seeds)]
-            runs = list(pool.map(detection, cases))
-            every = [took for run in runs for took in run]
-            missed = sum(len(run) < size - 1 for run in runs)
+            runs = list(pool.map(measure_detection, cases))
+            delays_s = [delay_s for run in runs for delay_s in run]
+            incomplete_runs = sum(len(run) < size - 1 for run in runs)
             rows.append(
                 (
                     str(size),
                     f"{loss:.0%}",
-                    f"{statistics.median(every):.1f}",
-                    f"{of(every, 0.99):.1f}",
-                    f"{max(every):.1f}",
-                    str(missed),
+                    f"{statistics.median(delays_s):.1f}",
+                    f"{quantile(delays_s, 0.99):.1f}",
+                    f"{max(delays_s):.1f}",
+                    str(incomplete_runs),
                 )
             )
-    table(("members", "loss", "known, median s", "99th percentile", "last", "runs where not all knew"), rows)
+    print_table(
+        ("members", "loss", "known, median s", "99th percentile", "last", "runs where not all knew"), rows
+    )
 
 
 def show_false(args: argparse.Namespace, pool: ProcessPoolExecutor) -> None:
+    """Print how many live members are considered dead, by cluster size and loss."""
     rows = list[Row]()
     for size in args.sizes:
         for loss in args.losses:
             cases = [Case(size, loss, seed, args.seconds) for seed in range(args.seeds)]
-            runs = list(pool.map(falsely, cases))
+            runs = list(pool.map(measure_false_deaths, cases))
             rows.append(
                 (
                     str(size),
                     f"{loss:.0%}",
                     f"{args.seeds} of {args.seconds:g} s",
-                    str(sum(members for members, _ in runs)),
-                    str(sum(pairs for _, pairs in runs)),
+                    str(sum(member_count for member_count, _ in runs)),
+                    str(sum(pair_count for _, pair_count in runs)),
                 )
             )
-    table(("members", "loss", "runs", "members held dead by anybody", "pairs"), rows)
+    print_table(("members", "loss", "runs", "members held dead by anybody", "pairs"), rows)
 
 
 def show_splits(args: argparse.Namespace, pool: ProcessPoolExecutor) -> None:
+    """Print how long the views take to converge after a network split, by cluster size and duration."""
     rows = list[Row]()
     for size in args.sizes:
-        for seconds in SPLITS:
-            runs = list(pool.map(healing, [Case(size, 0.0, seed, seconds) for seed in range(args.seeds)]))
-            took = [seconds for seconds, _ in runs]
+        for seconds in SPLIT_DURATIONS_S:
+            runs = list(
+                pool.map(measure_healing, [Case(size, 0.0, seed, seconds) for seed in range(args.seeds)])
+            )
+            durations_s = [seconds for seconds, _ in runs]
             rows.append(
                 (
                     str(size),
                     f"{seconds:g}",
-                    f"{statistics.median(took):.1f}",
-                    f"{max(took):.1f}",
-                    str(sum(held for _, held in runs)),
+                    f"{statistics.median(durations_s):.1f}",
+                    f"{max(durations_s):.1f}",
+                    str(sum(false_deaths for _, false_deaths in runs)),
                 )
             )
-    table(("members", "split for s", "one view after, median s", "longest", "neighbours held dead"), rows)
+    print_table(
+        ("members", "split for s", "one view after, median s", "longest", "neighbours held dead"), rows
+    )
 
 
 def show_pauses(args: argparse.Namespace, pool: ProcessPoolExecutor) -> None:
+    """Print the effects of paused members, by cluster size and duration."""
     rows = list[Row]()
     for size in args.sizes:
-        for seconds in PAUSES:
-            runs = list(pool.map(pausing, [Case(size, 0.0, seed, seconds) for seed in range(args.seeds)]))
+        for seconds in PAUSE_DURATIONS_S:
+            runs = list(
+                pool.map(measure_pauses, [Case(size, 0.0, seed, seconds) for seed in range(args.seeds)])
+            )
             rows.append(
                 (
                     str(size),
@@ -258,28 +302,30 @@
                     f"{max(run[2] for run in runs):.1f}",
                 )
             )
-    table(
+    print_table(
         ("members", "pause s", "others held dead by one awake", "by one that woke", "one view after s"), rows
     )
 
 
 def show_load(args: argparse.Namespace, pool: ProcessPoolExecutor) -> None:
+    """Print the traffic of an idle member, by cluster size."""
     cases = [Case(size, 0.0, 1, 60.0) for size in args.sizes]
-    table(
+    print_table(
         ("members", "datagrams a member a second", "bytes"),
         [
             (str(case.size), f"{sent:.2f}", f"{size:.0f}")
-            for case, (sent, size) in zip(cases, pool.map(load, cases), strict=True)
+            for case, (sent, size) in zip(cases, pool.map(measure_load, cases), strict=True)
         ],
     )
 
 
 def show_cost(args: argparse.Namespace, pool: ProcessPoolExecutor) -> None:
+    """Print the CPU and memory cost of one member, by cluster size."""
     rows = list[Row]()
     for size in args.sizes:
-        runs = [cost(size) for _ in range(args.seeds)]
+        runs = [measure_cost(size) for _ in range(args.seeds)]
         rows.append((str(size), *(f"{statistics.median(values):.1f}" for values in zip(*runs, strict=True))))
-    table(
+    print_table(
         (
             "members known",
             "a period, us",
@@ -292,19 +338,21 @@
 
 
 def show_storms(args: argparse.Namespace, pool: ProcessPoolExecutor) -> None:
-    runs = list(pool.map(storm, range(args.seeds)))
+    """Run storms of random faults and print the breaches of invariants."""
+    runs = list(pool.map(run_storm, range(args.seeds)))
     for seed, (breaches, _) in enumerate(runs):
         if breaches:
             print(f"seed {seed}: {breaches[0]}")
     print(
         f"{len(runs)} storms, {sum(bool(breaches) for breaches, _ in runs)} with a breach; pairs of one "
-        f"that held another dead, which most reached: {sum(false for _, false in runs)}"
+        f"that held another dead, which most reached: {sum(false_deaths for _, false_deaths in runs)}"
     )
 
 
-def storm(seed: int) -> tuple[list[str], int]:
+def run_storm(seed: int) -> tuple[list[str], int]:
+    """Return the breaches of a run with random faults and the number of false deaths."""
     referee = play(seed).referee
-    return referee.breaches, len(referee.false)
+    return referee.breaches, len(referee.false_deaths)
 
 
 KINDS: dict[str, Callable[[argparse.Namespace, ProcessPoolExecutor], None]] = {
@@ -319,13 +367,20 @@
 
 
 def main() -> int:
+    """Run the measurement that the command line names."""
     parser = argparse.ArgumentParser(prog="python -m api_gateway.experiments.membership", description=__doc__)
     parser.add_argument("kind", choices=sorted(KINDS))
     parser.add_argument("--sizes", type=int, nargs="+", default=[40], help="members")
-    parser.add_argument("--losses", type=float, nargs="+", default=LOSSES, help="shares of datagrams")
+    parser.add_argument(
+        "--losses", type=float, nargs="+", default=LOSSES, help="fractions of datagrams that are lost"
+    )
     parser.add_argument("--seeds", type=int, default=4, help="runs of each case")
-    parser.add_argument("--seconds", type=float, default=2 * FORGET_AFTER_S, help="of a run, in virtual time")
-    parser.add_argument("--processes", type=int, default=4, help="that play at the same time")
+    parser.add_argument(
+        "--seconds", type=float, default=2 * FORGET_AFTER_S, help="duration of a run, in virtual time"
+    )
+    parser.add_argument(
+        "--processes", type=int, default=4, help="processes that run simulations at the same time"
+    )
     args = parser.parse_args()
     with ProcessPoolExecutor(args.processes) as pool:
         KINDS[args.kind](args, pool)
--- a/api_gateway/experiments/membership/world.py
+++ b/api_gateway/experiments/membership/world.py
@@ -1,5 +1,8 @@
-"""A cluster in virtual time: datagrams that are lost, doubled, late and out of order, cuts by pair and
-direction, pauses, slow members, deaths, new lives and clocks set back. The cores are the real ones."""
+"""A simulated membership cluster in virtual time, which runs the real SWIM cores.
+
+The faults are datagrams that are lost, duplicated, delayed and reordered, links cut by pair and direction,
+pauses, slow members, deaths, restarts and clocks set back.
+"""
 
 from __future__ import annotations
 
@@ -15,249 +18,284 @@
 from api_gateway.membership.outbox import OutgoingDatagram
 from api_gateway.membership.swim import Swim
 
-TRANSLATED = ("192.0.2.1", 9)  # where all datagrams seem to come from: nobody is reached there
-DELAYS = (0.001, 0.002, 0.01, 0.05)  # s
-DOUBLED = 0.02  # share of datagrams that come twice
-TURN = 0.001  # s by which a member's timer may come late
-SEEDS = 2  # members whose addresses each one starts with
+TRANSLATED_SOURCE = ("192.0.2.1", 9)  # Source of all datagrams, as behind NAT; no member is reachable there
+DELAYS_S = (0.001, 0.002, 0.01, 0.05)
+DUPLICATE_FRACTION = 0.02  # Fraction of datagrams that are delivered twice
+MAX_TIMER_DELAY_S = 0.001  # Largest delay of a member's timer
+SEED_COUNT = 2  # Members whose addresses each member starts with
 
-Pairs = Iterable[tuple[str, str]]
+NamePairs = Iterable[tuple[str, str]]
 
 
 def address_of(place: int) -> Address:
+    """Return the address of the member at an index of the address space."""
     return f"10.0.{place // 250}.{place % 250}", 7000
 
 
 class Cluster:
-    """`size` members m0, m1 ...; `loss`: share of datagrams that never come."""
+    """Simulated members and the network between them.
+
+    Args:
+        size: The number of members at the start, which are named m0, m1 and so on.
+        seed: The seed of all random draws.
+        loss: The fraction of datagrams that are lost.
+        name: The name of the cluster in its datagrams.
+    """
 
     def __init__(self, size: int, seed: int, loss: float = 0.0, name: str = "c") -> None:
         self.rng, self.now, self.loss, self.name = random.Random(seed), 0.0, loss, name
-        self.order = itertools.count()
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_ids = itertools.count()
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.members: dict[Address, Swim] = {}
         self.by_name: dict[str, Swim] = {}
-        self.wakes: dict[Address, float] = {}  # when each one's next look at its timers is planned
+        self.wake_times: dict[Address, float] = {}  # when each member next checks its timers
         self.paused: dict[Address, list[bytes]] = {}
-        self.slow: dict[Address, tuple[float, float]] = {}  # s between its turns; its last one
-        self.cuts: set[tuple[str, str]] = set()  # (from, to) that do not get through
-        self.told: Counter[str] = Counter()  # datagrams and bytes sent, and the largest
+        # Seconds between the turns of each slow member, and the time of its last turn
+        self.slow_members: dict[Address, tuple[float, float]] = {}
+        self.cut_links: set[tuple[str, str]] = set()  # (from, to): datagrams are dropped
+        self.traffic: Counter[str] = Counter()  # datagrams and bytes sent, and the largest size
         self.referee = Referee(self)
         for place in range(size):
             self.start(f"m{place}", place, 1)
 
     # Time
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (when, next(self.order), act))
+    def schedule_at(self, when: float, action: Callable[[], None]) -> None:
+        """Run an action at a point of virtual time."""
+        heapq.heappush(self.events, (when, next(self.event_ids), action))
 
-    def run(self, seconds: float, check: Callable[[], Any] | None = None, every: float = 0.1) -> None:
-        """`check` is called now and then."""
+    def run(self, seconds: float, check: Callable[[], Any] | None = None, interval_s: float = 0.1) -> None:
+        """Advance the virtual time and call `check`, if there is one, at each interval and at the end."""
         end = self.now + seconds
-        look = self.now + every if check else end
+        next_check = self.now + interval_s if check else end
         while True:
-            while self.queue and self.queue[0][0] <= look:
-                self.now, _, act = heapq.heappop(self.queue)
-                act()
-            self.now = look
+            while self.events and self.events[0][0] <= next_check:
+                self.now, _, action = heapq.heappop(self.events)
+                action()
+            self.now = next_check
             if check:
                 check()
-            if look >= end:
+            if next_check >= end:
                 return
-            look = min(end, look + every)
+            next_check = min(end, next_check + interval_s)
+
+    def run_until(self, is_reached: Callable[[], bool], limit_s: float, interval_s: float = 0.1) -> float:
+        """Advance the virtual time until a condition holds, and return the seconds that this took.
 
-    def until(self, fits: Callable[[], bool], most: float, every: float = 0.1) -> float:
-        """Seconds until it fits, looked at every so often. Raises AssertionError past `most`."""
-        began = self.now
-        while not fits():
-            assert self.now - began < most, f"not within {most} s: {fits.__name__}"
-            self.run(every)
-        return self.now - began
+        Raises:
+            AssertionError: If the condition does not hold within the limit.
+        """
+        started_at = self.now
+        while not is_reached():
+            assert self.now - started_at < limit_s, f"not within {limit_s} s: {is_reached.__name__}"
+            self.run(interval_s)
+        return self.now - started_at
 
     # Members
 
     def start(self, name: str, place: int, incarnation: int, seeds: list[Address] | None = None) -> Swim:
+        """Start a member at an index of the address space, with the first members as seeds by default."""
         address = address_of(place)
-        known = [address_of(n) for n in range(SEEDS)] if seeds is None else seeds
+        seed_addresses = [address_of(n) for n in range(SEED_COUNT)] if seeds is None else seeds
         swim = Swim(
             self.name,
             name,
             address,
             incarnation,
-            known,
+            seed_addresses,
             random.Random(self.rng.random()),
             self.now,
             {"kind": "gateway"},
         )
         self.members[address] = self.by_name[name] = swim
-        self.wakes.pop(address, None)
-        self.plan(swim)
-        self.changed()
+        self.wake_times.pop(address, None)
+        self.plan_wake(swim)
+        self.notify_referee()
         return swim
 
     def named(self, name: str) -> Swim:
+        """Return the live member of this name."""
         return self.by_name[name]
 
     def names(self, start: int = 0, stop: int | None = None, step: int = 1) -> list[str]:
+        """Return the names of a slice of the live members, in the order of their start."""
         return [member.name for member in list(self.members.values())[start:stop:step]]
 
     def kill(self, name: str) -> Swim:
+        """End a member without a farewell and return it."""
         member = self.by_name.pop(name)
         if self.members.get(member.address) is member:
             del self.members[member.address]
         self.paused.pop(member.address, None)
-        self.slow.pop(member.address, None)
-        self.changed()
+        self.slow_members.pop(member.address, None)
+        self.notify_referee()
         return member
 
-    def alive(self, member: Swim) -> bool:
+    def is_alive(self, member: Swim) -> bool:
+        """Return whether this instance still runs at its address."""
         return self.members.get(member.address) is member
 
-    def plan(self, member: Swim) -> None:
-        """Its next look at its timers, if none is planned before."""
-        due = max(self.now, member.next_due_at()) + self.rng.uniform(0, TURN)
-        if due < self.wakes.get(member.address, float("inf")):
-            self.wakes[member.address] = due
-            self.at(due, lambda: self.wake(member, due))
+    def plan_wake(self, member: Swim) -> None:
+        """Plan when a member next checks its timers, unless an earlier check is planned."""
+        due = max(self.now, member.next_due_at()) + self.rng.uniform(0, MAX_TIMER_DELAY_S)
+        if due < self.wake_times.get(member.address, float("inf")):
+            self.wake_times[member.address] = due
+            self.schedule_at(due, lambda: self.wake(member, due))
 
     def wake(self, member: Swim, due: float) -> None:
-        if not self.alive(member) or self.wakes.get(member.address) != due:
+        """Let a member check its timers, unless it has died, is paused or was planned anew."""
+        if not self.is_alive(member) or self.wake_times.get(member.address) != due:
             return
-        del self.wakes[member.address]
+        del self.wake_times[member.address]
         if member.address in self.paused:
             return
-        turn = self.turn(member)
-        if turn > self.now:
-            self.wakes[member.address] = turn
-            self.at(turn, lambda: self.wake(member, turn))
+        next_turn = self.next_turn(member)
+        if next_turn > self.now:
+            self.wake_times[member.address] = next_turn
+            self.schedule_at(next_turn, lambda: self.wake(member, next_turn))
             return
         if member.next_due_at() <= self.now:
             self.step(member, member.tick)
-        self.plan(member)
+        self.plan_wake(member)
 
-    def turn(self, member: Swim) -> float:
-        """When it gets to run: a slow one has a turn now and then, in which it does all that waits."""
-        every, last = self.slow.get(member.address, (0.0, 0.0))
-        if not every or self.now - last < TURN:
+    def next_turn(self, member: Swim) -> float:
+        """Return when a member may run: a slow one handles all that waits in turns at an interval."""
+        interval_s, last_turn = self.slow_members.get(member.address, (0.0, 0.0))
+        if not interval_s or self.now - last_turn < MAX_TIMER_DELAY_S:
             return self.now
-        if self.now - last >= every:
-            self.slow[member.address] = every, self.now
+        if self.now - last_turn >= interval_s:
+            self.slow_members[member.address] = interval_s, self.now
             return self.now
-        return last + every
-
-    def step(self, member: Swim, act: Callable[[float], list[OutgoingDatagram]]) -> None:
-        died = member.counts["died"]
-        sends = act(self.now)
-        self.referee.stepped(member, member.counts["died"] != died)
-        self.dispatch(member, sends)
-
-    def dispatch(self, sender: Swim, sends: list[OutgoingDatagram]) -> None:
-        if sends:
-            sizes = [len(send.data) for send in sends]
-            self.referee.sends(sender, sizes)
-            self.told.update(sent=len(sizes), bytes=sum(sizes))
-            self.told["largest"] = max(self.told["largest"], *sizes)
-        for send in sends:
-            to = self.members.get(send.to)
-            if to is None or (sender.name, to.name) in self.cuts:
+        return last_turn + interval_s
+
+    def step(self, member: Swim, action: Callable[[float], list[OutgoingDatagram]]) -> None:
+        """Run one input of a member, let the referee check it and send the resulting datagrams."""
+        deaths_before = member.counts["died"]
+        datagrams = action(self.now)
+        self.referee.on_step(member, member.counts["died"] != deaths_before)
+        self.dispatch(member, datagrams)
+
+    def dispatch(self, sender: Swim, datagrams: list[OutgoingDatagram]) -> None:
+        """Send datagrams through the faulty network."""
+        if datagrams:
+            sizes = [len(datagram.data) for datagram in datagrams]
+            self.referee.on_sent(sender, sizes)
+            self.traffic.update(sent=len(sizes), bytes=sum(sizes))
+            self.traffic["largest"] = max(self.traffic["largest"], *sizes)
+        for datagram in datagrams:
+            receiver = self.members.get(datagram.to)
+            if receiver is None or (sender.name, receiver.name) in self.cut_links:
                 continue
-            for _ in range(1 + (self.rng.random() < DOUBLED)):
+            for _ in range(1 + (self.rng.random() < DUPLICATE_FRACTION)):
                 if self.rng.random() >= self.loss:
-                    self.carry(send, self.now + self.rng.choice(DELAYS))
+                    self.schedule_delivery(datagram, self.now + self.rng.choice(DELAYS_S))
 
-    def carry(self, send: OutgoingDatagram, due: float) -> None:
-        self.at(due, lambda: self.arrive(send.to, send.data))
+    def schedule_delivery(self, datagram: OutgoingDatagram, due: float) -> None:
+        """Deliver a datagram at a point of virtual time."""
+        self.schedule_at(due, lambda: self.deliver(datagram.to, datagram.data))
 
-    def arrive(self, to: Address, data: bytes) -> None:
-        member = self.members.get(to)
+    def deliver(self, address: Address, data: bytes) -> None:
+        """Hand a datagram to the member at an address, after its pause or at its next turn if it is slow."""
+        member = self.members.get(address)
         if member is None:
             return
-        if to in self.paused:
-            self.paused[to].append(data)
+        if address in self.paused:
+            self.paused[address].append(data)
             return
-        turn = self.turn(member)
-        if turn > self.now:
-            self.at(turn, lambda: self.arrive(to, data))
+        next_turn = self.next_turn(member)
+        if next_turn > self.now:
+            self.schedule_at(next_turn, lambda: self.deliver(address, data))
             return
-        self.referee.gets(member, data)
-        self.step(member, lambda now: member.receive(now, TRANSLATED, data))
-        self.plan(member)
+        self.referee.on_received(member, data)
+        self.step(member, lambda now: member.receive(now, TRANSLATED_SOURCE, data))
+        self.plan_wake(member)
 
     # Faults
 
-    def changed(self) -> None:
-        self.referee.reached([member.name for member in self.members.values()])
+    def notify_referee(self) -> None:
+        """Let the referee know that members or links have changed."""
+        self.referee.on_faults_changed([member.name for member in self.members.values()])
 
-    def reaches(self, name: str) -> int:
-        if self.by_name[name].address in self.paused or self.by_name[name].address in self.slow:
+    def reachable_peer_count(self, name: str) -> int:
+        """Return how many other members it can reach both ways: none while it is paused or slow."""
+        if self.by_name[name].address in self.paused or self.by_name[name].address in self.slow_members:
             return 0
         return sum(
             1
             for other in self.members.values()
             if other.name != name
             and other.address not in self.paused
-            and (name, other.name) not in self.cuts
-            and (other.name, name) not in self.cuts
+            and (name, other.name) not in self.cut_links
+            and (other.name, name) not in self.cut_links
         )
 
     def pause(self, *names: str) -> None:
+        """Stop members until they are resumed; their datagrams queue up."""
         for name in names:
             self.paused.setdefault(self.by_name[name].address, [])
-        self.changed()
+        self.notify_referee()
 
     def resume(self, *names: str) -> None:
-        """What came meanwhile is there at once."""
+        """Resume members, which receive the datagrams of the pause at once."""
         for name in names:
             member = self.by_name[name]
             for data in self.paused.pop(member.address, []):
-                self.arrive(member.address, data)
-            self.wakes.pop(member.address, None)
-            self.plan(member)
-        self.changed()
+                self.deliver(member.address, data)
+            self.wake_times.pop(member.address, None)
+            self.plan_wake(member)
+        self.notify_referee()
 
-    def slows(self, name: str, every: float) -> None:
-        """It runs once each so many seconds; 0: freely again."""
+    def slow_down(self, name: str, interval_s: float) -> None:
+        """Let a member run only once per interval, or without a limit if the interval is 0."""
         address = self.by_name[name].address
-        if every:
-            self.slow[address] = every, self.now
+        if interval_s:
+            self.slow_members[address] = interval_s, self.now
         else:
-            self.slow.pop(address, None)
-        self.changed()
+            self.slow_members.pop(address, None)
+        self.notify_referee()
 
-    def cut(self, pairs: Pairs) -> None:
-        self.cuts |= set(pairs)
-        self.changed()
+    def cut(self, pairs: NamePairs) -> None:
+        """Drop all datagrams from the first to the second member of each pair."""
+        self.cut_links |= set(pairs)
+        self.notify_referee()
 
     def split(self, *sides: Sequence[str]) -> None:
-        self.cut((a, b) for one, other in itertools.permutations(sides, 2) for a in one for b in other)
+        """Partition the network into sides that cannot reach each other."""
+        self.cut(
+            (a, b) for side, other_side in itertools.permutations(sides, 2) for a in side for b in other_side
+        )
 
     def heal(self) -> None:
-        self.cuts.clear()
-        self.changed()
+        """Restore all links."""
+        self.cut_links.clear()
+        self.notify_referee()
 
-    # What is seen
+    # Observations
 
-    def agreed(self) -> bool:
+    def is_converged(self) -> bool:
+        """Return whether each member considers exactly the live members present."""
         names = self.by_name.keys()
-        return all(m.table.present.names() == names for m in self.members.values())
+        return all(member.table.present.names() == names for member in self.members.values())
 
-    def settle(self, most: float) -> float:
-        return self.until(self.agreed, most, 0.5)
+    def settle(self, limit_s: float) -> float:
+        """Run until the views converge and return the seconds that this took."""
+        return self.run_until(self.is_converged, limit_s, 0.5)
 
-    def dead(self) -> set[tuple[str, str]]:
-        """Pairs (who, of whom) in which a member that lives is held dead."""
+    def false_deaths(self) -> set[tuple[str, str]]:
+        """Return the pairs (observer, member) in which a live member is considered dead."""
         return {
-            (m.name, o.name)
-            for m in self.members.values()
-            for o in m.members.values()
-            if o.state == DEAD and o.name in self.by_name
+            (member.name, other.name)
+            for member in self.members.values()
+            for other in member.members.values()
+            if other.state == DEAD and other.name in self.by_name
         }
 
-    def known_dead(self, name: str) -> bool:
-        return not any(name in m.table.present for m in self.members.values())
+    def is_death_known(self, name: str) -> bool:
+        """Return whether no live member considers a member present any more."""
+        return not any(name in member.table.present for member in self.members.values())
 
 
-# Storms
+# Random faults
 
 FAULTS = (
     "kill",
@@ -284,98 +322,108 @@
 
 
 class Storm:
-    """Faults that are drawn, one at a time, on a cluster; then all end."""
+    """Injects randomly drawn faults into a cluster, one at a time, and then ends them all."""
 
     def __init__(self, cluster: Cluster, seed: int, loss: float = 0.3) -> None:
         self.cluster, self.rng, self.loss = cluster, random.Random(f"storm {seed}"), loss
-        self.places = {m.name: n for n, m in enumerate(cluster.members.values())}
-        self.lives = itertools.count(2)
-        self.gone: list[Swim] = []
-
-    def strike(self) -> str:
-        c, rng = self.cluster, self.rng
-        act = rng.choice(FAULTS)
-        name = rng.choice(sorted(c.by_name))
-        others = [other for other in sorted(c.by_name) if other != name]
+        self.place_by_name = {member.name: n for n, member in enumerate(cluster.members.values())}
+        self.name_numbers = itertools.count(2)
+        self.removed: list[Swim] = []
+
+    def inject_fault(self) -> str:
+        """Inject one drawn fault, or end one, and return its name."""
+        cluster, rng = self.cluster, self.rng
+        action = rng.choice(FAULTS)
+        name = rng.choice(sorted(cluster.by_name))
+        others = [other for other in sorted(cluster.by_name) if other != name]
         rng.shuffle(others)
-        if act in ("kill", "clock back", "other name", "leave"):
-            self.replace(name, act)
-        elif act == "pause":
-            c.pause(name)
-        elif act == "pause third":
-            c.pause(*others[::3])
-        elif act == "resume":
-            self.wake_all()
-        elif act == "deaf":
-            c.cut((other, name) for other in others)
-        elif act == "mute":
-            c.cut((name, other) for other in others)
-        elif act == "pair":
-            c.cut({(name, others[0]), (others[0], name)})
-        elif act == "ring":
-            c.cut(zip(others, others[1:] + others[:1], strict=True))
-        elif act in ("split", "three"):
-            parts = 2 if act == "split" else 3
-            c.split(*(others[n::parts] for n in range(parts)))
-        elif act == "heal":
-            c.heal()
-        elif act == "loss":
-            c.loss = rng.choice((0.0, 0.1, self.loss))
-        elif act == "slow":
-            c.slows(name, rng.choice((0.3, 1.0, 4.0)))
+        if action in ("kill", "clock back", "other name", "leave"):
+            self.replace(name, action)
+        elif action == "pause":
+            cluster.pause(name)
+        elif action == "pause third":
+            cluster.pause(*others[::3])
+        elif action == "resume":
+            self.resume_all()
+        elif action == "deaf":
+            cluster.cut((other, name) for other in others)
+        elif action == "mute":
+            cluster.cut((name, other) for other in others)
+        elif action == "pair":
+            cluster.cut({(name, others[0]), (others[0], name)})
+        elif action == "ring":
+            cluster.cut(zip(others, others[1:] + others[:1], strict=True))
+        elif action in ("split", "three"):
+            parts = 2 if action == "split" else 3
+            cluster.split(*(others[n::parts] for n in range(parts)))
+        elif action == "heal":
+            cluster.heal()
+        elif action == "loss":
+            cluster.loss = rng.choice((0.0, 0.1, self.loss))
+        elif action == "slow":
+            cluster.slow_down(name, rng.choice((0.3, 1.0, 4.0)))
         else:
-            for member in list(c.members.values()):
-                c.slows(member.name, 0.0)
-        return act
-
-    def replace(self, name: str, act: str) -> None:
-        """Its process ends, and after a while another one has its address."""
-        c, place = self.cluster, self.places[name]
-        member = c.by_name[name]
-        if act == "leave" and member.address not in c.paused:
-            c.dispatch(member, member.leave(c.now))
-        c.kill(name)
-        new = f"n{next(self.lives)}" if act == "other name" else name
-        life = (
+            for member in list(cluster.members.values()):
+                cluster.slow_down(member.name, 0.0)
+        return action
+
+    def replace(self, name: str, action: str) -> None:
+        """End a member; after a while another one starts at its address."""
+        cluster, place = self.cluster, self.place_by_name[name]
+        member = cluster.by_name[name]
+        if action == "leave" and member.address not in cluster.paused:
+            cluster.dispatch(member, member.leave(cluster.now))
+        cluster.kill(name)
+        new_name = f"n{next(self.name_numbers)}" if action == "other name" else name
+        incarnation = (
             max(0, member.local_member.incarnation - 1)
-            if act == "clock back"
+            if action == "clock back"
             else member.local_member.incarnation + 1
         )
-        self.places[new] = place
+        self.place_by_name[new_name] = place
 
         def start() -> None:
-            if address_of(place) not in c.members:
-                c.start(new, place, life)
+            if address_of(place) not in cluster.members:
+                cluster.start(new_name, place, incarnation)
+
+        cluster.schedule_at(cluster.now + self.rng.uniform(0.1, 8.0), start)
 
-        c.at(c.now + self.rng.uniform(0.1, 8.0), start)
+    def resume_all(self) -> None:
+        """Resume all paused members."""
+        cluster = self.cluster
+        cluster.resume(
+            *[member.name for member in cluster.members.values() if member.address in cluster.paused]
+        )
 
-    def wake_all(self) -> None:
-        c = self.cluster
-        c.resume(*[m.name for m in c.members.values() if m.address in c.paused])
+    def end_faults(self) -> None:
+        """End all faults."""
+        cluster = self.cluster
+        cluster.loss = 0.0
+        cluster.heal()
+        self.resume_all()
+        for name in list(cluster.by_name):
+            cluster.slow_down(name, 0.0)
 
-    def calm(self) -> None:
-        c = self.cluster
-        c.loss = 0.0
-        c.heal()
-        self.wake_all()
-        for name in list(c.by_name):
-            c.slows(name, 0.0)
 
+def play(
+    seed: int, size: int = 12, faults: int = 25, mean_interval_s: float = 4.0, max_settle_s: float = 90.0
+) -> Cluster:
+    """Run a cluster through random faults, then check that the views converge within a limit.
 
-def play(seed: int, size: int = 12, faults: int = 25, lasting: float = 4.0, within: float = 90.0) -> Cluster:
-    """A run with so many faults, and then one view within a bound. Breaches stand at its referee."""
+    The run stops at the first breach. The referee of the returned cluster has the breaches.
+    """
     cluster = Cluster(size, seed)
     cluster.settle(40)
     storm = Storm(cluster, seed)
     for _ in range(faults):
-        storm.strike()
-        cluster.run(storm.rng.expovariate(1 / lasting))
+        storm.inject_fault()
+        cluster.run(storm.rng.expovariate(1 / mean_interval_s))
         if cluster.referee.breaches:
             return cluster
-    storm.calm()
-    cluster.run(9.0)  # the last that were replaced have started
+    storm.end_faults()
+    cluster.run(9.0)  # the last replacements have started by now
     try:
-        cluster.settle(within)
+        cluster.settle(max_settle_s)
     except AssertionError:
-        cluster.referee.breach("no one view", f"{within:g} s after the last fault")
+        cluster.referee.breach("no one view", f"{max_settle_s:g} s after the last fault")
     return cluster
--- a/api_gateway/experiments/scale/swarm.py
+++ b/api_gateway/experiments/scale/swarm.py
@@ -22,13 +22,13 @@
 class Unjudged(Referee):
     """What a cluster without faults need not be judged for: that costs by the square of it, or worse."""
 
-    def reached(self, names: object) -> None: ...
+    def on_faults_changed(self, names: object) -> None: ...
 
-    def stepped(self, member: Swim, died: bool) -> None: ...
+    def on_step(self, member: Swim, died: bool) -> None: ...
 
-    def sends(self, member: Swim, sizes: list[int]) -> None: ...
+    def on_sent(self, member: Swim, sizes: list[int]) -> None: ...
 
-    def gets(self, member: Swim, data: bytes) -> None: ...
+    def on_received(self, member: Swim, data: bytes) -> None: ...
 
 
 class Swarm(Cluster):
@@ -43,7 +43,7 @@
         """By a name and a number as long as those of a real gateway."""
         return super().start(f"gateway-{place}", place, LIFE, seeds)
 
-    def changed(self) -> None:
+    def notify_referee(self) -> None:
         """None of them is judged."""
 
     def dispatch(self, sender: Swim, sends: list[OutgoingDatagram]) -> None:
@@ -52,18 +52,20 @@
             self.out[sender.name, int(self.now)] += len(send.data)
             if send.to in self.members:
                 self.back += len(send.data)
-                self.carry(send, self.now + DELAY)
+                self.schedule_delivery(send, self.now + DELAY)
 
     def at_rest(self) -> bool:
         """All know each other, and no rumour is left."""
-        return self.agreed() and not any(len(member.pending_updates) for member in self.members.values())
+        return self.is_converged() and not any(
+            len(member.pending_updates) for member in self.members.values()
+        )
 
 
 def members(size: int, seed: int = 1) -> dict[str, float]:
     """Of one member: at rest a second, and while all start."""
     swarm = Swarm(size, seed)
     known = swarm.settle(WITHIN)
-    rest = known + swarm.until(swarm.at_rest, WITHIN, LOOK)
+    rest = known + swarm.run_until(swarm.at_rest, WITHIN, LOOK)
     started, worst = swarm.out.total(), max(swarm.out.values())
     swarm.sent.clear()
     swarm.out.clear()
--- a/tests/membership/test_swim.py
+++ b/tests/membership/test_swim.py
@@ -7,7 +7,15 @@
 
 import pytest
 
-from api_gateway.experiments.membership.__main__ import Case, cost, detection, falsely, healing, load, pausing
+from api_gateway.experiments.membership.__main__ import (
+    Case,
+    measure_cost,
+    measure_detection,
+    measure_false_deaths,
+    measure_healing,
+    measure_load,
+    measure_pauses,
+)
 from api_gateway.experiments.membership.referee import Referee
 from api_gateway.experiments.membership.world import Cluster, play
 from api_gateway.membership import failure_detector, gossip, member_table
@@ -29,7 +37,8 @@
     """Return the live members that any member considered dead during the run."""
     false_deaths = set()
     cluster.run(
-        seconds, lambda: false_deaths.update(name for _, name in cluster.dead() if name not in ignored)
+        seconds,
+        lambda: false_deaths.update(name for _, name in cluster.false_deaths() if name not in ignored),
     )
     return false_deaths
 
@@ -38,7 +47,7 @@
 def test_cluster_converges_through_its_seeds(size):
     cluster = converged_cluster(size, 1)
     cluster.run(60)
-    assert cluster.agreed() and not cluster.dead() and not cluster.referee.breaches
+    assert cluster.is_converged() and not cluster.false_deaths() and not cluster.referee.breaches
     if size > 1:  # each update has been sent often enough
         assert not any(len(m.pending_updates) for m in cluster.members.values())
 
@@ -65,11 +74,14 @@
 @pytest.mark.parametrize("loss, max_false_deaths", [(0.0, 0), (0.2, 0), (0.3, 0)])
 def test_no_false_deaths_under_packet_loss(loss, max_false_deaths):
     """Count the live members that any other considers dead, over 20 members, 2 seeds and 2 minutes."""
-    assert sum(falsely(Case(20, loss, 10 + seed, 120.0))[0] for seed in range(2)) <= max_false_deaths
+    assert (
+        sum(measure_false_deaths(Case(20, loss, 10 + seed, 120.0))[0] for seed in range(2))
+        <= max_false_deaths
+    )
 
 
 def test_death_is_known_to_all_within_seconds():
-    durations = sorted(detection(Case(40, 0.0, 100 + seed, 0.0))[-1] for seed in range(7))
+    durations = sorted(measure_detection(Case(40, 0.0, 100 + seed, 0.0))[-1] for seed in range(7))
     assert durations[3] < 4.0 and durations[-1] < 7.0, durations
 
 
@@ -77,13 +89,13 @@
     "size, seconds, max_duration_s", [(40, 10, 10), (24, 60, 15), (16, 420, 60), (10, 3600, 60)]
 )
 def test_partition_of_any_length_heals_without_false_deaths(size, seconds, max_duration_s):
-    duration_s, false_death_count = healing(Case(size, 0.0, seconds, float(seconds)))
+    duration_s, false_death_count = measure_healing(Case(size, 0.0, seconds, float(seconds)))
     assert duration_s < max_duration_s and not false_death_count
 
 
 def test_pauses_of_a_third_and_of_each_member_cause_no_false_deaths():
     for seconds in (1.0, 3.0, 10.0):
-        assert pausing(Case(12, 0.0, 5, seconds))[:2] == (0, 0)
+        assert measure_pauses(Case(12, 0.0, 5, seconds))[:2] == (0, 0)
 
 
 def test_three_way_partition_is_detected_and_heals():
@@ -123,10 +135,10 @@
 
 def test_slow_member_causes_no_false_deaths_and_recovers():
     cluster = converged_cluster(16, 4)
-    for every in (0.5, 2.0):
-        cluster.slows("m5", every)
+    for interval_s in (0.5, 2.0):
+        cluster.slow_down("m5", interval_s)
         assert not find_false_deaths(cluster, 150, ("m5",))
-    cluster.slows("m5", 0.0)
+    cluster.slow_down("m5", 0.0)
     cluster.settle(30)
 
 
@@ -269,10 +281,13 @@
 
 
 def test_load_and_cost_of_a_member_do_not_grow_with_cluster_size():
-    (small_rate, _), (large_rate, _) = load(Case(10, 0.0, 1, 30.0)), load(Case(60, 0.0, 1, 30.0))
+    (small_rate, _), (large_rate, _) = (
+        measure_load(Case(10, 0.0, 1, 30.0)),
+        measure_load(Case(60, 0.0, 1, 30.0)),
+    )
     assert large_rate < 1.3 * small_rate and large_rate <= 3.0
     # The costs of a period, a datagram and an exchange, which is sent in slices.
-    small_cost, large_cost = cost(100), cost(2000)
+    small_cost, large_cost = measure_cost(100), measure_cost(2000)
     assert (
         large_cost[0] < 4 * small_cost[0]
         and large_cost[1] < 4 * small_cost[1]
@@ -374,5 +389,5 @@
     for name in ("m0", "m1", "m2"):
         member = cluster.named(name)
         member.table.set_state(cluster.now, member.members["m4"], DEAD)
-        referee.stepped(member, True)
-    assert referee.counts["majority"] == 1 and len(referee.false) == 3
+        referee.on_step(member, True)
+    assert referee.counts["majority"] == 1 and len(referee.false_deaths) == 3
