--- a/api_gateway/experiments/budgets/__init__.py
+++ b/api_gateway/experiments/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""Budgets under faults: a world in virtual time, holders and a meter as processes, and figures of both."""
+"""Budgets under faults: a simulation in virtual time, holder and meter processes, and measurements."""
--- a/api_gateway/experiments/budgets/meter.py
+++ b/api_gateway/experiments/budgets/meter.py
@@ -1,12 +1,11 @@
-"""A host that counts what gateways really do, by its own clock: connections that are open, and units that
-come.
+"""A host that measures by its own clock which units gateways really use.
 
-A connection's first line names its budget. Of a level it counts while it is open, and is closed where nothing
-comes on it for a while, as hosts do; of a rate each further byte is a unit. More at once than the whole
-counts as a breach where it lasts longer than SETTLE: the end of one connection may be read behind the
-beginning of another that came later.
+The first line of a connection names its budget. A connection of a level counts as one unit while it is open,
+and is closed after a while without data, as hosts do. On a connection of a rate, each further byte is a unit.
+Connections in excess of the total count as a breach only if they last longer than BREACH_DELAY_S, because the
+end of one connection may be read after the start of another one that was opened later.
 
-`python -m api_gateway.experiments.budgets.meter CONFIG`, which holds the terms.
+`python -m api_gateway.experiments.budgets.meter CONFIG`, where CONFIG is the file with the budgets.
 """
 
 from __future__ import annotations
@@ -25,35 +24,41 @@
 from api_gateway.emulators.service import StreamStandIn, run
 from api_gateway.experiments.budgets.referee import LevelReferee, RateReferee
 
-SETTLE = 0.05  # s
-LATE = 0.1  # s by which units may be read later than they came, which makes a burst look larger
-IDLE = 0.4  # s without a sign of life after which a connection is closed
+BREACH_DELAY_S = 0.05
+MAX_READ_DELAY_S = 0.1  # Units may be read this much after their arrival, which makes a burst look larger
+IDLE_TIMEOUT_S = 0.4  # Time without data after which a connection is closed
 
 
 class Meter(StreamStandIn):
-    def __init__(self, terms: BudgetSettings) -> None:
+    """Counts the units of all budgets and the breaches of their totals."""
+
+    def __init__(self, settings: BudgetSettings) -> None:
         super().__init__()
-        self.began = monotonic()
-        self.levels = {b.name: LevelReferee(b.total) for b in terms.budgets if b.kind == LEVEL}
+        self.started_at = monotonic()
+        self.levels = {b.name: LevelReferee(b.total) for b in settings.budgets if b.kind == LEVEL}
         self.rates = {
-            b.name: RateReferee(b.total, b.burst + b.total * LATE) for b in terms.budgets if b.kind != LEVEL
+            b.name: RateReferee(b.total, b.burst + b.total * MAX_READ_DELAY_S)
+            for b in settings.budgets
+            if b.kind != LEVEL
         }
         self.breaches = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Count the units of one connection until it ends."""
         name = (await reader.readline()).decode().strip()
         if name in self.levels:
-            await self.hold(name, reader)
+            await self.serve_level(name, reader)
         elif name in self.rates:
             while data := await reader.read(4096):
                 for _ in data:
-                    self.rates[name].spend(monotonic() - self.began)
+                    self.rates[name].spend(monotonic() - self.started_at)
 
-    async def hold(self, name: str, reader: asyncio.StreamReader) -> None:
+    async def serve_level(self, name: str, reader: asyncio.StreamReader) -> None:
+        """Count a connection as one unit until it is closed or idle for too long."""
         self.change(name, 1)
         try:
             while True:
-                async with asyncio.timeout(IDLE):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     if not await reader.read(4096):
                         return
         except TimeoutError:
@@ -61,34 +66,38 @@
         finally:
             self.change(name, -1)
 
-    def change(self, name: str, by: int) -> None:
+    def change(self, name: str, delta: int) -> None:
+        """Change the units in use of a level, and check again later if they exceed its total."""
         level = self.levels[name]
-        level.change(monotonic() - self.began, by)
-        if by > 0 and level.held > level.whole:
-            asyncio.get_running_loop().call_later(SETTLE, self.look, name)
+        level.change(monotonic() - self.started_at, delta)
+        if delta > 0 and level.in_use > level.total:
+            asyncio.get_running_loop().call_later(BREACH_DELAY_S, self.recheck_level, name)
 
-    def look(self, name: str) -> None:
-        self.breaches += self.levels[name].held > self.levels[name].whole
+    def recheck_level(self, name: str) -> None:
+        """Count a breach if the units in use still exceed the total."""
+        self.breaches += self.levels[name].in_use > self.levels[name].total
 
     def status(self) -> dict[str, Any]:
-        now = monotonic() - self.began
+        """Return the breaches and the use of each budget."""
+        now = monotonic() - self.started_at
         return {
             "breaches": self.breaches + sum(rate.breaches for rate in self.rates.values()),
             "levels": {
-                name: {"held": level.held, "largest": level.largest, "mean": round(level.mean(now), 2)}
+                name: {"held": level.in_use, "largest": level.largest, "mean": round(level.mean(now), 2)}
                 for name, level in self.levels.items()
             },
             "rates": {
-                name: {"spent": rate.spent, "lowest": round(rate.lowest, 2)}
+                name: {"spent": rate.spent, "lowest": round(rate.lowest_tokens, 2)}
                 for name, rate in self.rates.items()
             },
         }
 
 
 def main() -> None:
-    told = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ConfigFile)
-    place = ("127.0.0.1", 0)
-    uvloop.run(run(Meter(told.terms), place, place))
+    """Run the meter as a process, on any free ports of this machine."""
+    config = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ConfigFile)
+    any_port = ("127.0.0.1", 0)
+    uvloop.run(run(Meter(config.terms), any_port, any_port))
 
 
 if __name__ == "__main__":
--- a/api_gateway/experiments/budgets/referee.py
+++ b/api_gateway/experiments/budgets/referee.py
@@ -1,39 +1,52 @@
-"""Whether all together kept to a budget. It shares no code with budgets/ and knows no grants: it counts what
-a host sees, by its own clock."""
+"""Checks of whether all gateways together stay within a budget.
+
+The referees share no code with the package budgets and know no grants: they count what a host observes, by
+its own clock.
+"""
 
 from __future__ import annotations
 
 
 class LevelReferee:
-    """Units held at once, over all who hold some."""
+    """Counts the units of a level that all gateways together use at one time.
+
+    Attributes:
+        in_use: The units in use now.
+        largest: The largest number of units in use at one time.
+        breaches: How often a unit was taken that exceeded the total.
+    """
 
-    def __init__(self, whole: float) -> None:
-        self.whole, self.held, self.largest, self.breaches = whole, 0, 0, 0
-        self.since, self.area, self.began = 0.0, 0.0, 0.0
+    def __init__(self, total: float) -> None:
+        self.total, self.in_use, self.largest, self.breaches = total, 0, 0, 0
+        self.changed_at, self.unit_seconds, self.started_at = 0.0, 0.0, 0.0
 
-    def change(self, now: float, by: int) -> None:
-        self.area += self.held * (now - self.since)
-        self.since, self.held = now, self.held + by
-        self.largest = max(self.largest, self.held)
-        self.breaches += by > 0 and self.held > self.whole
+    def change(self, now: float, delta: int) -> None:
+        """Add units in use, or remove them if `delta` is negative."""
+        self.unit_seconds += self.in_use * (now - self.changed_at)
+        self.changed_at, self.in_use = now, self.in_use + delta
+        self.largest = max(self.largest, self.in_use)
+        self.breaches += delta > 0 and self.in_use > self.total
 
     def mean(self, now: float) -> float:
-        """Units held at once, over time."""
-        return (self.area + self.held * (now - self.since)) / max(1e-9, now - self.began)
+        """Return the average number of units in use over time."""
+        return (self.unit_seconds + self.in_use * (now - self.changed_at)) / max(1e-9, now - self.started_at)
 
 
 class RateReferee:
-    """Units over each window of time: as many as whole * T + burst in any T seconds. A bucket that begins
-    full and would have to go below nothing is a window that had more."""
+    """Checks that no window of T seconds has more than total * T + burst units.
+
+    It is a token bucket that starts full. If its tokens fall below zero, a window had more units.
+    """
 
-    def __init__(self, whole: float, burst: float) -> None:
-        self.whole, self.burst, self.left, self.at = whole, burst, burst, 0.0
+    def __init__(self, total: float, burst: float) -> None:
+        self.total, self.burst, self.tokens, self.updated_at = total, burst, burst, 0.0
         self.spent = self.breaches = 0
-        self.lowest = burst
+        self.lowest_tokens = burst
 
     def spend(self, now: float) -> None:
-        self.left = min(self.burst, self.left + (now - self.at) * self.whole) - 1
-        self.at = now
+        """Take one token for a unit that was used."""
+        self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.total) - 1
+        self.updated_at = now
         self.spent += 1
-        self.lowest = min(self.lowest, self.left)
-        self.breaches += self.left < -1e-6
+        self.lowest_tokens = min(self.lowest_tokens, self.tokens)
+        self.breaches += self.tokens < -1e-6
--- a/api_gateway/experiments/faults/world.py
+++ b/api_gateway/experiments/faults/world.py
@@ -17,8 +17,8 @@
 from typing import Any
 
 from api_gateway.emulators.site import Json
-from api_gateway.experiments.budgets.holder import WORK
-from api_gateway.experiments.budgets.meter import IDLE
+from api_gateway.experiments.budgets.holder import MAX_WORK_S
+from api_gateway.experiments.budgets.meter import IDLE_TIMEOUT_S
 from api_gateway.experiments.faults import scenario as scenarios
 from api_gateway.experiments.faults.lines import NO_IMPAIRMENT, Impairment
 from api_gateway.experiments.faults.links import LOOPBACK, Network
@@ -339,7 +339,7 @@
                 "whole": 5 * holder_count,
                 "reserve": holder_count,
                 "least": 1,
-                "linger": WORK + IDLE + 0.2,
+                "linger": MAX_WORK_S + IDLE_TIMEOUT_S + 0.2,
             },
             {
                 "name": "connects",
--- a/api_gateway/experiments/membership/__init__.py
+++ b/api_gateway/experiments/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership in virtual time: many members, faults between them, a referee, and its figures."""
+"""Simulation of membership in virtual time: many members, faults, a referee and measurements."""
--- a/api_gateway/experiments/membership/world.py
+++ b/api_gateway/experiments/membership/world.py
@@ -27,9 +27,9 @@
 NamePairs = Iterable[tuple[str, str]]
 
 
-def address_of(place: int) -> Address:
+def address_of(address_index: int) -> Address:
     """Return the address of the member at an index of the address space."""
-    return f"10.0.{place // 250}.{place % 250}", 7000
+    return f"10.0.{address_index // 250}.{address_index % 250}", 7000
 
 
 class Cluster:
@@ -55,8 +55,8 @@
         self.cut_links: set[tuple[str, str]] = set()  # (from, to): datagrams are dropped
         self.traffic: Counter[str] = Counter()  # datagrams and bytes sent, and the largest size
         self.referee = Referee(self)
-        for place in range(size):
-            self.start(f"m{place}", place, 1)
+        for address_index in range(size):
+            self.start(f"m{address_index}", address_index, 1)
 
     # Time
 
@@ -93,9 +93,11 @@
 
     # Members
 
-    def start(self, name: str, place: int, incarnation: int, seeds: list[Address] | None = None) -> Swim:
+    def start(
+        self, name: str, address_index: int, incarnation: int, seeds: list[Address] | None = None
+    ) -> Swim:
         """Start a member at an index of the address space, with the first members as seeds by default."""
-        address = address_of(place)
+        address = address_of(address_index)
         seed_addresses = [address_of(n) for n in range(SEED_COUNT)] if seeds is None else seeds
         swim = Swim(
             self.name,
@@ -122,7 +124,7 @@
         return [member.name for member in list(self.members.values())[start:stop:step]]
 
     def kill(self, name: str) -> Swim:
-        """End a member without a farewell and return it."""
+        """End a member abruptly, without a leave message, and return it."""
         member = self.by_name.pop(name)
         if self.members.get(member.address) is member:
             del self.members[member.address]
@@ -136,14 +138,14 @@
         return self.members.get(member.address) is member
 
     def plan_wake(self, member: Swim) -> None:
-        """Plan when a member next checks its timers, unless an earlier check is planned."""
+        """Schedule the next check of the timers of a member, unless an earlier one is scheduled."""
         due = max(self.now, member.next_due_at()) + self.rng.uniform(0, MAX_TIMER_DELAY_S)
         if due < self.wake_times.get(member.address, float("inf")):
             self.wake_times[member.address] = due
             self.schedule_at(due, lambda: self.wake(member, due))
 
     def wake(self, member: Swim, due: float) -> None:
-        """Let a member check its timers, unless it has died, is paused or was planned anew."""
+        """Let a member check its timers, unless it has ended, is paused or was rescheduled."""
         if not self.is_alive(member) or self.wake_times.get(member.address) != due:
             return
         del self.wake_times[member.address]
@@ -326,7 +328,7 @@
 
     def __init__(self, cluster: Cluster, seed: int, loss: float = 0.3) -> None:
         self.cluster, self.rng, self.loss = cluster, random.Random(f"storm {seed}"), loss
-        self.place_by_name = {member.name: n for n, member in enumerate(cluster.members.values())}
+        self.address_index_by_name = {member.name: n for n, member in enumerate(cluster.members.values())}
         self.name_numbers = itertools.count(2)
         self.removed: list[Swim] = []
 
@@ -369,7 +371,7 @@
 
     def replace(self, name: str, action: str) -> None:
         """End a member; after a while another one starts at its address."""
-        cluster, place = self.cluster, self.place_by_name[name]
+        cluster, address_index = self.cluster, self.address_index_by_name[name]
         member = cluster.by_name[name]
         if action == "leave" and member.address not in cluster.paused:
             cluster.dispatch(member, member.leave(cluster.now))
@@ -380,11 +382,11 @@
             if action == "clock back"
             else member.local_member.incarnation + 1
         )
-        self.place_by_name[new_name] = place
+        self.address_index_by_name[new_name] = address_index
 
         def start() -> None:
-            if address_of(place) not in cluster.members:
-                cluster.start(new_name, place, incarnation)
+            if address_of(address_index) not in cluster.members:
+                cluster.start(new_name, address_index, incarnation)
 
         cluster.schedule_at(cluster.now + self.rng.uniform(0.1, 8.0), start)
 
--- a/api_gateway/experiments/scale/swarm.py
+++ b/api_gateway/experiments/scale/swarm.py
@@ -39,9 +39,11 @@
         super().__init__(size, seed)
         self.referee = Unjudged(self)
 
-    def start(self, name: str, place: int, incarnation: int, seeds: list[Address] | None = None) -> Swim:
+    def start(
+        self, name: str, address_index: int, incarnation: int, seeds: list[Address] | None = None
+    ) -> Swim:
         """By a name and a number as long as those of a real gateway."""
-        return super().start(f"gateway-{place}", place, LIFE, seeds)
+        return super().start(f"gateway-{address_index}", address_index, LIFE, seeds)
 
     def notify_referee(self) -> None:
         """None of them is judged."""
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -39,9 +39,9 @@
     validate_settings,
 )
 from api_gateway.budgets.store import GrantLog, GrantStore, LogState, fixed_settings_of
-from api_gateway.experiments.budgets.world import TERMS, World, play
+from api_gateway.experiments.budgets.world import SETTINGS, World, play
 
-TERMS_BY_NAME = {budget.name: budget for budget in TERMS.budgets}
+BUDGETS_BY_NAME = {budget.name: budget for budget in SETTINGS.budgets}
 
 # The division
 
@@ -93,13 +93,13 @@
 
 def test_the_full_budget_is_usable_again_after_the_faults():
     """Guards against units that a lost grant or a crashed gateway blocks forever."""
-    world = play(4, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
-    world.calm()
+    world = play(4, demand=lambda gateway: dict.fromkeys(BUDGETS_BY_NAME, 40))
+    world.end_faults()
     world.run(15.0)
     spent_before, measured_from = world.referees["connects"].spent, world.now
     world.run(20.0)
     reserves = sum(gateway.holder.uses_reserve for gateway in world.gateways)
-    assert world.referees["connections"].held >= 32 + reserves and not world.breaches()
+    assert world.referees["connections"].in_use >= 32 + reserves and not world.breaches()
     assert (world.referees["connects"].spent - spent_before) / (world.now - measured_from) > 0.9 * (
         15.5 + 0.48 * reserves
     )
@@ -174,7 +174,7 @@
 class FreesOnASuspicion(World):
     """Releases a gateway's grants when it is paused or cut off, before they have expired."""
 
-    def suspect(self, gateway, action):
+    def on_suspicion(self, gateway, action):
         incarnations = (
             list(self.grantor.incarnations.values()) if self.grantor and action[:2] in ("pa", "cu") else []
         )
@@ -194,25 +194,25 @@
 class SkipsTheRecoveryWait(World):
     """Grants at once after a start, although earlier grants are unknown."""
 
-    def start_grantor(self, disk):
-        super().start_grantor(disk)
+    def start_grantor(self, keeps_disk):
+        super().start_grantor(keeps_disk)
         self.grantor.learned_at = -math.inf
 
 
 class SkipsLogWrites(World):
     """Marks grants as stored without storing them."""
 
-    def write(self, grantor):
-        self.disk_whole = True
+    def store_grants(self, grantor):
+        self.is_disk_complete = True
         grantor.on_stored(grantor.rows_to_store(self.grantor_clock(self.now), False))
 
 
 class TrustsALogOfHalf(World):
     """Marks a log as complete although not all earlier grants are known."""
 
-    def write(self, grantor):
-        super().write(grantor)
-        self.disk_whole = True
+    def store_grants(self, grantor):
+        super().store_grants(grantor)
+        self.is_disk_complete = True
 
 
 class GivesTheReserveShareTwice(World):
@@ -250,7 +250,7 @@
     bug.apply(monkeypatch)
     # First the seeds in which all gateways demand everything at the same time.
     seeds = sorted(range(160), key=lambda seed: -(seed % 3))
-    assert any(play(seed, kind=bug.world_class).breaches() for seed in seeds), name
+    assert any(play(seed, world_class=bug.world_class).breaches() for seed in seeds), name
 
 
 @pytest.mark.parametrize("ignores_lifetimes", [False, True])
@@ -258,12 +258,12 @@
     """A grantor restarted with a shorter grant duration must not free longer grants of its predecessor."""
     if ignores_lifetimes:  # planted
         monkeypatch.setattr(Grantor, "restore", stored_lifetime_ignored(Grantor.restore))
-    breaches, long_settings = 0, msgspec.structs.replace(TERMS, grant_duration=6.0)
+    breaches, long_settings = 0, msgspec.structs.replace(SETTINGS, grant_duration=6.0)
     for seed in range(6):
-        world = World(seed, long_settings, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
+        world = World(seed, long_settings, demand=lambda gateway: dict.fromkeys(BUDGETS_BY_NAME, 40))
         world.run(12.0)
-        world.cut_to = {f"g{index}" for index in range(4)}
-        world.length = 1.5
+        world.cut_to_grantor = {f"g{index}" for index in range(4)}
+        world.grant_duration_s = 1.5
         world.restart_grantor(True)
         world.run(8.0)
         breaches += world.breaches()
@@ -275,9 +275,9 @@
     """Tokens available at the start of a process would allow one more unit with each restart."""
     if starts_with_tokens:  # planted
         monkeypatch.setattr(BudgetHolder, "__init__", tokens_at_the_start(BudgetHolder.__init__))
-    world = World(1, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
+    world = World(1, demand=lambda gateway: dict.fromkeys(BUDGETS_BY_NAME, 40))
     world.run(8.0)
-    world.crash(0, 100)
+    world.crash_loop(0, 100)
     world.run(15.0)
     assert bool(world.breaches()) == starts_with_tokens
 
@@ -287,9 +287,9 @@
     """A grantor that lost its log and is restarted soon after leaves a log that lacks some valid grants."""
     breaches = 0
     for seed in range(30):
-        world = world_class(seed, wants=lambda gateway: dict.fromkeys(TERMS_BY_NAME, 40))
+        world = world_class(seed, demand=lambda gateway: dict.fromkeys(BUDGETS_BY_NAME, 40))
         world.run(8.0)
-        world.cut_to.add("g0")  # the second grantor gets no report of its grant, which is still valid
+        world.cut_to_grantor.add("g0")  # the second grantor gets no report of its grant, which is still valid
         for disk in (False, True):
             world.restart_grantor(disk)
             world.run(1.3)
@@ -304,7 +304,7 @@
 class Fleet:
     """The holders of one grantor, all on the same clock and without faults."""
 
-    def __init__(self, settings=TERMS, **grantor_options):
+    def __init__(self, settings=SETTINGS, **grantor_options):
         self.settings, self.now = settings, 0.0
         self.grantor, self.holders = Grantor(settings, 1, 0.0, {}, False, **grantor_options), {}
 
@@ -365,7 +365,7 @@
         grants = fleet.run_rounds(1, **{name: {"connects": rng.uniform(2.8, 3.2)} for name in "abcdef"})
         history.append(tuple(amounts["connects"] for amounts in grants.values()))
     changes = sum(before != after for before, after in zip(history[20:], history[21:], strict=False))
-    assert changes <= 4 and sum(history[-1]) <= fleet.settings.divisible_amount(TERMS.budgets[1]) + 1e-6
+    assert changes <= 4 and sum(history[-1]) <= fleet.settings.divisible_amount(SETTINGS.budgets[1]) + 1e-6
 
 
 def test_weights_by_zone_and_by_name():
@@ -415,7 +415,7 @@
     ],
 )
 def test_an_invalid_exchange_is_rejected_and_changes_nothing(data):
-    grantor = Grantor(TERMS, 1, 0.0, {}, False)
+    grantor = Grantor(SETTINGS, 1, 0.0, {}, False)
     with pytest.raises(ValueError):
         grantor.handle_exchange(1.0, decode_exchange(data))
     assert not grantor.incarnations and not grantor.newest_incarnations
@@ -429,7 +429,7 @@
     assert fleet.grantor.handle_exchange(0.3, second) is response  # a copy gets the same response
     with pytest.raises(SupersededExchangeError):
         fleet.grantor.handle_exchange(0.3, first)
-    older_holder = BudgetHolder(TERMS, "a", "z", 0, 4, True, 0.0)
+    older_holder = BudgetHolder(SETTINGS, "a", "z", 0, 4, True, 0.0)
     with pytest.raises(StaleIncarnationError) as err:
         fleet.grantor.handle_exchange(0.3, older_holder.make_exchange(0.3))
     assert holder.on_response(0.4, response) and not holder.on_response(0.4, response)
@@ -462,17 +462,17 @@
 
 
 def test_without_a_grantor_only_the_share_of_the_reserve_may_be_used():
-    holder, now = BudgetHolder(TERMS, "a", "z", 0, 1, True, 0.0), 0.0
+    holder, now = BudgetHolder(SETTINGS, "a", "z", 0, 1, True, 0.0), 0.0
     assert [holder.acquire(0.0, "connections") for _ in range(3)] == [True, False, False]
     spent = 0
     while now < 100:
         now += 0.1
         spent += holder.spend(now, "connects") == 0
-    share = TERMS.reserve_share(TERMS.budgets[1])
+    share = SETTINGS.reserve_share(SETTINGS.budgets[1])
     assert share * 100 - 2 <= spent <= share * 100 + 1
     wait = holder.spend(now, "connects")
     assert 0 < wait < 1 / share and holder.spend(now + wait, "connects") == 0
-    surplus = BudgetHolder(TERMS, "b", "z", 8, 1, True, 0.0)
+    surplus = BudgetHolder(SETTINGS, "b", "z", 8, 1, True, 0.0)
     assert not surplus.acquire(50.0, "connections") and surplus.spend(50.0, "connects") == math.inf
 
 
@@ -512,8 +512,8 @@
 
 
 def settings_with_level(**changes):
-    level = msgspec.structs.replace(TERMS.budgets[0], **changes)
-    return msgspec.structs.replace(TERMS, budgets=[level, TERMS.budgets[1]])
+    level = msgspec.structs.replace(SETTINGS.budgets[0], **changes)
+    return msgspec.structs.replace(SETTINGS, budgets=[level, SETTINGS.budgets[1]])
 
 
 def test_a_smaller_total_takes_effect_as_grants_expire():
@@ -531,27 +531,27 @@
 @pytest.mark.parametrize(
     "terms, why",
     [
-        (msgspec.structs.replace(TERMS, max_gateways=9), "most"),
-        (msgspec.structs.replace(TERMS, grant_duration=9.0), "length"),
-        (msgspec.structs.replace(TERMS, budgets=TERMS.budgets[:1]), "connects"),
+        (msgspec.structs.replace(SETTINGS, max_gateways=9), "most"),
+        (msgspec.structs.replace(SETTINGS, grant_duration=9.0), "length"),
+        (msgspec.structs.replace(SETTINGS, budgets=SETTINGS.budgets[:1]), "connects"),
         (settings_with_level(reserve=16.0), "reserve"),
         (settings_with_level(release_delay=0.1), "linger"),
     ],
 )
 def test_changes_that_need_a_restart_are_rejected_completely(terms, why):
-    grantor = Grantor(TERMS, 1, 0.0, {}, False)
+    grantor = Grantor(SETTINGS, 1, 0.0, {}, False)
     with pytest.raises(InvalidExchangeError, match=why):
         grantor.change_settings(1.0, terms, {})
-    assert grantor.settings is TERMS
+    assert grantor.settings is SETTINGS
 
 
 def test_a_larger_rate_waits_until_older_grants_have_expired():
-    grantor = Grantor(TERMS, 1, 0.0, {}, False)
-    rate = msgspec.structs.replace(TERMS.budgets[1], total=40.0)
-    larger_settings = msgspec.structs.replace(TERMS, budgets=[TERMS.budgets[0], rate])
+    grantor = Grantor(SETTINGS, 1, 0.0, {}, False)
+    rate = msgspec.structs.replace(SETTINGS.budgets[1], total=40.0)
+    larger_settings = msgspec.structs.replace(SETTINGS, budgets=[SETTINGS.budgets[0], rate])
     grantor.change_settings(1.0, larger_settings, {})
     grantor.release_ended(1.0 + 0.9 * larger_settings.grant_lifetime())
-    assert grantor.pools["connects"].divisible == TERMS.divisible_amount(TERMS.budgets[1])
+    assert grantor.pools["connects"].divisible == SETTINGS.divisible_amount(SETTINGS.budgets[1])
     grantor.release_ended(1.1 + larger_settings.grant_lifetime())
     assert grantor.pools["connects"].divisible == larger_settings.divisible_amount(rate)
 
@@ -575,7 +575,7 @@
 )
 def test_inconsistent_settings_are_rejected(change, why):
     with pytest.raises(SettingsError, match=why):
-        validate_settings(msgspec.structs.replace(TERMS, **change))
+        validate_settings(msgspec.structs.replace(SETTINGS, **change))
 
 
 # On disk
@@ -652,7 +652,9 @@
     for elapsed, rows_left in ((1.6, 2), (3.2, 1), (3.9, 0)):
         grantor.release_ended(100.0 + elapsed)
         assert len(grantor.rows_to_store(100.0 + elapsed, True)) == rows_left
-    long_grantor = Grantor(msgspec.structs.replace(TERMS, grant_duration=6.0), 1, 100.0, STORED_GRANTS, True)
+    long_grantor = Grantor(
+        msgspec.structs.replace(SETTINGS, grant_duration=6.0), 1, 100.0, STORED_GRANTS, True
+    )
     request = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 4, 0)})
     # The response must be stored before it is sent.
     assert (
@@ -678,7 +680,7 @@
 
 
 def test_a_response_whose_grant_expired_while_the_disk_hung_is_dropped():
-    grantor = Grantor(TERMS, 1, 0.0, {}, True)
+    grantor = Grantor(SETTINGS, 1, 0.0, {}, True)
     request = ExchangeRequest("a", "z", 0, 1, 1, 0, {"connections": BudgetReport(4, 0, 0)})
     response = grantor.handle_exchange(0.0, request)
     grantor.release_ended(30.0)
@@ -692,7 +694,7 @@
 def config(tmp_path, log=True):
     return Config(
         ("127.0.0.1", 0),
-        msgspec.structs.replace(TERMS, exchange_interval=0.05, grant_duration=1.0),
+        msgspec.structs.replace(SETTINGS, exchange_interval=0.05, grant_duration=1.0),
         tmp_path / "x.db" if log else None,
         {},
     )
@@ -774,7 +776,7 @@
     second.close()
 
 
-CONFIG = {"listen": "127.0.0.1:0", "terms": msgspec.to_builtins(TERMS)}
+CONFIG = {"listen": "127.0.0.1:0", "terms": msgspec.to_builtins(SETTINGS)}
 
 
 def start_grantor_process(tmp_path, config_tree):
@@ -820,7 +822,7 @@
 def test_a_restart_that_changes_fixed_settings_is_rejected(tmp_path):
     log = str(tmp_path / "budgets.db")
     store = GrantStore(tmp_path / "budgets.db")
-    store.write({}, LogState(1, True, 4.0, fixed_settings_of(TERMS)), complete=True)
+    store.write({}, LogState(1, True, 4.0, fixed_settings_of(SETTINGS)), complete=True)
     store.close()
     terms = {**CONFIG["terms"], "most": 4}
     process = start_grantor_process(tmp_path, {**CONFIG, "terms": terms, "log": log})
