--- a/api_gateway/base/endpoint_list.py
+++ b/api_gateway/base/endpoint_list.py
@@ -1,6 +1,6 @@
 """Parses endpoint lists in the format of service discovery, and the addresses in them.
 
-Invalid input raises ValueError. The class is part of the interface, because the response to an operator's
+Invalid input raises ValueError. The class is part of the interface, because the answer to an operator's
 configuration change names the class of the error.
 """
 
@@ -15,7 +15,7 @@
 from api_gateway import interface as api
 
 ENDPOINT_STATES = {"up": "up", "draining": "leaving", "removed": "down"}
-"""States of the decision module, by the state in an endpoint list."""
+"""States of the decision engine, by the state in an endpoint list."""
 PORT_LIMIT = 65536
 MS_PER_S = 1000
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListing:
-    """An endpoint list for the decision module, and the addresses of its endpoints."""
+    """An endpoint list for the decision engine, and the addresses of its endpoints."""
 
     endpoint_list: api.EndpointList
     addresses: dict[str, Address]  # by endpoint id
--- a/api_gateway/base/entry_stream.py
+++ b/api_gateway/base/entry_stream.py
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, body: bytes | bytearray) -> None:
-        """Initialise the stream.
+        """Start before the first entry.
 
         Args:
             body: The text of the list.
--- a/api_gateway/base/ratelimit.py
+++ b/api_gateway/base/ratelimit.py
@@ -13,7 +13,7 @@
     """Writes at most one line per interval, with the number of lines suppressed before it."""
 
     def __init__(self, log: logging.Logger, interval_s: float = LOG_INTERVAL_S) -> None:
-        """Initialise the log.
+        """Initialise with no suppressed lines.
 
         Args:
             log: Logger that writes the lines.
--- a/api_gateway/base/resp.py
+++ b/api_gateway/base/resp.py
@@ -73,7 +73,7 @@
         # State of the large string.
         self.large_string_bytes = 0
         self.buffered = b""
-        self.large_bytes_left = 0  # still to arrive of one that is passed on, including its CRLF
+        self.large_bytes_left = 0  # still to arrive of a string that is passed on, with its CRLF
         self.large_end = b""  # received bytes of its CRLF
         self.sink: Callable[[bytes], None] | None = None
 
@@ -148,7 +148,7 @@
     def _resume(self, data: bytes) -> bytes:
         """Pass on the bytes of the large string. Return the other bytes, after an incomplete line."""
         if self.large_bytes_left:
-            data = self._pass_piece(data)
+            data = self._pass_chunk(data)
         return self.partial_line + data if self.partial_line else data
 
     def _stop_at(self, data: bytes, offset: int, end: int, length: int | None) -> None:
@@ -205,7 +205,7 @@
             self.parts_due += max(0, count) - 1
         return 0 if count <= MAX_ARRAY_PARTS else None
 
-    def _pass_piece(self, data: bytes) -> bytes:
+    def _pass_chunk(self, data: bytes) -> bytes:
         """Pass on the bytes of the large string. Return the bytes after it."""
         assert self.sink is not None
         chunk = data[: self.large_bytes_left] if len(data) > self.large_bytes_left else data
--- a/api_gateway/base/subsets.py
+++ b/api_gateway/base/subsets.py
@@ -29,8 +29,8 @@
 MIN_GROUP_SIZE = 6  # minimum number of endpoints of each kind, if the kind has as many
 MAX_SUBSET_SIZE = 65536
 MAX_KINDS = 4096
-MAX_NAME_CHARS = 128  # of a zone or a kind
-MAX_NUMBER_DIGITS = 18  # of a number in a query
+MAX_NAME_CHARS = 128  # characters of the name of a zone or a kind
+MAX_NUMBER_DIGITS = 18  # digits of a number in a query
 # Divided by the root of the group size, the deviation (four standard deviations) of the ratio of a group's
 # two arcs that random variation alone explains.
 ARC_RATIO_TOLERANCE = 8.0
--- a/api_gateway/budgets/settings.py
+++ b/api_gateway/budgets/settings.py
@@ -69,7 +69,7 @@
         grant_duration: Seconds for which a grant is valid.
         exchange_interval: Seconds between two exchanges of a gateway.
         clock_drift: The largest fraction by which the speeds of any two clocks differ.
-        unassigned_fraction: The fraction of each budget that the grantor does not hand out beyond demand, so
+        unassigned_fraction: The fraction of each budget that the grantor does not hand out above demand, so
             that gateways that start can be granted some at once.
     """
 
@@ -183,8 +183,8 @@
     Attributes:
         demand: Units that the gateway could use.
         holding: The granted units to which the gateway limits itself until it accepts a newer response. For a
-            level this is at least what it uses beyond its share of the reserve.
-        reserve_share: The gateway's share of the reserve, or 0 if it has none.
+            level this is at least what it uses above its part of the reserve.
+        reserve_share: The gateway's part of the reserve, or 0 if it has none.
     """
 
     demand: Amount = field(name="need")
--- a/api_gateway/control/config_preparation.py
+++ b/api_gateway/control/config_preparation.py
@@ -87,7 +87,7 @@
 
 
 async def try_decision_module(changes: ConfigChanges, change: ChangeInProgress) -> None:
-    """Apply the change to a trial instance of the decision module."""
+    """Apply the change to a trial instance of the decision engine."""
     trial = DecisionEngine(change.previous.settings, 1, changes.node.clock())
     trial.apply_settings(changes.node.clock(), change.config.settings)
 
--- a/api_gateway/discovery/client.py
+++ b/api_gateway/discovery/client.py
@@ -71,7 +71,7 @@
         grace: float | None = None,
         subset: EndpointSubset | None = None,
     ) -> None:
-        """Initialise the discovery.
+        """Initialise without starting the watch.
 
         Args:
             address: Address of discovery.
@@ -230,7 +230,7 @@
             self._on_subset_change(self.subset)
 
     def _on_subset_change(self, subset: EndpointSubset) -> None:
-        """Schedule the subset change for later, because the decision module may be processing an event."""
+        """Schedule the subset change for later, because the decision engine may be processing an event."""
         if subset.endpoint_store is None:
             self.fetch_full_list()
         elif self.subset_change is None:
--- a/api_gateway/discovery/compact_store.py
+++ b/api_gateway/discovery/compact_store.py
@@ -1,9 +1,9 @@
 """Stores all endpoints of a cluster compactly, for a gateway that selects its subset from the full list.
 
-An endpoint is one bytes record on the ring of its group, zone and state. The record consists of its position
-(POSITION_BYTES), its id, ID_END, the number of the last full list that contained it (LIST_NUMBER_BYTES), and
-its other fields as JSON. The records of a ring are sorted. A table of endpoints by id would double the
-memory, so an endpoint is searched for on the rings of all zones instead.
+An endpoint is stored as one record of bytes on the ring of its group, zone and state. The record consists of
+its position (POSITION_BYTES), its id, ID_END, the number of the last full list that contained it
+(LIST_NUMBER_BYTES), and its other fields as JSON. The records of a ring are sorted. A table of endpoints by
+id would double the memory, so an endpoint is searched for on the rings of all zones instead.
 """
 
 from __future__ import annotations
--- a/api_gateway/discovery/drain_memory.py
+++ b/api_gateway/discovery/drain_memory.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self) -> None:
-        """Initialise the drain memory."""
+        """Initialise with no remembered endpoints."""
         self.last_version = 0
         self.started_at: dict[str, float] = {}  # start times of remembered endpoints, by id, oldest first
 
--- a/api_gateway/discovery/fetcher.py
+++ b/api_gateway/discovery/fetcher.py
@@ -16,7 +16,7 @@
 from api_gateway.base.descriptors import reclaim_nothing, retry_after_reclaim
 from api_gateway.base.endpoint_list import Address
 
-MAX_BODY_BYTES = 16 * 1024 * 1024  # of an answer; a list of 1,000 endpoints takes 150 kB
+MAX_BODY_BYTES = 16 * 1024 * 1024  # size of an answer; a list of 1,000 endpoints takes 150 kB
 READ_BYTES = 64 * 1024  # maximum size of one read from the socket
 
 
@@ -28,7 +28,7 @@
     """The status of the answer is not 2xx."""
 
     def __init__(self, status: int) -> None:
-        """Initialise the status error."""
+        """Store the HTTP status."""
         super().__init__(f"status {status}")
         self.status = status
 
@@ -37,7 +37,7 @@
     """The connection ended before the answer was complete, or the answer is malformed or too large."""
 
     def __init__(self, reason: str) -> None:
-        """Initialise the broken connection error."""
+        """Store the reason, which is also the message."""
         super().__init__(reason)
         self.reason = reason
 
@@ -46,8 +46,8 @@
     """An idle connection was closed, or received data without a request, before the next answer began."""
 
 
-# The reply to an operator's configuration change contains the class name of an error. These names are part of
-# that interface and stay, although the classes have been renamed.
+# The answer to an operator's configuration change contains the class name of an error. These names are part
+# of that interface and stay, although the classes have been renamed.
 StatusError.__name__ = "Refused"
 BrokenConnectionError.__name__ = "Broken"
 
@@ -74,7 +74,7 @@
     """One HTTP connection, which makes one call at a time. It owns the reader and the writer."""
 
     def __init__(self, address: Address, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Initialise the connection."""
+        """Start the HTTP protocol on an open connection."""
         self.address = address
         self.reader = reader
         self.writer = writer
@@ -113,7 +113,7 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
-                body += event.data  # joining a list of pieces would need twice the memory
+                body += event.data  # joining a list of chunks would need twice the memory
                 if len(body) > MAX_BODY_BYTES:
                     raise BrokenConnectionError(f"an answer of more than {MAX_BODY_BYTES} bytes")
             elif isinstance(event, h11.EndOfMessage):
@@ -169,7 +169,7 @@
     """
 
     def __init__(self) -> None:
-        """Initialise the fetcher."""
+        """Initialise without an idle connection."""
         self.idle_connection: FetchConnection | None = None
         self.reclaim_descriptor = reclaim_nothing
 
--- a/api_gateway/discovery/polling.py
+++ b/api_gateway/discovery/polling.py
@@ -91,7 +91,7 @@
     """Draws jittered delays between calls, below a bound that doubles with each failure."""
 
     def __init__(self, gateways: int, rng: random.Random, max_delay: float = MAX_BACKOFF_S) -> None:
-        """Initialise the backoff.
+        """Initialise with no failures.
 
         Args:
             gateways: Gateways that call the same service.
@@ -126,7 +126,7 @@
     """Decides how long the next call may take and how long to wait after a failed call."""
 
     def __init__(self, gateways: int, rng: random.Random, grace: float | None) -> None:
-        """Initialise the poll schedule.
+        """Initialise with no failures.
 
         Args:
             gateways: Gateways that call the same service.
@@ -137,9 +137,8 @@
         self.rng = rng
         self.timeouts = Timeouts() if grace is None else agent_timeouts(grace)
         self.backoff = Backoff(gateways if grace is None else 1, rng, self.timeouts.max_backoff)
-        self.failed_locally = (
-            False  # whether the last call failed in a way that does not hit all gateways at once
-        )
+        # Whether the last call failed in a way that does not hit all gateways at once.
+        self.failed_locally = False
         self.last_unreadable = False  # whether the last answer could not be read
         self.unknown_since = 0.0  # monotonic time since which the failed last call may have missed changes
         self.last_immediate_at = -IMMEDIATE_RETRY_INTERVAL_S
--- a/api_gateway/discovery/replicas.py
+++ b/api_gateway/discovery/replicas.py
@@ -40,7 +40,7 @@
     """A replica lags behind: its list is older than the last one."""
 
     def __init__(self, version: int, known_version: int) -> None:
-        """Initialise the stale replica error."""
+        """Store both versions."""
         super().__init__(f"version {version} is older than the known version {known_version}")
         self.version = version
         self.known_version = known_version
@@ -63,7 +63,7 @@
         name: str,
         *args: Any,
     ) -> None:
-        """Initialise the replicas.
+        """Initialise with the first replica as the current one.
 
         Args:
             address: The first replica.
--- a/api_gateway/discovery/subsets.py
+++ b/api_gateway/discovery/subsets.py
@@ -52,7 +52,7 @@
         self.spec = SubsetSpec(index, config.size, zone, config.kinds)
         self.is_chosen_by_service = False  # if so, watches send the subset query as well
         self.endpoint_store: CompactEndpointStore | None = None
-        self.selected: dict[str, bytes] = {}  # encoded endpoints that the decision module has, by id
+        self.selected: dict[str, bytes] = {}  # encoded endpoints that the decision engine has, by id
         self.applied_spec: SubsetSpec | None = None  # spec of `selected`, if the subset was selected here
         self.group_members: dict[str | None, set[str]] = {}  # ids in `selected`, by group
         self.total = 0  # available endpoints in all groups of the subset
@@ -181,7 +181,7 @@
         correct: Callable[[api.Endpoint], api.Endpoint],
         drained_ids: Iterable[str],
     ) -> EndpointListing:
-        """Apply a list and return the list to pass to the decision module.
+        """Apply a list and return the list to pass to the decision engine.
 
         Args:
             listing: The list.
@@ -202,10 +202,9 @@
             names = (*store.draining_ids(), *drained_ids)
             for endpoint, address in [found for name in names if (found := store.get(name))]:
                 store.store(correct(endpoint), address)
+        # The copy does not refer to the store.
         return self.update_selection(
-            EndpointListing(
-                listing.endpoint_list, listing.addresses, listing.epoch, listing.is_subset
-            )  # without the store
+            EndpointListing(listing.endpoint_list, listing.addresses, listing.epoch, listing.is_subset)
         )
 
     def _record_chosen_subset(self, listing: EndpointListing) -> EndpointListing:
@@ -250,7 +249,7 @@
         return selected
 
     def _clear_selection(self) -> None:
-        """Clear the selection, because the next list to the decision module is a full one."""
+        """Clear the selection, because the next list to the decision engine is a full one."""
         self.selected = {}
         self.applied_spec = None
         self.group_members = {}
--- a/api_gateway/downstream/body_budget.py
+++ b/api_gateway/downstream/body_budget.py
@@ -12,9 +12,9 @@
 
 
 class IncomingBody:
-    """A buffer of the announced length that collects a large body from its pieces.
+    """A buffer of the announced length that collects a large body from its chunks.
 
-    The bytes are reserved in the BodyBudget before the first piece is read.
+    The bytes are reserved in the BodyBudget before the first chunk is read.
     """
 
     __slots__ = ("data", "received_bytes")
@@ -24,11 +24,11 @@
         self.data = bytearray(length)
         self.received_bytes = 0
 
-    def append(self, piece: bytes) -> None:
-        """Store the next piece; the line end after the complete body is dropped."""
+    def append(self, chunk: bytes) -> None:
+        """Store the next chunk; the line end after the complete body is dropped."""
         if self.received_bytes < len(self.data):
-            self.data[self.received_bytes : self.received_bytes + len(piece)] = piece
-            self.received_bytes += len(piece)
+            self.data[self.received_bytes : self.received_bytes + len(chunk)] = chunk
+            self.received_bytes += len(chunk)
 
 
 class BodyBudget:
--- a/api_gateway/downstream/client_connection.py
+++ b/api_gateway/downstream/client_connection.py
@@ -27,7 +27,7 @@
 # Seconds for the first command of a connection, or a command that has begun, to arrive without its large
 # body.
 COMMAND_TIMEOUT_S = 2.5
-# Seconds between two pieces of a large body.
+# Seconds between two chunks of a large body.
 BODY_PROGRESS_TIMEOUT_S = 2.2
 # Seconds in which the client reads no byte of its replies, after which the connection is aborted.
 WRITE_PROGRESS_TIMEOUT_S = 60.0
--- a/api_gateway/downstream/client_server.py
+++ b/api_gateway/downstream/client_server.py
@@ -90,9 +90,8 @@
         self.paused_connections: dict[ClientConnection, None] = {}
         self.idle = IdleConnections()
         self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()  # oldest first
-        self.aborted_connections: dict[
-            ClientConnection, None
-        ] = {}  # until the event loop reports them as closed
+        # Aborted connections, until the event loop reports them as closed.
+        self.aborted_connections: dict[ClientConnection, None] = {}
         self.check_timer: asyncio.TimerHandle | None = None
         self.drain_started_at: float | None = None  # None: no drain
         self.drain_read_s = DRAIN_READ_S
--- a/api_gateway/downstream/client_socket.py
+++ b/api_gateway/downstream/client_socket.py
@@ -37,9 +37,8 @@
 def shut_down_sending(transport_socket: socket.socket) -> None:
     """Shut the sending side of a transport's socket immediately; the transport keeps owning the socket."""
     family, kind, protocol = transport_socket.family, transport_socket.type, transport_socket.proto
-    sock = socket.socket(
-        family, kind, protocol, transport_socket.fileno()
-    )  # shares the descriptor; see detach below
+    # This socket shares the transport's descriptor, so it is detached and not closed below.
+    sock = socket.socket(family, kind, protocol, transport_socket.fileno())
     try:
         sock.shutdown(socket.SHUT_WR)
     except OSError:  # the peer has reset the connection
--- a/api_gateway/downstream/pending_reply.py
+++ b/api_gateway/downstream/pending_reply.py
@@ -22,7 +22,7 @@
         """Create a reply that is not completed yet."""
         self.connection = connection
         self.encoded_reply: bytes | None = None
-        # For a reply written in pieces: called whenever more of it may be written.
+        # For a reply written in chunks: called whenever more of it may be written.
         self.on_writable: Callable[[], None] | None = None
         # State of the handler for a command that it has accepted and not answered yet.
         self.request: Any = None
@@ -33,11 +33,11 @@
         self.connection.flush()
 
     def is_blocked(self) -> bool:
-        """Return whether pieces must wait for earlier replies or until the client reads."""
+        """Return whether chunks must wait for earlier replies or until the client reads."""
         return self.connection.pending_replies[0] is not self or self.connection.writing_paused
 
     def write_piece(self, data: bytes) -> None:
-        """Write a piece of the reply immediately; allowed only while `is_blocked` returns False."""
+        """Write a chunk of the reply immediately; allowed only while `is_blocked` returns False."""
         self.connection.transport.write(data)
 
     def abort(self) -> None:
--- a/api_gateway/gateway/action_executor.py
+++ b/api_gateway/gateway/action_executor.py
@@ -98,7 +98,7 @@
     def _on_timer(self, label: int, ends_at: float) -> None:
         """Dispatch the timer event, or wait again if the loop fired early.
 
-        The decision module would mistake an early timer for a different one and would not set another.
+        The decision engine would mistake an early timer for a different one and would not set another.
         """
         time_left = ends_at - self._dispatcher.clock()
         if time_left > 0:
@@ -119,5 +119,5 @@
         self._discovery.resize_subset(action.endpoint_count)
 
     def log_message(self, action: api.LogMessage) -> None:
-        """Write a message from the decision module to the log."""
+        """Write a message from the decision engine to the log."""
         log.info("decision module: %s", action.text)
--- a/api_gateway/gateway/attempt_runner.py
+++ b/api_gateway/gateway/attempt_runner.py
@@ -130,12 +130,12 @@
         pending_reply.on_writable = connection.resume_value
         header = b"$%d\r\n" % length
 
-        def write_piece(data: bytes) -> None:
+        def write_chunk(data: bytes) -> None:
             nonlocal header
             pending_reply.write_piece(header + data)
             header = b""
 
-        attempt.value_sink = write_piece
+        attempt.value_sink = write_chunk
         started = api.ResponseStarted(request.id, number, attempt.endpoint_id, attempt.response_time())
         self._dispatcher.dispatch(started)
         return attempt.result == ""
--- a/api_gateway/gateway/config.py
+++ b/api_gateway/gateway/config.py
@@ -42,7 +42,7 @@
         max_descriptors: Maximum number of file descriptors open in all processes of this gateway.
         max_memory_bytes: Maximum memory used by all processes of this gateway.
         initial_list: The last known endpoint list of this gateway, which may be out of date.
-        settings: The settings of the decision module.
+        settings: The settings of the decision engine.
         connect_timeout: Timeout in seconds for connecting to an endpoint.
         endpoint_idle_close: Seconds after which endpoints close an idle connection.
         max_in_flight: Maximum number of requests in flight.
--- a/api_gateway/gateway/endpoint_updates.py
+++ b/api_gateway/gateway/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Apply endpoint lists to the upstream pools and pass them to the decision module."""
+"""Apply endpoint lists to the upstream pools and pass them to the decision engine."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     def apply(self, listing: EndpointListing) -> None:
         """Apply a complete list or a delta.
 
-        The pools of new endpoints are opened first, then the decision module receives the list, and then the
+        The pools of new endpoints are opened first, then the decision engine receives the list, and then the
         pools of removed endpoints are closed. So attempts that end because their endpoint was removed are not
         retried there.
         """
@@ -47,7 +47,7 @@
         self._serving.update_readiness()
 
     def on_poll_failed(self, settings: api.Settings, version: int | None) -> None:
-        """Report a failed poll to the decision module; the discovery client handles failed watches itself.
+        """Report a failed poll to the decision engine; the discovery client handles failed watches itself.
 
         Args:
             settings: The active settings.
--- a/api_gateway/gateway/event_dispatcher.py
+++ b/api_gateway/gateway/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""Pass events to the decision module one at a time, and each returned action to its handler."""
+"""Pass events to the decision engine one at a time, and each returned action to its handler."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Engine(Protocol):
-    """The interface of a decision module that the dispatcher uses."""
+    """The interface of a decision engine that the dispatcher uses."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Return the actions for an event that occurred at `now`, in seconds of the gateway's clock."""
@@ -29,10 +29,10 @@
     """Dispatches events and actions without any knowledge of sockets or requests.
 
     Attributes:
-        engine: The decision module.
+        engine: The decision engine.
         clock: Returns the time of events in seconds.
         handlers: The handler of each action type; set by the composition root.
-        on_engine_failure: Called with an event for which the decision module raised an exception.
+        on_engine_failure: Called with an event for which the decision engine raised an exception.
     """
 
     def __init__(self, engine: Engine, clock: Callable[[], float]) -> None:
@@ -66,7 +66,6 @@
         for action in actions:
             try:
                 self.handlers[type(action)](action)
-            except (
-                Exception
-            ):  # the other actions still run, and the guard timer answers the request concerned
+            # The other actions still run, and the guard timer answers the request concerned.
+            except Exception:
                 log.exception("action failed action=%r", action)
--- a/api_gateway/gateway/in_flight.py
+++ b/api_gateway/gateway/in_flight.py
@@ -1,4 +1,4 @@
-"""Track requests in flight from their admission to their final answer."""
+"""Track requests in flight from their admission to their final reply."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from api_gateway.upstream.attempt import Attempt
 from api_gateway.upstream.endpoint_pools import EndpointPools
 
-# Seconds before the client's deadline at which an unanswered request is failed without the decision module.
+# Seconds before the client's deadline at which an unanswered request is failed without the decision engine.
 GUARD_MARGIN_S = 0.01
 # Total bytes of small request bodies in flight above which requests are rejected.
 MAX_SMALL_BODY_BYTES = 16 * 1024 * 1024
@@ -48,7 +48,7 @@
         guard: Timer that fails the request if nothing else answers it before the deadline.
         attempt_count: Number of attempts started so far.
         attempts: Attempts that have not ended, by number.
-        is_answered: Whether the request has received its final answer.
+        is_answered: Whether the request has received its final reply.
         streaming_attempt: The attempt whose value is being streamed to the client.
     """
 
@@ -73,7 +73,7 @@
         deadline: float,
         limits: api.Limits,
     ) -> None:
-        """Create a request without attempts or an answer."""
+        """Create a request without attempts or a reply."""
         self.id = id
         self.pending_reply = pending_reply
         self.command = command
@@ -112,7 +112,7 @@
 
 
 class InFlightRequests:
-    """Owns the requests in flight, admits commands and sends each request exactly one final answer.
+    """Owns the requests in flight, admits commands and sends each request exactly one final reply.
 
     It is the command handler of the client server: client connections call `handle_command` and
     `on_client_disconnected`.
@@ -170,7 +170,7 @@
     # Admission
 
     def admit(self, pending_reply: PendingReply, command: object) -> None:
-        """Admit a request and pass it to the decision module, or reject it if a limit is reached.
+        """Admit a request and pass it to the decision engine, or reject it if a limit is reached.
 
         Raises:
             BadRequestError: The command is not a valid request, or its id is already in flight.
@@ -205,16 +205,16 @@
             or self.small_body_bytes > MAX_SMALL_BODY_BYTES
         )
 
-    # The final answer
+    # The final reply
 
-    def finish(self, request: InFlightRequest, answer: bytes) -> None:
-        """Send the final answer of a request, unless it already has one.
+    def finish(self, request: InFlightRequest, reply: bytes) -> None:
+        """Send the final reply to a request, unless it already has one.
 
-        All final answers are sent by this method.
+        All final replies are sent by this method.
 
         Args:
             request: The request.
-            answer: The bytes to send; empty if the client has disconnected.
+            reply: The bytes to send; empty if the client has disconnected.
         """
         if request.is_answered:
             return
@@ -223,15 +223,15 @@
             request.guard.cancel()
         if request.streaming_attempt is not None and not request.streaming_attempt.is_value_complete:
             request.pending_reply.abort()
-        elif answer:
-            request.pending_reply.complete(answer if request.streaming_attempt is None else b"")
+        elif reply:
+            request.pending_reply.complete(reply if request.streaming_attempt is None else b"")
         for attempt in list(request.attempts.values()):
-            if not attempt.is_written:  # no attempt is sent after the final answer
+            if not attempt.is_written:  # no attempt is sent after the final reply
                 self._upstream.abandon(attempt, "cancelled")
         self.remove_if_finished(request)
 
     def reject(self, action: api.RejectRequest) -> None:
-        """Answer a request with BUSY, including a retry delay if the decision module set one."""
+        """Answer a request with BUSY, including a retry delay if the decision engine set one."""
         request = self.in_flight.get(action.request_id)
         if request is None:
             return
@@ -247,7 +247,7 @@
             self.finish(request, FAILED_REPLY)
 
     def abandon(self, request: InFlightRequest) -> None:
-        """Fail a request without a decision, cancel its attempts and make the decision module discard it."""
+        """Fail a request without a decision, cancel its attempts and make the decision engine discard it."""
         self.finish(request, FAILED_REPLY)
         for attempt in list(request.attempts.values()):
             self._upstream.abandon(attempt, "cancelled")
@@ -259,7 +259,7 @@
             self.abandon(request)
 
     def on_engine_failure(self, event: api.Event) -> None:
-        """Abandon the request that the event belongs to, because the decision module raised an exception."""
+        """Abandon the request that the event belongs to, because the decision engine raised an exception."""
         if isinstance(event, api.Request | api.AttemptEnded) and event.request_id in self.in_flight:
             self.abandon(self.in_flight[event.request_id])
 
@@ -275,7 +275,7 @@
             self.small_body_bytes -= len(request.command[-1])
 
     def _on_overdue(self, request: InFlightRequest) -> None:
-        """Fail a request that the decision module has left unanswered until shortly before the deadline."""
+        """Fail a request that the decision engine has left unanswered until shortly before the deadline."""
         if not request.is_answered:
             log.warning("no decision before the deadline request=%s", request.id)
             self.abandon(request)
--- a/api_gateway/gateway/instances.py
+++ b/api_gateway/gateway/instances.py
@@ -78,10 +78,8 @@
         """
         try:
             descriptor = os.open(path, os.O_RDWR | os.O_CLOEXEC)
-        except (
-            FileNotFoundError,
-            PermissionError,
-        ):  # the process has just ended or is not part of this gateway
+        # The process has just ended or is not part of this gateway.
+        except (FileNotFoundError, PermissionError):
             return False
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
--- a/api_gateway/gateway/node.py
+++ b/api_gateway/gateway/node.py
@@ -1,6 +1,6 @@
 """Build the components of one gateway process, start them and shut them down.
 
-This module makes no decisions: `event_dispatcher` passes events to the decision module, and `action_executor`
+This module makes no decisions: `event_dispatcher` passes events to the decision engine, and `action_executor`
 maps each returned action to the component that executes it. All events and actions of `interface` are handled
 except PeerMessage, because a gateway has no peers.
 """
@@ -50,8 +50,8 @@
 
     Attributes:
         active: The active configuration.
-        engine: The decision module.
-        dispatcher: Passes events to the decision module and its actions to their handlers.
+        engine: The decision engine.
+        dispatcher: Passes events to the decision engine and its actions to their handlers.
         serving: Whether clients are served.
         requests: The requests in flight.
         attempts: Runs the attempts of these requests.
@@ -125,7 +125,7 @@
     async def start(self) -> int:
         """Start all components and serve clients.
 
-        Slow steps finish and the decision module knows its endpoints before the first client can connect.
+        Slow steps finish and the decision engine knows its endpoints before the first client can connect.
         Otherwise requests would arrive during a slow step and wait past their deadlines.
 
         Returns:
@@ -150,7 +150,7 @@
             await self.serving.check_cluster_clock()
         if self.settings.discovery_mode == "push":
             self.discovery.set_watching(True)
-        if agent_drain_grace(self.config) is not None:  # its lists count as delivered from the start
+        if agent_drain_grace(self.config) is not None:  # an agent's lists count as delivered from the start
             await self.discovery.wait_for_first_list()
         port = await self.clients.listen(*config.listen, config.inherited_socket, config.edge)
         if config.membership:
@@ -207,7 +207,7 @@
         return self.requests.in_flight
 
     def status(self) -> dict[str, Any]:
-        """Return the answer of `GET /status`."""
+        """Return the answer to `GET /status`."""
         return gateway_status(self)
 
     def set_override(self, endpoint_id: str, ejected: bool) -> None:
--- a/api_gateway/gateway/operator_overrides.py
+++ b/api_gateway/gateway/operator_overrides.py
@@ -34,7 +34,7 @@
         Args:
             store: The shared file.
             upstream: The endpoint pools, which are closed or reopened by an override.
-            dispatcher: Passes each override to the decision module.
+            dispatcher: Passes each override to the decision engine.
             is_known: Returns whether an endpoint is known from an endpoint list.
         """
         self._store = store
@@ -87,7 +87,7 @@
         override = replace(override, overridden_at=self._dispatcher.clock())
         if override.ejected:
             log.info("endpoint ejected by operator override endpoint=%s", override.endpoint_id)
-            # The decision module is notified first, so that attempts on the closed connections are not
+            # The decision engine is notified first, so that attempts on the closed connections are not
             # retried at this endpoint.
             self._dispatcher.dispatch(override)
             self._upstream.set_ejected(override.endpoint_id, True)
--- a/api_gateway/gateway/request_parser.py
+++ b/api_gateway/gateway/request_parser.py
@@ -1,4 +1,4 @@
-"""Parse client commands into requests for the decision module."""
+"""Parse client commands into requests for the decision engine."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from api_gateway import interface as api
 
-# Seconds before the client's deadline by which the decision module must have settled a request.
+# Seconds before the client's deadline by which the decision engine must have settled a request.
 ANSWER_RESERVE_S = 0.03
 # Longest deadline in seconds that a client may set.
 CLIENT_DEADLINE_LIMIT_S = 3600.0
@@ -62,7 +62,7 @@
         raise BadRequestError("unknown class or plan")
     if not _is_allowed_for_command(service_class, is_write, fields):
         raise BadRequestError("class does not go with this command")
-    # The decision module compares the units of a request with the mean of all requests. One request of 1e12
+    # The decision engine compares the units of a request with the mean of all requests. One request of 1e12
     # units would distort that mean for a long time.
     is_in_range = 0 < units <= settings.max_request_units and milliseconds <= 1000 * CLIENT_DEADLINE_LIMIT_S
     if not is_in_range or not 1 <= spread <= settings.gateway_count or first >= settings.gateway_count:
--- a/api_gateway/gateway/shutdown.py
+++ b/api_gateway/gateway/shutdown.py
@@ -76,7 +76,7 @@
     node.requests.is_rejecting_all = True
     node.clients.stop_reading()
     node.requests.abandon_all()
-    await asyncio.sleep(0)  # the last answers are written at the end of this event loop iteration
+    await asyncio.sleep(0)  # the last replies are written at the end of this event loop iteration
 
 
 async def release(node: GatewayNode) -> None:
--- a/api_gateway/gateway/status.py
+++ b/api_gateway/gateway/status.py
@@ -12,7 +12,7 @@
 
 
 def gateway_status(node: GatewayNode) -> dict[str, Any]:
-    """Return the response to `GET /status`. Its keys are part of the control API."""
+    """Return the answer to `GET /status`. Its keys are part of the control API."""
     listener = node.clients.listener
     status: dict[str, Any] = {
         "ready": node.serving.is_ready and node.serving.state == ACTIVE and listener is not None,
--- a/api_gateway/interface/__init__.py
+++ b/api_gateway/interface/__init__.py
@@ -1,4 +1,4 @@
-"""Types shared by a gateway and its decision module: settings, input events and output actions."""
+"""Types shared by a gateway and its decision engine: settings, input events and output actions."""
 
 from api_gateway.interface.actions import (
     Action,
--- a/api_gateway/interface/actions.py
+++ b/api_gateway/interface/actions.py
@@ -1,6 +1,6 @@
-"""Actions that the decision module returns for its gateway to execute, one type for each kind.
+"""Actions that the decision engine returns for its gateway to execute, one type for each kind.
 
-Times are in seconds (floats). IDs are opaque strings.
+Times are in seconds (floats). Ids are opaque strings.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     """Reject a request that was not executed, so the client can safely retry it."""
 
     request_id: str
-    retry_after: float = 0  # s after which the client may retry; 0: unspecified
+    retry_after: float = 0  # seconds after which the client may retry; 0: unspecified
     # The endpoints lacked capacity, so further requests of the same sender would be rejected as well.
     overloaded: bool = False
 
@@ -52,9 +52,9 @@
 class AddToCounter:
     """Add an amount to an entry of the shared counter, which replies with the new total."""
 
-    name: int  # of the counter entry
+    name: int  # name of the counter entry
     amount: float  # negative to return units
-    lifetime: float  # s until the counter discards the entry
+    lifetime: float  # seconds until the counter discards the entry
 
 
 @dataclass(frozen=True, slots=True)
--- a/api_gateway/interface/events.py
+++ b/api_gateway/interface/events.py
@@ -1,6 +1,6 @@
-"""Events that a gateway reports to its decision module, one type for each kind.
+"""Events that a gateway reports to its decision engine, one type for each kind.
 
-Times are in seconds (floats). IDs are opaque strings. The clock reading is passed next to the event,
+Times are in seconds (floats). Ids are opaque strings. The clock reading is passed next to the event,
 not in it.
 """
 
@@ -58,7 +58,7 @@
     """A request received from a client."""
 
     request_id: str
-    time_left: float  # s until the client gives up
+    time_left: float  # seconds until the client gives up
     customer: str
     plan: str
     service_class: str
@@ -76,13 +76,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt ended, with or without a response."""
+    """An attempt ended, with or without an answer."""
 
     request_id: str
     attempt: int  # number of the attempt
     endpoint_id: str
     result: str  # one of ATTEMPT_RESULTS
-    elapsed: float  # s since the attempt was sent
+    elapsed: float  # seconds since the attempt was sent
     is_final: bool  # the request has been answered, or no longer needs an answer
     # 1 + percent of the customer's rate used in the last metered period; 0: not reported
     metered_use: int = 0
@@ -98,10 +98,10 @@
 class CounterReply:
     """A call to the shared counter returned a total or failed."""
 
-    name: int  # of the counter entry
+    name: int  # name of the counter entry
     result: str  # one of COUNTER_RESULTS
-    total: float  # of the entry after the call
-    elapsed: float  # s since the call was made
+    total: float  # total of the entry after the call
+    elapsed: float  # seconds since the call was made
 
     def __post_init__(self) -> None:
         """Validate the field values."""
@@ -114,7 +114,7 @@
 
     endpoint_id: str
     result: str  # one of ATTEMPT_RESULTS
-    elapsed: float  # s since the check was sent
+    elapsed: float  # seconds since the check was sent
     load_report: dict[str, float] = field(default_factory=dict)
 
 
@@ -132,7 +132,7 @@
     request_id: str
     attempt: int  # number of the attempt
     endpoint_id: str
-    elapsed: float  # s since the attempt was sent
+    elapsed: float  # seconds since the attempt was sent
 
 
 @dataclass(frozen=True, slots=True)
@@ -170,7 +170,7 @@
 class WallClockStepped:
     """The wall clock stepped or was found to be wrong. The clock used for events did not change."""
 
-    offset: float  # s by which the wall clock is now ahead of the clock used for events
+    offset: float  # seconds by which the wall clock is now ahead of the clock used for events
 
 
 @dataclass(frozen=True, slots=True)
--- a/api_gateway/interface/settings.py
+++ b/api_gateway/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one deployment, in the form that the decision module uses.
+"""Settings of one deployment, in the form that the decision engine uses.
 
 Times are in seconds (floats). Names are opaque strings. `settings_parser.py` builds these records from a
 site's configuration, whose keys have different names.
@@ -23,15 +23,15 @@
     """A class of requests: its latency objective, its priority and whether a repeat is harmless."""
 
     name: str
-    latency_objective: float  # s within which an answer gets the full priority weight
+    latency_objective: float  # seconds within which an answer gets the full priority weight
     deadline: float  # s, maximum time that a client waits
     idempotency: str  # one of IDEMPOTENCY_LEVELS
     dedup_scope: str  # keyed only: which endpoints discard a repeat, one of DEDUP_SCOPES
-    dedup_window: float  # keyed only: s for which endpoints remember a key
+    dedup_window: float  # keyed only: seconds for which endpoints remember a key
     priority_weight: float  # per unit, of an answer within the objective
-    late_priority_weight: float  # of an answer after the objective
+    late_priority_weight: float  # priority weight of an answer after the objective
     is_streaming: bool  # responses are streamed and take a while after their start
-    objective_stretch: float  # not used by the decision module
+    objective_stretch: float  # not used by the decision engine
 
     def __post_init__(self) -> None:
         """Validate the field values."""
@@ -62,7 +62,7 @@
     over_quota_cost: float  # cost of a unit over quota
     ceiling_rate: float  # units per second; 0: no ceiling
     ceiling_burst: float  # units
-    ceiling_slack: float  # not used by the decision module
+    ceiling_slack: float  # not used by the decision engine
 
     def __post_init__(self) -> None:
         """Validate the field values."""
@@ -105,12 +105,12 @@
 class Rules:
     """Known behaviour of the endpoints and of discovery in this deployment."""
 
-    answer_slack: float  # s; not used by the decision module
-    drain_grace: float  # s for which a draining endpoint may still receive requests
+    answer_slack: float  # s; not used by the decision engine
+    drain_grace: float  # seconds for which a draining endpoint may still receive requests
     slow_start_min_capacity: float  # fraction of its capacity that an endpoint has when it starts
-    slow_start_duration: float  # s until an endpoint has its full capacity
-    overload_multiple: float  # of its current capacity: load above this makes an endpoint in slow start fail
-    overload_window: float  # s for which an endpoint withstands such load
+    slow_start_duration: float  # seconds until an endpoint has its full capacity
+    overload_multiple: float  # multiple of current capacity; more load fails an endpoint in slow start
+    overload_window: float  # seconds for which an endpoint withstands such load
     poll_deadline: float  # s; only used where discovery is polled
 
     def __post_init__(self) -> None:
@@ -124,7 +124,7 @@
 class Settings:
     """The complete settings of one gateway."""
 
-    gateway_index: int  # of this gateway, from 0
+    gateway_index: int  # index of this gateway, from 0
     gateway_count: int
     zone: str
     classes: dict[str, ServiceClass]
--- a/api_gateway/membership/anti_entropy.py
+++ b/api_gateway/membership/anti_entropy.py
@@ -24,20 +24,17 @@
 from api_gateway.membership.timers import TimerQueue
 
 EXCHANGE_INTERVAL_S = 30.0  # between two exchanges that one member starts
-EXCHANGE_INTERVAL_PER_MEMBER_S = (
-    0.5  # times the cluster size, if longer, so that the load on each member does not grow with the cluster
-)
-BUSY_EXCHANGE_INTERVAL_S = (
-    3.0  # between two exchanges while members are joining or more updates are pending than gossip carries
-)
+# Times the cluster size, if longer, so that the load on each member does not grow with the cluster.
+EXCHANGE_INTERVAL_PER_MEMBER_S = 0.5
+# Between two exchanges while members are joining or more updates are pending than gossip carries.
+BUSY_EXCHANGE_INTERVAL_S = 3.0
 EXCHANGE_JITTER = (0.75, 1.25)  # range of the random factor of the exchange interval
 JOIN_EXCHANGE_JITTER = (0.5, 1.5)  # the same after a member joined
 MEMBERS_PER_SLICE = 200  # members whose state an exchange sends at once
 SLICE_INTERVAL_S = 0.05  # between two slices of one exchange
 RECONNECT_INTERVAL_S = 5.0  # between attempts of one member to reach lost members
-RECONNECT_CLUSTER_INTERVAL_S = (
-    1.0  # times the cluster size, if longer: one attempt per interval in the whole cluster
-)
+# Times the cluster size, if longer, so that the cluster makes one attempt per interval in total.
+RECONNECT_CLUSTER_INTERVAL_S = 1.0
 RECONNECT_JITTER = (0.5, 1.5)  # range of the random factor of the reconnect interval
 
 
--- a/api_gateway/membership/local_health.py
+++ b/api_gateway/membership/local_health.py
@@ -5,7 +5,7 @@
 MAX_HEALTH_SCORE = 8  # multiplies ack timeouts by at most 9
 HEALTHY_SCORE_LIMIT = 2  # reached by detecting one dead member, which must not prolong suspicion
 ISOLATED_AFTER_S = 3.0  # without a datagram, after which the member considers itself isolated
-ISOLATED_UNTIL_S = 30.0  # without a datagram, after which it considers the other members gone
+ISOLATED_UNTIL_S = 30.0  # without a datagram, after which it considers the other members dead
 LOSS_WINDOW_PROBES = 20  # time constant of the moving average of the direct probe loss
 LOSS_SUSPICION_FACTOR = 4.0  # times the probe loss, by which suspicion is prolonged
 MAX_SUSPICION_FACTOR = 6.0  # low enough that a few members that are partitioned together detect it
@@ -32,7 +32,7 @@
         return member_count > 1 and ISOLATED_AFTER_S < now - self.last_datagram_at < ISOLATED_UNTIL_S
 
     def check_isolation(self, now: float, member_count: int) -> None:
-        """Set the worst score while the member is isolated, and reset it when the others must be gone."""
+        """Set the worst score while the member is isolated, and reset it when the others must be dead."""
         if self.is_isolated(now, member_count):
             self.score = MAX_HEALTH_SCORE
         elif now - self.last_datagram_at >= ISOLATED_UNTIL_S and self.probe_loss:
--- a/api_gateway/membership/messages.py
+++ b/api_gateway/membership/messages.py
@@ -30,12 +30,8 @@
 DEAD: Literal["dead"] = "dead"
 LEFT: Literal["left"] = "left"
 PRESENT_STATES = (ALIVE, SUSPECT)
-STATE_CODES: dict[MemberState, int] = {
-    ALIVE: 0,
-    SUSPECT: 1,
-    DEAD: 2,
-    LEFT: 3,
-}  # numbers that stand for the states on the wire
+# Numbers that represent the states on the wire.
+STATE_CODES: dict[MemberState, int] = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
 STATE_BY_CODE: dict[int, MemberState] = {code: state for state, code in STATE_CODES.items()}
 
 
--- a/api_gateway/policy/counter_calls.py
+++ b/api_gateway/policy/counter_calls.py
@@ -53,7 +53,7 @@
     requested_units: float  # to be leased
     sampled_units: float  # counted for requests that were decided without a call
     sample_weight: float  # number of requests that each waiting request represents
-    unrefilled_units: float  # those of `charged_units` that the refill has not covered since their admission
+    unrefilled_units: float  # part of `charged_units` that the refill has not covered since admission
 
     @property
     def added_units(self) -> float:
@@ -141,7 +141,7 @@
         Args:
             account: The customer's account.
             epoch: Epoch of the count.
-            amount: 1 for a request that waits for a place, -1 to release a place.
+            amount: 1 for a request that waits for a slot, -1 to release a slot.
             state: The request that waits, if there is one.
         """
         call = CounterCall(account, epoch) if state is None else OpenAttemptCall(account, epoch, state)
--- a/api_gateway/policy/customer_accounts.py
+++ b/api_gateway/policy/customer_accounts.py
@@ -85,7 +85,7 @@
         self.set_plan(plan)
         self.rng = rng
         self.last_request_at = now
-        self.local_open_attempts = 0  # those admitted by this gateway's portion of the limit
+        self.local_open_attempts = 0  # attempts admitted by this gateway's portion of the limit
         self.waiting_request_ids: list[str] = []  # requests that wait for the pending call
         self.pending_call: LeaseCall | None = None
         # Accounts of the same customer with other windows, until those windows and their attempts have ended
--- a/api_gateway/policy/endpoint_load.py
+++ b/api_gateway/policy/endpoint_load.py
@@ -1,6 +1,6 @@
 """Estimates of load (rates, latencies, pressure) and of the serving capacity of the endpoints.
 
-Times are in seconds of the module's clock, rates are per second.
+Times are in seconds of the engine's clock, rates are per second.
 """
 
 from __future__ import annotations
@@ -201,7 +201,7 @@
         self.full_capacity_endpoints = 0.0
 
     def estimate(self, keys: tuple[str, ...], now: float) -> dict[str, float]:
-        """Update `full_capacity_endpoints`, and return known capacities as fractions of full capacity, by ID.
+        """Update `full_capacity_endpoints`, and return known capacities as fractions of full capacity, by id.
 
         Each available endpoint is counted with the mean health. The sum is then corrected for endpoints with
         evidence of their own and for those that are warming up.
--- a/api_gateway/policy/endpoint_selection.py
+++ b/api_gateway/policy/endpoint_selection.py
@@ -113,7 +113,7 @@
     def choose(
         self, now: float, keys: tuple[str, ...], candidates: list[EndpointState] | None
     ) -> EndpointState | None:
-        """Return the endpoint with the lowest cost of some drawn by weight, or None if none is eligible.
+        """Return the endpoint with the lowest cost among some drawn by weight, or None if all are ineligible.
 
         The number compared is about the number of endpoints that this gateway has recent load reports for,
         and at least two.
--- a/api_gateway/policy/endpoint_subset.py
+++ b/api_gateway/policy/endpoint_subset.py
@@ -75,7 +75,7 @@
             needed: Number of full-capacity endpoints that are needed.
             keys: Levels at which an endpoint may fail the request.
             now: Time in seconds.
-            capacities: Fraction of full capacity by endpoint ID, for endpoints with evidence.
+            capacities: Fraction of full capacity by endpoint id, for endpoints with evidence.
         """
         ring = self.table.ring
         settings = self.table.settings
--- a/api_gateway/policy/endpoint_table.py
+++ b/api_gateway/policy/endpoint_table.py
@@ -1,7 +1,7 @@
 """The table of endpoints: which are known, available, warming up, ejected or departed.
 
 The table is updated incrementally, so a change of one endpoint never iterates over all of them. A list may be
-a view, which holds only some of the available endpoints. The module then acts as one of
+a view, which holds only some of the available endpoints. The engine then acts as one of
 `EndpointTable.sharing_gateway_count` gateways that share the endpoints of the view.
 """
 
@@ -36,12 +36,12 @@
 
 Sampled = TypeVar("Sampled")
 
-# Request ID and number of an attempt. A plain tuple, because one is created for each attempt.
+# Request id and number of an attempt. A plain tuple, because one is created for each attempt.
 AttemptKey: TypeAlias = tuple[str, int]
 
 
 class EndpointState:
-    """State of one incarnation of an endpoint at this gateway. Times are seconds of the module's clock."""
+    """State of one incarnation of an endpoint at this gateway. Times are seconds of the engine's clock."""
 
     def __init__(self, entry: api.Endpoint, now: float, send_credit: float, started_at: float) -> None:
         """Initialise the state of a newly listed or restarted endpoint.
@@ -54,7 +54,7 @@
         """
         self.entry = entry
         self.is_listed_up = entry.state == "up"
-        # Time of sending of each attempt in flight from this gateway, by request ID and attempt number.
+        # Time of sending of each attempt in flight from this gateway, by request id and attempt number.
         self.in_flight: dict[AttemptKey, float] = {}
         self.started_at = started_at
         # Requests of other gateways at the endpoint according to its last load report, and when that arrived.
@@ -98,13 +98,13 @@
     """Holds the endpoints that lists and operators' overrides name. `EndpointPool` owns the only instance.
 
     Attributes:
-        endpoints: All known endpoints by ID, including departed and ejected ones.
+        endpoints: All known endpoints by id, including departed and ejected ones.
         available: Endpoints that are listed as up and not ejected, in the order of first listing.
         ring: The available endpoints ordered by ring position.
         weights: The weights of the available endpoints in ascending order.
-        warming_up: Available endpoints that slow start may limit, by ID; some may be warm by now.
-        departed: When each known endpoint that is not listed as up departed, by ID.
-        ejected: When an operator ejected each ejected endpoint, by ID.
+        warming_up: Available endpoints that slow start may limit, by id; some may be warm by now.
+        departed: When each known endpoint that is not listed as up departed, by id.
+        ejected: When an operator ejected each ejected endpoint, by id.
         largest_weight: Largest weight of an available endpoint.
         available_total: Total number of available endpoints if the list is a view, or 0 if it is complete.
         sharing_gateway_count: Number of gateways that share the endpoints of this list.
@@ -203,9 +203,8 @@
             endpoint.sequence_number = previous.sequence_number
             endpoint.in_flight = previous.in_flight
         self.endpoints[endpoint.entry.id] = endpoint
-        self.health.forget(
-            endpoint.entry.id
-        )  # failures of the previous incarnation are no evidence on this one
+        # Failures of the previous incarnation are no evidence on this one.
+        self.health.forget(endpoint.entry.id)
 
     def set_override(self, now: float, event: api.EndpointOverride) -> None:
         """Eject an endpoint on behalf of an operator, or end its ejection.
@@ -262,9 +261,8 @@
         if self._is_available(endpoint):
             del self.available[bisect.bisect_left(self.available, by_sequence(endpoint), key=by_sequence)]
             del self.ring[bisect.bisect_left(self.ring, by_ring_position(endpoint), key=by_ring_position)]
-            del self.weights[
-                bisect.bisect(self.weights, endpoint.entry.weight) - 1
-            ]  # the last of equal weights
+            # Deletes the last of equal weights.
+            del self.weights[bisect.bisect(self.weights, endpoint.entry.weight) - 1]
             self.warming_up.pop(endpoint.entry.id, None)
 
     def rebuild(self, now: float) -> None:
--- a/api_gateway/policy/endpoints.py
+++ b/api_gateway/policy/endpoints.py
@@ -70,7 +70,7 @@
 
     @property
     def endpoints(self) -> dict[str, EndpointState]:
-        """All known endpoints by ID. This is the table's own dict, not a copy."""
+        """All known endpoints by id. This is the table's own dict, not a copy."""
         return self.table.endpoints
 
     @property
@@ -217,7 +217,7 @@
     def choose_subset(
         self, keys: tuple[str, ...], now: float, capacities: dict[str, float]
     ) -> list[EndpointState]:
-        """Return the endpoints that this gateway is to use, given the known capacities by endpoint ID."""
+        """Return the endpoints that this gateway is to use, given the known capacities by endpoint id."""
         return self.subset.choose(self._needed_endpoints(), keys, now, capacities)
 
     def choose(
@@ -235,7 +235,7 @@
         return self.selector.choose(now, keys, candidates)
 
     def record_send(self, endpoint: EndpointState, key: AttemptKey, now: float) -> None:
-        """Record an attempt as in flight at an endpoint; `key` is its request ID and number."""
+        """Record an attempt as in flight at an endpoint; `key` is its request id and number."""
         endpoint.in_flight[key] = now
         endpoint.send_credit -= 1.0
         self.load.record_send(now)
--- a/api_gateway/policy/engine.py
+++ b/api_gateway/policy/engine.py
@@ -18,7 +18,7 @@
 from api_gateway.policy.retries import AttemptSender, RetryBudget
 
 WATCH_RETRY_DELAY_S = 1.0  # after discovery failed to provide an endpoint list
-COUNTER_WAIT_TIMEOUTS = 2  # a request waits for the counter at most this many of its time-outs
+COUNTER_WAIT_TIMEOUTS = 2  # a request waits for the counter at most this many of its timeouts
 
 
 class DecisionEngine:
--- a/api_gateway/policy/load_shedding.py
+++ b/api_gateway/policy/load_shedding.py
@@ -17,8 +17,8 @@
 RECENT_REQUEST_COUNT = 64  # latest requests, among which a new one is ranked
 ADMISSION_DECREASE_PER_S = 0.7  # exponential rate at which the admitted fraction falls under pressure
 ADMISSION_INCREASE_PER_S = 0.15  # linear rate at which it recovers
-MIN_ADMITTED_FRACTION = 0.05  # least fraction admitted, however high the pressure is
-PRESSURE_HOLD_S = 1.0  # the pressure counts in full for this time after the latest response
+MIN_ADMITTED_FRACTION = 0.05  # smallest fraction admitted, however high the pressure is
+PRESSURE_HOLD_S = 1.0  # the pressure counts in full for this time after the latest answer
 
 
 def queue_rank(state: RequestState) -> tuple[bool, float]:
@@ -54,7 +54,7 @@
     def should_shed(self, now: float, state: RequestState) -> bool:
         """Return whether to reject a new request because its priority is too low for the current pressure.
 
-        While responses come from congested endpoints, requests with the lowest priority per second of work
+        While answers come from congested endpoints, requests with the lowest priority per second of work
         are rejected, whatever the cause of the congestion. Among many gateways, each has so few attempts in
         flight that its in-flight limit alone would not relieve the endpoints.
         """
--- a/api_gateway/policy/outlier_detection.py
+++ b/api_gateway/policy/outlier_detection.py
@@ -3,7 +3,7 @@
 An estimate is kept for the endpoint as a whole, for each service class and for each plan, because an endpoint
 may fail only some kinds of requests. Errors, timeouts, lost connections and rejections for lack of capacity
 all count as evidence. A failure counts at each level in proportion to how common failures are there among all
-endpoints, so that a successful response of another kind doesn't clear it. While many endpoints fail, those
+endpoints, so that a successful answer to another kind doesn't clear it. While many endpoints fail, those
 that are known to work are preferred. The cost is that a healthy endpoint which failed by chance receives less
 traffic until half of that evidence has decayed.
 """
@@ -45,7 +45,7 @@
     "plan free". Times are in seconds.
 
     Attributes:
-        estimates: Estimates by endpoint ID and level. Endpoints are ordered by their latest evidence.
+        estimates: Estimates by endpoint id and level. Endpoints are ordered by their latest evidence.
         mean_probability: Mean probability at each level, assumed for an endpoint without evidence.
     """
 
@@ -93,7 +93,7 @@
                 )
             if failed:
                 probability += (probability_after_failure(probability) - probability) * (mean / max_mean) ** 2
-            else:  # any response shows that the endpoint as a whole works, but not that it serves other kinds
+            else:  # any answer shows that the endpoint as a whole works, but not that it serves other kinds
                 probability = 0.0 if key == keys[0] else probability_after_answer(probability)
             known[key] = (probability, now)
             self.mean_probability[key] = min(
--- a/api_gateway/policy/quota_leases.py
+++ b/api_gateway/policy/quota_leases.py
@@ -42,8 +42,8 @@
 CALL_TIME_COST = 0.3
 MAX_TIMED_OUT_CALLS = 256  # timed-out calls that are remembered in case their totals arrive late
 TOTAL_ROUNDING_UNITS = 0.01  # tolerance for totals, which the counter returns with a limited number of digits
-MAX_SAMPLE_WEIGHT = 20.0  # most requests that one call represents in the grants of a plan
-MAX_SAMPLED_REQUESTS = 4.0  # most requests that a sampled charge represents; more make the count jump
+MAX_SAMPLE_WEIGHT = 20.0  # maximum number of requests that one call represents in a plan's grants
+MAX_SAMPLED_REQUESTS = 4.0  # maximum number that a sampled charge represents; more make the count jump
 MIN_CHARGE_UNITS = 1.0  # uncharged units up to this number do not start a call by themselves
 COUNT_LIFETIME_WINDOWS = 3  # lifetime of a count that the counter is asked for, in windows
 
--- a/api_gateway/policy/request_state.py
+++ b/api_gateway/policy/request_state.py
@@ -22,7 +22,7 @@
 # units: units of its quota
 # slot: a slot within its customer's limit on open attempts
 # queue: an endpoint with capacity
-# sent: the response to its attempts
+# sent: an answer to one of its attempts
 Stage = Literal["units", "slot", "queue", "sent"]
 
 
@@ -47,9 +47,9 @@
     account: Account
     arrived_at: float
     deadline: float  # when the client gives up
-    priority: float  # value of a response in time
+    priority: float  # value of an answer in time
     priority_per_second: float  # priority per second of an endpoint's work
-    health_keys: tuple[str, ...]  # scopes in which an endpoint may fail it: host, class and plan
+    health_keys: tuple[str, ...]  # levels at which an endpoint may fail it: host, class and plan
     limits: api.Limits
     stage: Stage = "units"
     is_over_quota: bool = False  # forwarded although its quota was used up
@@ -58,7 +58,7 @@
     is_streaming: bool = False  # its response has started
     is_done: bool = False
     in_flight: dict[int, SentAttempt] = field(default_factory=dict)  # by attempt number
-    possibly_executed_attempts: list[SentAttempt] = field(default_factory=list)  # ended without a response
+    possibly_executed_attempts: list[SentAttempt] = field(default_factory=list)  # ended without an answer
     overdue_attempts: set[int] = field(default_factory=set)  # numbers of attempts whose silence was recorded
     tried_endpoints: set[str] = field(default_factory=set)
 
@@ -103,7 +103,7 @@
         return self.scheduled_checks[0][0] if self.scheduled_checks else math.inf
 
     def reject(self, now: float, state: RequestState, retry_after: float) -> None:
-        """End a request without a response: reject it, or fail it if it may have been executed.
+        """End a request without an answer: reject it, or fail it if it may have been executed.
 
         Args:
             now: Current time in seconds.
--- a/api_gateway/policy/retries.py
+++ b/api_gateway/policy/retries.py
@@ -19,7 +19,7 @@
 REFUSED_ATTEMPT_RETRY_COST = 0.2  # cost of a retry after an endpoint had no capacity
 RETRY_COST = 1.0  # cost of any other retry and of a hedged request
 
-# Health scopes updated by an attempt that ends after its request, whose class and plan are no longer known
+# Health levels updated by an attempt that ends after its request, whose class and plan are no longer known
 ENDED_REQUEST_HEALTH_KEYS = ("host",)
 
 
@@ -186,8 +186,8 @@
     def handle_overdue_attempts(self, now: float, state: RequestState) -> None:
         """Record overdue attempts as failures of their endpoints, and hedge or retry the request.
 
-        The cause of the silence does not matter. If the response is only slow, the work is done twice, so
-        both draw on the retry budget.
+        The cause of the silence does not matter. If the answer is only slow, the work is done twice, so
+        hedged requests and retries both draw on the retry budget.
         """
         silence_threshold = (
             self.endpoint_pool.silence_threshold(state.service_class.name) - TIMER_RESOLUTION_S
--- a/api_gateway/policy/slow_start.py
+++ b/api_gateway/policy/slow_start.py
@@ -25,7 +25,7 @@
 
 
 class StartTimes:
-    """Converts start times of lists to times of the module's clock, where 0 means long ago.
+    """Converts start times of lists to times of the engine's clock, where 0 means long ago.
 
     Attributes:
         last_list_at: When this process last received a list from discovery.
@@ -55,7 +55,7 @@
         return -CLOCK_TOLERANCE_S <= age <= max_age
 
     def is_new(self, previous: api.Endpoint | None, entry: api.Endpoint, *, is_view: bool) -> bool:
-        """Return whether the previous list would have given this start time if it had already applied.
+        """Return whether the start is later than the previous list, which would otherwise contain its time.
 
         An endpoint that was not in this gateway's view before may have run for long, because other gateways
         had it in their views.
@@ -73,7 +73,7 @@
         is_view: bool,
         duration: float,
     ) -> float:
-        """Return the start time by the module's clock, or the current time if the listed one is impossible.
+        """Return the start time by the engine's clock, or the current time if the listed one is impossible.
 
         The current time is the safe choice, because it makes the endpoint warm up from the beginning.
 
--- a/api_gateway/registry/answer_encoding.py
+++ b/api_gateway/registry/answer_encoding.py
@@ -36,9 +36,8 @@
     def __init__(self, registry: Registry) -> None:
         """Start with an empty cache for the answers of `registry`."""
         self._registry = registry
-        self._host_texts: dict[
-            str, tuple[Host, bytes]
-        ] = {}  # each host as last encoded, with its text, by id
+        # Each host as last encoded, with its text, by id.
+        self._host_texts: dict[str, tuple[Host, bytes]] = {}
         self.answers: dict[AnswerKey, bytes] = {}
         self.version = -1
         self.size_bytes = 0
--- a/api_gateway/registry/core.py
+++ b/api_gateway/registry/core.py
@@ -426,9 +426,8 @@
         self.remove_watch(key)
         while self.watch_deadlines and self.watch_deadlines[0][2] not in self.watches:
             heapq.heappop(self.watch_deadlines)
-        if (
-            len(self.watch_deadlines) > 2 * len(self.watches) + 16
-        ):  # drop removed watches before they fall due
+        # Drop removed watches before they fall due.
+        if len(self.watch_deadlines) > 2 * len(self.watches) + 16:
             self.watch_deadlines = [item for item in self.watch_deadlines if item[2] in self.watches]
             heapq.heapify(self.watch_deadlines)
 
@@ -464,7 +463,7 @@
         return answers
 
     def wake_full_list_watches(self) -> list[Answer]:
-        """Answer the watches of the whole list; the changes are collected once for each version."""
+        """Answer the watches of the complete list; the changes are collected once for each version."""
         answers_by_index: dict[int, Answer] = {}
         outdated = [watch for watch in self.full_list_watches.values() if watch.index < self.version]
         for watch in outdated:
--- a/api_gateway/registry/registration.py
+++ b/api_gateway/registry/registration.py
@@ -84,6 +84,5 @@
 def _is_finite_number(value: object) -> bool:
     if isinstance(value, float):
         return math.isfinite(value)
-    return isinstance(value, int) and not isinstance(
-        value, bool
-    )  # isfinite() would overflow for a large integer
+    # isfinite() would overflow for a large integer.
+    return isinstance(value, int) and not isinstance(value, bool)
--- a/api_gateway/registry/service.py
+++ b/api_gateway/registry/service.py
@@ -95,7 +95,11 @@
 
             name = f"registry-{format_address((self.config.listen[0], port))}"
             self.member = MembershipService(self.config.membership, name, lambda: {"kind": "registry"})
-            log.info("membership of %s at port %d", self.config.membership.cluster, await self.member.start())
+            log.info(
+                "membership joined cluster=%s port=%d",
+                self.config.membership.cluster,
+                await self.member.start(),
+            )
         return port
 
     def reload(self) -> None:
--- a/api_gateway/simulator_adapter.py
+++ b/api_gateway/simulator_adapter.py
@@ -199,7 +199,7 @@
     """Serves all instances of one simulation over the simulator's protocol.
 
     Attributes:
-        engines: The decision module of each instance.
+        engines: The decision engine of each instance.
         line: The last line read.
         line_number: The number of that line, from 1.
     """
@@ -273,7 +273,7 @@
     def _read_instance(
         self, instance: int, command: str, fields: Fields, now: float
     ) -> Callable[[], Iterable[str]]:
-        """Read the settings of a new instance and return a function that creates its decision module."""
+        """Read the settings of a new instance and return a function that creates its decision engine."""
         seed = int(fields["nonce64"])
         settings = read_settings(
             _build_settings_tree(
--- a/api_gateway/upstream/attempt.py
+++ b/api_gateway/upstream/attempt.py
@@ -34,7 +34,7 @@
         started_at: When the attempt was created, or when its wait for a settling connection ended.
         send_deadline: The latest time at which it may be sent.
         deadline: When the attempt times out.
-        result: One of `interface.RESULTS`; empty until the attempt has ended.
+        result: One of `interface.ATTEMPT_RESULTS`; empty until the attempt has ended.
         value: The value in the answer, unless it was streamed in chunks.
         metered_use: The metered use that the endpoint reported.
         load_report: The load report in the answer.
--- a/api_gateway/upstream/connection.py
+++ b/api_gateway/upstream/connection.py
@@ -241,7 +241,7 @@
 
     Args:
         attempt: The attempt that was answered.
-        reply: The reply as parsed by hiredis.
+        reply: The answer as parsed by hiredis.
 
     Returns:
         The attempt's result: `ok`, `full` or `error`.
--- a/api_gateway/upstream/load_report.py
+++ b/api_gateway/upstream/load_report.py
@@ -10,7 +10,7 @@
 # A plain number as the protocol defines it. float() alone would also accept 1_0.
 PLAIN_NUMBER = re.compile(r"(?:[0-9]+\.?[0-9]*|\.[0-9]+)(?:[eE][+-]?[0-9]+)?")
 
-# Values by the decision module's field names; times are in seconds.
+# Values by the decision engine's field names; times are in seconds.
 LoadReport = dict[str, float]
 
 
@@ -18,7 +18,7 @@
     """Parse a load report of the form `name=value,name=value`.
 
     Args:
-        text: What the answer has in place of a load report: bytes, text, or any other type of reply.
+        text: What the answer has in place of a load report: bytes, text, or any other RESP value.
 
     Returns:
         The known fields. Empty if the report is missing or any part of it is malformed.
